--- a/include/flaxdoor/decide.h
+++ b/include/flaxdoor/decide.h
@@ -1,13 +1,14 @@
-// The whole interface of flaxdoor: settings, events, actions, and the Policy that turns one into the
-// other. The decisions themselves stand in src/policy/decide.cpp.
+// The decision module's interface: settings, events, actions, and the Policy that turns events into actions.
+// The implementation is in src/policy/decide.cpp.
 //
-// Time:        a Policy has no clock. Every event carries `now`, which must never go back.
-// Threading:   a Policy belongs to one thread at a time; it takes no locks and starts no threads. Those that
-//              share a ColdAccount belong to the same thread.
-// Ownership:   the Actions sink is borrowed and must outlive the Policy. Nothing else is shared but the
-//              ColdAccounts that the lists bring.
-// Re-entrancy: an Actions method is called from inside an on_* method and must not call the Policy back.
-// Repeatable:  the same settings, seed and events give the same actions, in the same order.
+// Time:        A Policy has no clock. Every event carries `now`, which must never decrease.
+// Threading:   A Policy is used by one thread at a time. It takes no locks and starts no threads. Policies
+//              that share a ColdAccount must run on the same thread.
+// Ownership:   The Policy borrows the Actions object, which must outlive it. Nothing else is shared except
+//              the ColdAccounts in the entries of the upstream list.
+// Re-entrancy: A Policy calls Actions from inside its on_* methods. An Actions method must not call the
+//              Policy.
+// Determinism: The same settings, seed and events give the same actions in the same order.
 #pragma once
 
 #include <chrono>
@@ -21,121 +22,128 @@
 
 namespace flaxdoor {
 
-using Micros = std::chrono::microseconds;  // a span of time
-using Time = std::chrono::microseconds;    // a point in time, from any fixed origin
-using RequestId = std::uint64_t;           // chosen by the host, never used again
-using UpstreamId = std::uint64_t;          // chosen by the host, opaque
+using Micros = std::chrono::microseconds;  // a duration
+using Time = std::chrono::microseconds;    // a point in time, counted from any fixed origin
+using RequestId = std::uint64_t;           // chosen by the host, never reused
+using UpstreamId = std::uint64_t;          // chosen by the host, opaque to the Policy
 
-// ---------------------------------------------------------------------------------------------- settings
+// --- Settings ---
 
-enum class Effect { safe, keyed, unsafe };  // safe to repeat; repeats dropped by a group; never twice
-enum class Group { all, zone, cell };       // which upstreams drop the repeats of a keyed request
+// Whether a request may be executed more than once: `safe` requests may, `unsafe` requests must not, and the
+// upstreams of a Group drop the repeats of `keyed` requests.
+enum class Effect { safe, keyed, unsafe };
+// The upstreams that drop each other's repeats of a keyed request.
+enum class Group { all, zone, cell };
 
 struct ClassSettings {
     std::string name;
-    Micros aim{};       // answers within this earn the full worth
-    Micros deadline{};  // the longest that a client waits
+    Micros aim{};       // latency target: an answer within it earns the full worth
+    Micros deadline{};  // longest time that a client waits
     double worth = 1;
-    double late_worth = 0;  // share of the worth that an answer after the aim still earns
+    double late_worth = 0;  // fraction of the worth that an answer after the aim still earns
     Effect effect = Effect::unsafe;
     Group group = Group::all;
-    Micros window{};         // keyed: how long repeats are dropped, from the first send that may have run
-    bool streams = false;    // answers are streamed: on_started comes before the outcome
-    double aim_stretch = 0;  // extra time on the aim, as a multiple of the request's work; 0: none
+    // Keyed classes: how long repeats are dropped, counted from the first attempt that may have executed.
+    Micros window{};
+    bool streams = false;    // answers are streamed: on_started precedes the attempt's outcome
+    double aim_stretch = 0;  // time added to the aim, as a multiple of the request's work; 0: none
 
     bool operator==(const ClassSettings&) const = default;
 };
 
 struct TenantSettings {
     std::string name;
-    double quota_per_s = 0;  // requests a second over all balancers within its share; 0: no quota
-    double fraction = 0;     // its share of the service; 0: not told
+    double quota_per_s = 0;  // requests per second over all balancers within its share; 0: no quota
+    double fraction = 0;     // the tenant's fraction of the service; 0: unknown
 
     bool operator==(const TenantSettings&) const = default;
 };
 
-// What a load report holds: requests in hand, those of them in the queue, share of CPU busy (0 to 1), recent
-// service time in milliseconds, requests served a second, errors a second.
+// The fields of a load report: requests that the upstream holds, how many of them are queued, CPU utilisation
+// (0 to 1), recent service time in milliseconds, requests served per second, and errors per second.
 enum class ReportField { in_flight, queued, utilisation, service_ms, rate, errors, other };
-enum class ReportSource { none, answers, probes };  // in which events load reports come along
-// What UpstreamEntry::weight tells: nothing, the size, the size give or take, or the size less what
-// the upstream holds by now.
+// The events that carry load reports.
+enum class ReportSource { none, answers, probes };
+// The meaning of UpstreamEntry::weight: none, the upstream's capacity, its approximate capacity, or its
+// capacity less its current load.
 enum class Weights { none, nominal, rough, live };
 
-// Weights of the parts of what the operators count, as told; they need not sum to 1.
+// Weights of the parts of the operators' objective, as configured. They need not sum to 1.
 struct Goal {
     double whole = 0;          // the whole time
     double worst_window = 0;   // the worst ten seconds
     double worst_class = 0;    // the worst-served class
     double worst_tenant = 0;   // the worst-served tenant, within its share
-    double nines = 0;          // nines of each five seconds
-    double full_at_nines = 0;  // so many nines count in full; 0: not told
+    double nines = 0;          // availability, in nines, of each five seconds
+    double full_at_nines = 0;  // number of nines that earns the full weight of `nines`; 0: unknown
 
     bool operator==(const Goal&) const = default;
 };
 
-// Points taken off, each for one unit; 0: free or not told.
+// Points deducted per unit of each cost; 0: free or unknown.
 struct Prices {
-    double connection = 0;  // an open connection for each hundredth of an upstream
-    double cross_zone = 0;  // an attempt that crosses zones, by first try
-    double discovery = 0;   // a hundred lines of the list, by first try
-    double fleet = 0;       // mean size of the fleet over its size at the start
-    double handshake = 0;   // a new connection, by first try
-    double late_fail = 0;   // all worth ended unserved after its aim
-    double moves = 0;       // a move, by first try
-    double origin = 0;      // a fetch from the origin, by first try
-    double peer = 0;        // 256 delivered bytes, by first try
-    double probe = 0;       // a probe, by first try
-    double waste = 0;       // upstream work without an answer, as a share of the work offered
+    double connection = 0;  // open connections per hundredth of an upstream
+    double cross_zone = 0;  // attempts that cross zones, per first attempt
+    double discovery = 0;   // hundreds of lines of the upstream list, per first attempt
+    double fleet = 0;       // mean size of the fleet, as a multiple of its size at the start
+    double handshake = 0;   // new connections, per first attempt
+    double late_fail = 0;   // worth of all requests that ended unserved after their aim
+    double moves = 0;       // moves, per first attempt
+    double origin = 0;      // fetches from the origin, per first attempt
+    double peer = 0;        // delivered bytes in units of 256, per first attempt
+    double probe = 0;       // probes, per first attempt
+    double waste = 0;       // upstream work without an answer, as a fraction of the work offered
 
     bool operator==(const Prices&) const = default;
 };
 
 struct Settings {
-    int rank = 0;       // this balancer's number among them
-    int balancers = 1;  // how many there are
+    int rank = 0;       // this balancer's number, from 0 to balancers - 1
+    int balancers = 1;  // number of balancers
     int zone = 0;
     int zones = 1;
-    int tier = 0;       // the tier that this balancer sends to
-    Micros tick{1000};  // least time between two batches of events
+    int tier = 0;       // tier of the upstreams that this balancer sends to
+    Micros tick{1000};  // minimum time between two batches of events
     std::vector<ClassSettings> classes;
     std::vector<TenantSettings> tenants;
-    double over_share_worth = 1;  // worth of a request beyond its tenant's share
-    bool worth_by_work = false;   // worth is counted for each unit of work, not for each request
+    double over_share_worth = 1;  // factor on the worth of a request beyond its tenant's share
+    bool worth_by_work = false;   // worth counts per unit of work instead of per request
 
-    bool must_ask_list = false;  // the list comes only after watch() or fetch()
+    bool must_ask_list = false;  // the host sends the list only after watch() or fetch()
     bool may_probe = false;
     bool may_cancel = false;
-    bool parallel_attempts = false;  // two attempts of one request may run at once
-    bool retry_after = false;        // refusals may carry advice on when to come back
-    bool warm_keys = false;          // an upstream that met a key lately does less work for it
-    bool passes_deadline = false;    // an upstream's own calls get only the time that its request has left
-    bool marks_retry = false;        // clients mark their retries: Request::client_retry tells
+    bool parallel_attempts = false;  // two attempts of one request may run at the same time
+    bool retry_after = false;        // refuse() may carry a delay after which the client should retry
+    bool warm_keys = false;          // an upstream does less work for a key that it served recently
+    bool passes_deadline = false;    // an upstream's own calls get only the remaining time of the request
+    bool marks_retry = false;        // clients mark their retries, see Request::client_retry
     bool may_tell_peers = false;     // tell() is allowed
     Weights weights = Weights::none;
     int max_attempts = 1;
-    // Least that all balancers together may have in flight, attempts an upstream (1, 3 tried where they are
-    // many and upstreams small). One alone before upstreams whose size it was told may be told more.
+    // Lower bound of the concurrency limit of all balancers together, in attempts per upstream. A single
+    // balancer whose upstreams' capacity is known may be given a larger value.
     double fair_share = 2;
-    int max_open = 0;          // requests that a balancer can have open; more never reach it; 0: not told
-    Micros max_retry_after{};  // the longest advice that a client heeds
+    int max_open = 0;  // requests that a balancer can hold open, further ones never reach it; 0: unknown
+    Micros max_retry_after{};  // longest retry delay that a client honours
     Micros connect_timeout{};
-    Micros idle_close{};  // idle connections are closed after this; 0: not told
+    Micros idle_close{};  // upstreams close idle connections after this time; 0: unknown
     int streams_per_connection = 1;
-    Micros cpu_per_s{};             // CPU that a balancer has in a second; 0: not told
-    double cpu_us_per_request = 0;  // CPU in microseconds for a request with its outcomes; 0: no such limit
+    Micros cpu_per_s{};             // CPU time that a balancer has per second; 0: unknown
+    double cpu_us_per_request = 0;  // CPU time of one request with its outcomes, in microseconds; 0: no limit
     ReportSource reports = ReportSource::none;
-    std::vector<ReportField> report_fields;  // what load reports hold; empty: there are none
-
-    Micros answer_slack{};  // final answers count this long after the deadline
-    Micros ask_within{};    // an unsubscribed balancer must ask for the list this often
-    Micros drain_grace{};   // new work must stop this long after a drain was told
-    Micros drain_close{};   // idle connections must be closed this long after a drain was told, or after the
-                            // last send or outcome there if that came later; 0: the rule is not told
-    double cold_share = 1;  // an upstream starts at this share of its capacity or more
-    Micros ramp_time{};     // and is warm after this
-    double fall_multiple = 0;  // sent more than this multiple of its present capacity
-    Micros fall_span{};        // for this long, a cold upstream falls over; 0: the rule is not told
+    std::vector<ReportField> report_fields;  // fields of a load report, in order; empty: no load reports
+
+    Micros answer_slack{};  // a final answer counts until this long after the deadline
+    Micros ask_within{};    // a balancer without a subscription must request the list at least this often
+    Micros drain_grace{};   // new work to an upstream must stop this long after the notice of its drain
+    // Idle connections to a draining upstream must be closed this long after the notice of the drain, or
+    // after the last send or outcome there if that is later; 0: no such rule.
+    Micros drain_close{};
+    double cold_share = 1;  // least fraction of its capacity that an upstream has when it starts
+    Micros ramp_time{};     // duration of an upstream's warm-up, from its start to its full capacity
+    // A cold upstream fails if it is sent more than this multiple of its present capacity for fall_span.
+    double fall_multiple = 0;
+    Micros fall_span{};  // 0: no such rule
 
     Goal goal;
     Prices prices;
@@ -143,42 +151,44 @@
     bool operator==(const Settings&) const = default;
 };
 
-// ------------------------------------------------------------------------------------------------ events
+// --- Events ---
 
 enum class UpstreamState { gone, ready, draining };
 enum class ListKind { delta, full, cached, failed };
 
 struct TokenBucket {
-    double tokens = 0;  // requests that may go now
+    double tokens = 0;  // requests that may be sent now
     Time filled_at{};
 };
 
-// The cold budget of one address, for the modules of one program that all send to it: each keeps within its
-// own budget, together they could push a cold server over. The host makes one for each address (make_shared)
-// and puts it in the entry of every module's list; it reads and writes nothing of it. What any of them sends
-// is taken from it, it fills at the rate of whoever asks, over the time since anybody last did, and a cold
-// start that one of them hears of counts for all. All modules that share it belong to the same thread.
+// The slow-start token bucket of one address, shared by the Policies of one program that send to that
+// address. Each Policy limits only its own requests, so several with separate buckets could together overload
+// a server that has just started. The host creates one bucket per address with make_shared and puts it into
+// that address's entry in every Policy's list. The host itself neither reads nor writes the bucket. Every
+// Policy takes a token for each request that it sends. A Policy that checks the bucket first adds the tokens
+// gained, at its own rate, since any of them last did so. A cold start that one Policy learns of holds for
+// all of them. All Policies that share a bucket must run on the same thread.
 struct ColdAccount : TokenBucket {
-    Time since{};  // when the process there last started cold; zero: never
+    Time since{};  // last cold start of the process at the address; zero: never
 };
 
-// What a Policy has learned of an upstream and would take long to learn again. A host may keep it over a
-// start and hand it back, faded by its age, with the first list that names the upstream; later it is not
-// heeded.
+// What a Policy has learned about an upstream and what would take long to learn again. A host may save it
+// over a restart, reduce it by its age, and pass it back with the first list that names the upstream. Values
+// in later lists are ignored.
 struct UpstreamMemory {
-    double latency_us = 0;  // smoothed latency there, and the number of ours there at those sends
-    double ours = 0;        // 0: not known
-    double idle_us = 0;     // smoothed latency of those that were alone of ours
-    // Of ours in flight: grows with answers, falls with full refusals and crowds. Two before anything is
-    // known (1 tried: no better).
+    double latency_us = 0;  // smoothed latency of the upstream's answers
+    double ours = 0;     // smoothed number of this balancer's attempts there when they were sent; 0: unknown
+    double idle_us = 0;  // smoothed latency of attempts sent while this balancer had no other one there
+    // Concurrency limit for this balancer's attempts at the upstream. It grows with answers and falls when
+    // the upstream rejects attempts as full or answers slowly.
     double limit = 2;
-    bool limited = false;  // it has fallen once
-    int strikes = 0;       // failures in a row
-    bool out = false;      // taken out of ordinary traffic
-    bool died = false;     //   because connections failed: it comes back cold
-    Time out_until{};      //   then it is tried again
-    Time answered_at{};    // zero: never
-    Time cold_since{};     // when it last started cold; zero: long ago
+    bool limited = false;  // the limit has fallen at least once
+    int strikes = 0;       // consecutive failures
+    bool out = false;      // ejected: the upstream gets no ordinary traffic
+    bool died = false;     // a connection failed since the last success: a reinstated upstream may be cold
+    Time out_until{};      // end of the ejection: the upstream is probed then
+    Time answered_at{};    // last answer; zero: never
+    Time cold_since{};     // last cold start; zero: long ago
 
     bool operator==(const UpstreamMemory&) const = default;
 };
@@ -190,8 +200,8 @@
     int cell = 0;
     UpstreamState state = UpstreamState::ready;
     double weight = 1;
-    Time started_at{};                  // zero: long ago
-    std::shared_ptr<ColdAccount> cold;  // null: the one told earlier, else the upstream's own
+    Time started_at{};                  // start of the upstream's process; zero: long ago
+    std::shared_ptr<ColdAccount> cold;  // null: the bucket of an earlier entry, else one of the Policy's own
     std::optional<UpstreamMemory> memory{};
 };
 
@@ -200,16 +210,17 @@
     int class_index = 0;
     std::optional<int> tenant;
     std::uint64_t key = 0;            // zero: none
-    Time deadline{};                  // when the client gives this try up
-    std::optional<Micros> cost_hint;  // a guess of its cost in core time
-    bool client_retry = false;        // the client tries again (where clients mark it)
+    Time deadline{};                  // when the client stops waiting for this try
+    std::optional<Micros> cost_hint;  // estimated CPU time of the request at the upstream
+    bool client_retry = false;        // the client repeats an earlier request (where clients mark that)
     bool write = false;
-    // To this upstream or nowhere: it waits for a place there as others do for any, and is refused at once
-    // when the upstream is not listed, drains or is gone.
+    // The only upstream that may get the request. While that upstream is at its limits, the request waits
+    // like any other. If the upstream is not listed, draining or gone, the request is refused at once.
     std::optional<UpstreamId> pinned;
 };
 
-// A streamed answer has begun: the attempt is the client's, its time-out and the deadline count no more.
+// An upstream has begun a streamed answer. The answer now belongs to the client: neither the attempt's
+// time-out nor the request's deadline applies any longer.
 struct AttemptStart {
     RequestId request = 0;
     int attempt = 0;
@@ -217,17 +228,20 @@
     Micros latency{};
 };
 
-// `moot`: the attempt never ran and says nothing of the upstream (the program's own want, as of descriptors).
+// The outcome of an attempt or a probe. `full`: the upstream rejected the attempt for lack of capacity and
+// did not execute it. `connect_failed`: no connection was made, so nothing was executed. `moot`:
+// inconclusive; the attempt was not executed for a reason on the balancer's side (it ran out of descriptors,
+// say) and says nothing about the upstream.
 enum class Outcome { ok, error, full, timeout, connect_failed, reset, cancelled, moot };
 
-// A load report: values in the order of Settings::report_fields; empty when none came along.
+// The values of a load report in the order of Settings::report_fields; empty: the event carries no report.
 using Report = std::vector<float>;
 
 struct AttemptEnd {
     RequestId request = 0;
-    int attempt = 0;  // attempts of a request are numbered from 0 in the order of submit()
+    int attempt = 0;  // the attempts of a request are numbered from 0 in the order of their submit() calls
     Outcome outcome = Outcome::ok;
-    bool closed = false;  // the request has had its final answer
+    bool closed = false;  // the client has received the final answer, or its beginning
     Micros latency{};
     UpstreamId upstream = 0;
     Report report;
@@ -240,46 +254,54 @@
     Report report;
 };
 
-// ----------------------------------------------------------------------------------------------- actions
+// --- Actions ---
 
-// What a Policy asks of its host. Actions are carried out in the order in which they are called.
+// The actions that a Policy requests from its host, which carries them out in the order of the calls.
 class Actions {
 public:
     virtual ~Actions() = default;
-    virtual void submit(RequestId request, UpstreamId upstream, Micros timeout) = 0;  // 0: till the deadline
-    virtual void refuse(RequestId request, Micros retry_after) = 0;                   // 0: no advice
+    // Sends an attempt of the request to the upstream. `timeout` zero: it may run until the deadline.
+    virtual void submit(RequestId request, UpstreamId upstream, Micros timeout) = 0;
+    // Answers the client that the request was rejected and that a retry is harmless. `retry_after` zero: no
+    // delay is advised.
+    virtual void refuse(RequestId request, Micros retry_after) = 0;
+    // Answers the client that the request failed. It may have been executed.
     virtual void fail(RequestId request) = 0;
     virtual void cancel(RequestId request, int attempt) = 0;
     virtual void probe(UpstreamId upstream) = 0;
+    // Calls on_timer() with the token at the time.
     virtual void set_timer(Time at, std::uint64_t token) = 0;
-    virtual void watch() = 0;                          // subscribe to changes of the list
-    virtual void unwatch() = 0;                        // end the subscription
-    virtual void fetch() = 0;                          // ask for the whole list once
-    virtual void close_idle(UpstreamId upstream) = 0;  // give back connections that carry nothing now
-    virtual void tell(std::optional<int> peer,
-                      std::string_view payload) = 0;  // a balancer by rank, or all others
+    virtual void watch() = 0;                          // subscribes to changes of the upstream list
+    virtual void unwatch() = 0;                        // ends the subscription
+    virtual void fetch() = 0;                          // requests the whole upstream list once
+    virtual void close_idle(UpstreamId upstream) = 0;  // closes the idle connections to the upstream
+    // Sends a message to the balancer of that rank, or without one to all other balancers.
+    virtual void tell(std::optional<int> peer, std::string_view payload) = 0;
     virtual void log(std::string_view line) = 0;
 };
 
-// ------------------------------------------------------------------------------------------------ policy
+// --- Policy ---
 
+// Decides where and when the attempts of every request go, from the events that the host reports.
 class Policy {
 public:
-    // Throws std::invalid_argument, naming the setting, when the settings contradict themselves.
+    // Throws std::invalid_argument, which names the setting, if the settings are inconsistent.
     Policy(const Settings& settings, std::uint64_t seed, Time now, Actions& actions);
     ~Policy();
     Policy(Policy&&) noexcept;
     Policy& operator=(Policy&&) noexcept;
 
-    // New settings while requests run; later events follow them (class and tenant indices, report fields).
-    // Throws like the constructor, and then nothing has changed. What was learned is kept where it still
-    // holds: of upstreams, and of classes and tenants that the new settings name again (a class: with the
-    // same effect and group). Names should differ among themselves. A request that is open keeps its class,
-    // wherever that stands now: if it is gone, the request still runs to its one answer under the effect,
-    // group and window that it came with. Of a window that changed the shorter counts for it.
+    // Replaces the settings, also while requests are open. Class and tenant indices and report fields of
+    // later events refer to the new settings. Throws like the constructor; the Policy is then unchanged. What
+    // was learned about upstreams stays, and so does what was learned about classes and tenants that the new
+    // settings name again (a class only with the same effect and group). Names should be unique. An open
+    // request keeps its class, also if the index of the class changes. If the new settings lack the class,
+    // the request still runs to its final answer under the effect, group and window that it arrived with. If
+    // the class's window changes, the shorter one applies to the request.
     void on_settings(Time now, const Settings& settings);
 
-    // The first list should be of kind `cached`. A `failed` one carries no entries. Versions only grow.
+    // Applies an update of the upstream list. The first update should be of kind `cached`. An update of kind
+    // `failed` carries no entries. Versions must not decrease.
     void on_list(Time now, ListKind kind, const std::vector<UpstreamEntry>& entries,
                  std::uint64_t version = 0);
     void on_request(Time now, const Request& request);
@@ -288,9 +310,11 @@
     void on_client_gone(Time now, RequestId request);
     void on_probe_result(Time now, const ProbeResult& result);
     void on_timer(Time now, std::uint64_t token);
-    void on_message(Time now, int from, std::string_view payload);  // from the balancer of that rank
+    void on_message(Time now, int from, std::string_view payload);  // `from`: rank of the sending balancer
 
-    std::optional<UpstreamMemory> learned(UpstreamId upstream) const;  // of one that is or was listed
+    // Returns what was learned about an upstream that is listed, or was and has not been forgotten; else
+    // nothing.
+    std::optional<UpstreamMemory> learned(UpstreamId upstream) const;
 
 private:
     class Impl;
