--- a/src/policy/decide.cpp
+++ b/src/policy/decide.cpp
@@ -1,18 +1,27 @@
-// The decisions of flaxdoor. Types, events and actions: include/flaxdoor/decide.h.
+// The implementation of the decision module. The interface is in include/flaxdoor/decide.h.
 //
-// A map for the reader. The ordinary path of a request, in the design's own words:
-//   on_request      -> send_original: two random ready upstreams of the zone, fewer of ours in flight wins;
-//                      spill when under half of the zone is ready or every candidate's delay exceeds T1
-//   on_attempt_end  -> a failure waits out its gap (T1, doubling), then send_retry: a fresh pair without the
-//                      failed upstream, better first, then the others of the zone; each passes with chance p
-//   p               -> falls from 1 to 0 as the upstream's smoothed delay rises from 0.2 T1 to T1
-// Two exceptions shape what one of many balancers does: it places its work in a share of the zone
-// (share_size), and all of its attempts together have a room, which may be less than one (learn_room,
-// room_used). Sections, in order: 1 registry, 2 delay estimate and gate, 3 choosing an upstream, 4 attempt
-// life and retries, 5 health, 6 cold budget, 7 refusal. The rules that may never be broken stand in one
-// function each:
-//   may_send (rules 1 and 2), may_get_new_work (rules 3 and 4), may_refuse (rule 2), close_idle (rule 5).
-// Every send passes `submit`.
+// The path of a request:
+//   on_request      calls send_original: two random usable upstreams of the balancer's zone are drawn, and
+//                   the one with fewer attempts of this balancer in flight gets the request. The request
+//                   spills over to other zones if less than half of the zone is usable, or if the smoothed
+//                   delay of every candidate exceeds the retry timeout.
+//   on_attempt_end  after a failure waits a back-off, which starts at the retry timeout and doubles, and
+//                   calls send_retry: two upstreams are drawn again, without the one that failed last. They
+//                   and then the other candidates of the zone are tried in order until one admits the retry.
+//   admits_retry    admits a retry with a probability that falls from 1 to 0 as the upstream's smoothed delay
+//                   rises from 0.2 to 1 retry timeout.
+//
+// With many balancers, each one sends only to its subset of the zone (subset_size) and keeps all its attempts
+// within a concurrency limit, which may be less than one attempt (update_concurrency_limit,
+// concurrency_limit_reached).
+//
+// Invariants:
+//   1. A request gets one final answer, in time, and is sent only while it is open: may_send.
+//   2. No effect is executed twice, and a refusal promises that a retry is harmless: may_send, may_refuse.
+//   3. A draining, gone or unlisted upstream gets no new work: may_get_new_work.
+//   4. A cold upstream gets no more work than it can do: may_get_new_work.
+//   5. Idle connections to a draining upstream are closed: close_idle.
+// Every attempt is sent by submit.
 #include "flaxdoor/decide.h"
 
 #include <algorithm>
@@ -25,87 +34,175 @@
 
 namespace {
 
-// ------------------------------------------------------------------------------------------- constants
-constexpr double delay_weight = 0.1;  // w_q: least weight of a new delay sample, the paper's value
-constexpr double gate_low = 0.2;      // q_min as a share of T1: below it every retry passes
-constexpr double gate_high = 1.0;     // q_max as a share of T1: above it none does
-constexpr double copy_share = 0.03;   // of both, for a copy of one that runs (0.1 to 1 tried)
-constexpr double t1_deviations = 4;   // T1 = usual latency + so many mean deviations, as TCP's timer does,
-constexpr double t1_least = 0.25;     //   but at least this share of the aim
-constexpr double t1_most = 0.8;       //   and at most this one (0.5: retries far too early; 1: no better)
-constexpr double latency_weight = 1.0 / 64;  // weight of one answer in the usual latency of a class
-constexpr int max_strikes = 4;               // failures in a row that put an upstream out
-constexpr int hard_strikes = 2;              // a failed connection counts so many
-constexpr double lost_weight = 0.2;          // of an outcome in the share of a class that an upstream loses
-constexpr double lost_share = 0.5;         // that puts it out for the class alone (0.4 tried: grey ones too)
-constexpr double lost_more = 2;            //   if it is so many times what the class loses on the whole
-constexpr double penalty_growth = 2;       // each further time out is so much longer
-constexpr double share_of_ramp_out = 0.5;  // longest time out, as a share of the ramp time
-// What may be in flight at one upstream: attempts, learned.
-constexpr double limit_growth = 1.0 / 32;  // step up by an answer at the limit, down by one from a crowd
-// What all of ours may be: cut from so many base latencies (1.8 tried: refusals; 2.3 for many: jams).
-constexpr double most_crowding = 2, most_crowding_alone = 2.6;
-constexpr double crowding_weight = 1.0 / 32;  // weight of an answer in that (1/16: false cuts; 1/64: late)
-constexpr double crowding_cap = 4;            // the most that one counts for (3, 6 tried)
-constexpr double full_crowding = 6;   // of a full refusal or time-out (4: jams stay; 15: quiet days refused)
-constexpr double room_cut = 0.7;      // what a cut leaves (0.5, 0.8 tried)
-constexpr double room_growth = 0.25;  // step up, shared as below (0.12, 0.5, 1 tried)
-constexpr double crowd = 3;  // an answer that took so many base latencies comes from a crowd (2 tried)
-constexpr double base_guess = 1.0 / 3;  // of the aim: base latency of a class before it is known
-constexpr double base_creep = 3e-4;     // rise of the base latency by an answer (1e-3 tried: learns jams)
-constexpr double aim_margin = 0.5;   // of the time from a lone latency to the aim, to wait (0.35, 0.7 tried)
-constexpr double most_lone = 0.75;   // of the aim, what a lone latency may take (0.5 tried: starves)
-constexpr double least_slope = 0.5;  // flattest line of latency over our own load, as a share of proportion
-// Of a denser class's aim, what others may use at least (0.25 tried; 0.6 with many balancers: overload tips).
-constexpr double least_patience = 0.5, least_patience_alone = 0.75;
-constexpr double clear_lead = 0.05;  // of T1: by so much one must cost less to come first of a pair
-constexpr std::size_t at_once = 2;   // first attempts after which what never ran waits no gap (1 tried)
-// A balancer's share of a zone.
-constexpr double hearings = 8;                 // answers that it should get from each before it forgets
-constexpr double coverage = 2;                 // shares that an upstream should be in at least
-constexpr std::size_t key_shares = 3;          // so many shares where keys draw the pair (1, 2, all tried)
-constexpr double golden = 0.6180339887498949;  // turns of the ring from one rank's place to the next: even
-constexpr std::size_t least_share = 4;         // upstreams, so that a pair has a choice when some are out
-// How long an idle connection is trusted: by age, in steps that double.
-constexpr std::size_t ages = 8;       // steps
-constexpr double youngest = 1.0 / 8;  // of the longest T1: end of the first step
-constexpr double age_weight = 0.1;    // of an outcome in the share of its step that got no answer (0.2 tried:
-                                      //   false limits)
-constexpr double stale_share = 0.3;   // of a step that got no answer: it is stale (0.4 tried: late), unless a
-constexpr double young_share = 0.3;   //   younger one has so much of that: it is not the connections then
-constexpr double dear_share = 0.1;    // of new connections that fail: keep to open ones (0.25 tried: late)
-constexpr double stale_t1s = 32;      // a step is tried again after so many longest T1s
-// Time constants, in longest T1s or as shares of told times.
-constexpr double decay_t1s = 4;    // without news, delay and what goes with it decay over so many
-constexpr double news_t1s = 1;     // for a copy, news of an upstream counts so long (4: copies still cost)
-constexpr double silence_t1s = 2;  // an upstream that answers nothing for so many is silent
-// Of the aim, before which a gap may end that an original waits out: in a jam, and else (1 tried: no better).
-constexpr double early_share_jam = 0.5, early_share = 0.8;
-constexpr double early_most = 0.45;  // of the client's time: to be refused later, unsent, costs it more
-constexpr double beat_t1s = 0.25;    // gap between beats, by which a stall of our own is seen
-constexpr double left_creep = 1e-3;  // fall, by a request, of the longest time that clients leave us
-constexpr double ask_share = 0.1;    // of ask_within: first gap after a failed call, and spread at start
-constexpr Micros ask_most = std::chrono::seconds(2);  // longest: what could be heard counts as told 6 s later
-constexpr Micros share_span = std::chrono::seconds(4);  // that a tenant may save up (1 to 15 tried)
-constexpr Micros log_gap = std::chrono::seconds(1);
+// --- Constants ---
+
+// "Retry timeout" below is the time after which an attempt of a class counts as overdue: the timer of the
+// attempt and the first back-off, see update_retry_timeout. Several constants are multiples of the longest
+// one over all classes.
+
+// Least weight of a new sample in an upstream's smoothed delay: the published w_q of the retry admission
+// algorithm.
+constexpr double delay_weight = 0.1;
+// Every retry is admitted while the upstream's smoothed delay is below this fraction of the retry timeout
+// (q_min of the retry admission algorithm).
+constexpr double retry_admission_low = 0.2;
+// No retry is admitted while the delay is above this fraction of the retry timeout (q_max).
+constexpr double retry_admission_high = 1.0;
+// Factor on both bounds for a hedge, which adds work while the first attempt still runs.
+constexpr double hedge_admission_factor = 0.03;
+// The retry timeout is the usual latency plus this many mean deviations, like TCP's retransmission timeout.
+constexpr double retry_timeout_deviations = 4;
+// Bounds of the retry timeout, as fractions of the class's aim. A lower upper bound retries far too early.
+constexpr double min_retry_timeout_share = 0.25;
+constexpr double max_retry_timeout_share = 0.8;
+// Weight of one answer in the usual latency of a class.
+constexpr double latency_weight = 1.0 / 64;
+// Consecutive failures after which an upstream is ejected.
+constexpr int failures_to_eject = 4;
+// Number of failures that a failed connection counts as.
+constexpr int connect_failure_weight = 2;
+// Weight of one outcome in the fraction of a class's attempts that an upstream loses.
+constexpr double class_loss_weight = 0.2;
+// An upstream is ejected for one class if it loses more than this fraction of the class's attempts. A lower
+// bound also ejects upstreams that fail only now and then.
+constexpr double class_ejection_loss = 0.5;
+// The loss must also exceed this multiple of the loss of the class over all upstreams.
+constexpr double class_ejection_ratio = 2;
+// Factor from one ejection time to the next.
+constexpr double ejection_growth = 2;
+// Longest ejection time, as a fraction of the warm-up time.
+constexpr double max_ejection_share = 0.5;
+
+// --- Constants of the concurrency limits ---
+
+// Step of an upstream's concurrency limit, in attempts: it grows with an answer at the limit and shrinks with
+// an answer from a congested upstream.
+constexpr double upstream_limit_step = 1.0 / 32;
+// The concurrency limit of this balancer is cut when the smoothed latency exceeds this multiple of the base
+// latency; with many balancers, and with a single one. Lower thresholds reject requests needlessly. A higher
+// one with many balancers leaves congestion in place.
+constexpr double max_congestion = 2, max_congestion_single = 2.6;
+// Weight of one answer in the smoothed latency ratio. A larger weight causes spurious cuts, a smaller one
+// late cuts.
+constexpr double congestion_weight = 1.0 / 32;
+// Largest latency ratio that one answer counts as.
+constexpr double max_congestion_sample = 4;
+// Latency ratio that a rejection or a time-out counts as. A smaller one leaves congestion in place, a larger
+// one rejects requests under light load.
+constexpr double rejection_congestion = 6;
+// Factor on the concurrency limit at a cut.
+constexpr double concurrency_limit_cut = 0.7;
+// Step by which the concurrency limit grows for each limit's worth of answers, in attempts per upstream over
+// all balancers.
+constexpr double concurrency_limit_growth = 0.25;
+// An answer with a latency above this multiple of the base latency comes from a congested upstream.
+constexpr double congested_latency = 3;
+// Base latency of a class before it is known, as a fraction of the aim.
+constexpr double base_latency_guess = 1.0 / 3;
+// Relative rise of the base latency per answer. A faster rise learns the latencies of congestion as base
+// latencies.
+constexpr double base_latency_drift = 3e-4;
+// Fraction of the time between the unloaded latency and the aim that a request may spend queued.
+constexpr double queueing_margin = 0.5;
+// Largest fraction of the aim that the unloaded latency may take. A lower bound leaves usable upstreams
+// without requests.
+constexpr double max_unloaded_latency = 0.75;
+// Flattest slope of an upstream's latency over this balancer's attempts there, as a fraction of
+// proportionality.
+constexpr double min_latency_slope = 0.5;
+// Least fraction that a class may use of what a class with a higher worth density needs (its aim, the
+// concurrency limits); with many balancers, and with a single one. With many balancers a larger fraction
+// makes an overload escalate.
+constexpr double min_class_share = 0.5, min_class_share_single = 0.75;
+// Of a pair of candidates with equally many attempts, the second one comes first only if it costs less by
+// this fraction of the retry timeout.
+constexpr double min_cost_advantage = 0.05;
+// A request that was not executed is retried without a back-off after this number of attempts or fewer.
+constexpr std::size_t immediate_retries = 2;
+
+// --- Constants of the subset of a zone that one balancer uses ---
+
+// Number of answers that a balancer should get from each upstream of its subset within the decay time.
+constexpr double answers_per_upstream = 8;
+// Least number of balancers' subsets that each upstream should be in.
+constexpr double subsets_per_upstream = 2;
+// Number of subsets that a request may use where its key chooses the upstream.
+constexpr std::size_t key_subsets = 3;
+// Distance on the ring between the positions of consecutive ranks, in turns. It spreads any number of
+// positions evenly.
+constexpr double inverse_golden_ratio = 0.6180339887498949;
+// Least size of a subset, in upstreams, so that there is a choice of two while some are ejected.
+constexpr std::size_t min_subset_size = 4;
+
+// --- Constants of idle connections, whose outcomes are counted by age in steps that double ---
+
+constexpr std::size_t connection_age_steps = 8;
+// End of the first step, as a fraction of the longest retry timeout.
+constexpr double first_age_step = 1.0 / 8;
+// Weight of one outcome in the fraction of its step that got no answer, and in the fraction of new
+// connections that failed. A larger weight finds stale connections where there are none.
+constexpr double connection_outcome_weight = 0.1;
+// The connections of a step are stale if this fraction of the attempts on them got no answer. A higher bound
+// detects them late.
+constexpr double stale_connection_loss = 0.3;
+// The connections of a step are not stale if a younger step lost more than this fraction of what the step
+// lost: then the upstream is at fault, not the age of its connections.
+constexpr double young_connection_loss = 0.3;
+// While more than this fraction of new connections fail, requests stay where a connection is open. A higher
+// bound reacts late.
+constexpr double connect_failure_share = 0.1;
+// Decay time of what was learned about a step, in longest retry timeouts: connections of a stale step are
+// used again after it.
+constexpr double long_decay_timeouts = 32;
+
+// --- Time constants ---
+
+// Decay time of an upstream's delay and of related values, in longest retry timeouts.
+constexpr double decay_timeouts = 4;
+// A hedge goes only to an upstream whose delay was sampled within this many longest retry timeouts. With a
+// longer time, hedges still add load.
+constexpr double recent_delay_timeouts = 1;
+// An upstream is silent if it answers nothing for this many longest retry timeouts.
+constexpr double silence_timeouts = 2;
+// An original that finds no upstream waits while its back-off ends within this fraction of the aim; while the
+// concurrency limit is reached, and otherwise.
+constexpr double wait_share_at_limit = 0.5, wait_share = 0.8;
+// It waits at most this fraction of its client's time: a later rejection leaves the client less time to ask
+// elsewhere.
+constexpr double wait_share_of_client_time = 0.45;
+// Interval of the timer that detects stalls of this process, in longest retry timeouts.
+constexpr double stall_check_timeouts = 0.25;
+// Relative decrease, per request, of the longest remaining time that the requests of a class arrive with.
+constexpr double max_time_left_drift = 1e-3;
+// Fraction of ask_within that is the first delay after a failed list request, and over which balancers spread
+// their first requests.
+constexpr double list_request_share = 0.1;
+// Longest delay after a failed list request: a balancer must act on a change within 6 s of the time at which
+// it could have received it.
+constexpr Micros max_list_request_delay = std::chrono::seconds(2);
+// Time over which a tenant may accumulate unused quota.
+constexpr Micros tenant_burst_span = std::chrono::seconds(4);
+constexpr Micros min_log_interval = std::chrono::seconds(1);
 
 double us(Micros span) { return static_cast<double>(span.count()); }
 Micros micros(double us) { return Micros(std::llround(us)); }
 
-// A learned value that is forgotten as time goes by.
-struct Fading {
+// A learned value that decays exponentially over time.
+struct DecayingValue {
     double value = 0;
-    Time at{};
+    Time updated_at{};
 
-    double now(Time now, double span_us) const { return value * std::exp(-us(now - at) / span_us); }
-    void learn(double sample, double weight, Time when, double span_us) {
-        value = now(when, span_us);
+    double decayed(Time now, double time_constant_us) const {
+        return value * std::exp(-us(now - updated_at) / time_constant_us);
+    }
+    void update(double sample, double weight, Time now, double time_constant_us) {
+        value = decayed(now, time_constant_us);
         value += weight * (sample - value);
-        at = when;
+        updated_at = now;
     }
 };
 
-// SplitMix64: small, own, the same on every platform.
+// The SplitMix64 generator: the same sequence on every platform.
 class Random {
 public:
     explicit Random(std::uint64_t seed) : state_(seed) {}
@@ -122,102 +219,116 @@
     std::uint64_t state_;
 };
 
-// Buckets fill as time goes by, up to `most`. Is there a token to spend?
-bool fill(TokenBucket& bucket, double gained, double most, Time now) {
-    bucket.tokens = std::min(most, bucket.tokens + gained);
+// Adds the gained tokens, up to the capacity. Returns whether a token is available.
+bool refill(TokenBucket& bucket, double gained_tokens, double capacity, Time now) {
+    bucket.tokens = std::min(capacity, bucket.tokens + gained_tokens);
     bucket.filled_at = now;
     return bucket.tokens >= 1;
 }
 
-// What an upstream does for one class.
-struct Service {
-    double lost = 0;  // smoothed share that got an error or no answer
-    Time out_until{};
+// How an upstream serves one class.
+struct ClassHealth {
+    double loss = 0;  // smoothed fraction of attempts that ended in an error or without an answer
+    Time ejected_until{};
 };
 
+// What this Policy knows about one upstream.
 struct Upstream : UpstreamMemory {
     UpstreamEntry entry;
-    std::vector<Service> services;             // by class
-    std::vector<std::size_t>* ring = nullptr;  // of its zone, or of the other ones, while it is listed
-    int in_flight = 0;                         // attempts of ours
-    bool linked = false;                       // an attempt that ended may have left a connection there
-    bool refused = false;                      // the last attempt that ended there got no connection
-    Time idle_since{};                         // when the last outcome came from there
-
-    Fading delay_us;         // q_avg
-    double per_held_us = 0;  // learned: time that each request it reports as held adds, 1 / rate
-    Fading full;             // of attempts, those turned away as full
-
-    bool trial = false;  // a probe or a trial request is under way
-    Micros penalty{};
-    Time busy_since{};  // when in_flight last rose from zero
-
-    std::shared_ptr<ColdAccount> cold = std::make_shared<ColdAccount>();  // its own, unless one was told
-    Fading answer_rate;                                                   // our answers a second
+    std::vector<ClassHealth> class_health;  // by class index
+    // The ring of the home zone or of all other zones while the upstream is listed, else null.
+    std::vector<std::size_t>* ring = nullptr;
+    int in_flight = 0;                 // attempts of this balancer
+    bool connected = false;            // an attempt that ended may have left a connection open
+    bool last_connect_failed = false;  // the last attempt that ended got no connection
+    Time last_outcome_at{};            // zero: none yet
+
+    DecayingValue delay_us;        // smoothed delay (q_avg of the retry admission algorithm)
+    double delay_per_held_us = 0;  // delay per request that the upstream reports as held (1 / its rate)
+    DecayingValue rejection_rate;  // fraction of attempts that the upstream rejected as full
+
+    bool probing = false;         // a probe is in flight
+    Micros next_ejection_time{};  // duration of the next ejection
+    Time busy_since{};            // when in_flight last rose from zero
+
+    // This Policy's own, unless an entry of the list brings a shared one.
+    std::shared_ptr<ColdAccount> slow_start = std::make_shared<ColdAccount>();
+    DecayingValue answer_rate;  // answers to this balancer per second
 };
 
+// An attempt of an open request.
 struct Attempt {
     std::size_t upstream = 0;
-    int zone = 0, cell = 0;  // of the upstream then: a name that moves leaves behind what it ran
+    // Of the upstream at the time of sending. Its name may move to another zone or cell later, but the
+    // attempt executed here.
+    int zone = 0, cell = 0;
     Time sent_at{};
-    int ours = 1;         // attempts of ours at the upstream then, this one included
-    bool first = false;   // no connection was open there
-    std::size_t age = 0;  // step of the age of the idle connection that it was sent on
+    int own_in_flight = 1;  // attempts of this balancer at the upstream when sent, including this one
+    bool opened_connection = false;  // no connection to the upstream was open
+    std::size_t connection_age = 0;  // age step of the idle connection that carried it
     bool in_flight = true;
-    bool may_have_run = true;  // until its outcome proves otherwise
+    bool may_have_executed = true;  // until the outcome shows that it was not executed
 };
 
-struct Open {
+// A request without a final answer, or with attempts in flight.
+struct OpenRequest {
     Request request;
     Time arrived_at{};
     std::vector<Attempt> attempts;
     int in_flight = 0;
-    int round = 0;           // gaps used: the next one is T1 * 2^round
-    Micros window{};         // of its class, the shortest while it was open
-    std::uint32_t wake = 0;  // serial of the only timer that counts
-    bool done = false;       // final answer given or client gone
-    double worth = 1;        // as a share of its class's: less beyond its tenant's share
+    int backoffs = 0;       // number of back-offs so far: the next one lasts retry timeout * 2^backoffs
+    Micros dedup_window{};  // the shortest that its class had while the request was open
+    std::uint32_t timer_serial = 0;  // serial number of the only timer that is still valid
+    bool finished = false;           // the final answer was given, or the client is gone
+    double worth_factor = 1;         // factor on the class's worth, lower beyond the tenant's share
 };
 
+// What this Policy has learned about one class.
 struct ClassState {
-    double left_us = 0;  // the longest time left that requests come with
-    double lost = 0;     // smoothed share of its attempts that got an error or no answer
+    double max_time_left_us = 0;  // longest time left until the deadline that its requests arrive with
+    double loss = 0;              // smoothed fraction of attempts that ended in an error or without an answer
     double latency_us = 0;
     double deviation_us = 0;
     double answers = 0;
-    double t1_us = 0;
-    double base_us = 0;  // latency without a crowd: the least that the usual one has been, creeping upwards
+    double retry_timeout_us = 0;
+    // Latency without congestion: the minimum of the usual latency, slowly rising.
+    double base_latency_us = 0;
 };
 
-constexpr std::size_t none = static_cast<std::size_t>(-1);
-enum class TimerKind : std::uint64_t { wake = 1, ask = 2, beat = 3 };
+constexpr std::size_t no_index = static_cast<std::size_t>(-1);
+enum class TimerKind : std::uint64_t { retry = 1, list_request = 2, stall_check = 3 };
 
-std::uint64_t token_of(TimerKind kind, std::uint64_t slot, std::uint32_t serial) {
+std::uint64_t timer_token(TimerKind kind, std::uint64_t slot, std::uint32_t serial) {
     return static_cast<std::uint64_t>(kind) << 60 | slot << 32 | serial;
 }
 
-bool same(const TenantSettings& a, const TenantSettings& b) { return a.name == b.name; }
-bool same(const ClassSettings& a, const ClassSettings& b) {
-    return a.name == b.name && a.effect == b.effect && a.group == b.group;
+bool same_identity(const TenantSettings& left, const TenantSettings& right) {
+    return left.name == right.name;
+}
+bool same_identity(const ClassSettings& left, const ClassSettings& right) {
+    return left.name == right.name && left.effect == right.effect && left.group == right.group;
 }
 
-// Where a list has the same one; its size if it has none.
+// Returns the index of the item with the same identity; the list's size if there is none.
 template <typename Named>
-std::size_t place_of(const Named& one, const std::vector<Named>& list) {
-    const auto found =
-        std::find_if(list.begin(), list.end(), [&](const auto& each) { return same(each, one); });
+std::size_t index_of(const Named& item, const std::vector<Named>& list) {
+    const auto found = std::find_if(list.begin(), list.end(),
+                                    [&](const auto& candidate) { return same_identity(candidate, item); });
     return static_cast<std::size_t>(found - list.begin());
 }
 
-// What was learned of those in `old`, for the same ones in `next`; the others start fresh.
+// Returns the states for the updated items: the previous state of each item that was there before, else
+// `initial`.
 template <typename Named, typename State>
-std::vector<State> carried(const std::vector<Named>& old, const std::vector<Named>& next,
-                           const std::vector<State>& learned, const State& fresh) {
-    std::vector<State> states(next.size(), fresh);
-    for (std::size_t i = 0; i < next.size(); ++i) {
-        if (const std::size_t from = place_of(next[i], old); from < old.size()) states[i] = learned[from];
-    }
-    return states;
+std::vector<State> carry_over(const std::vector<Named>& previous, const std::vector<Named>& updated,
+                              const std::vector<State>& previous_states, const State& initial) {
+    std::vector<State> updated_states(updated.size(), initial);
+    for (std::size_t index = 0; index < updated.size(); ++index) {
+        if (const std::size_t previous_index = index_of(updated[index], previous);
+            previous_index < previous.size())
+            updated_states[index] = previous_states[previous_index];
+    }
+    return updated_states;
 }
 
 }  // namespace
@@ -229,1085 +340,1249 @@
         on_settings(now, settings);
     }
 
-    // A class that is gone but held by open requests stays, behind those that are listed, for them alone.
+    // A class that the new settings lack but an open request uses is kept behind the listed classes, for such
+    // requests only.
     void on_settings(Time now, const Settings& settings) {
         check_settings(settings);
-        Settings next = settings;
-        for (const auto& [id, slot] : by_id_) {
-            Open& r = open_[slot];
-            const std::size_t c = place_of(s_.classes[class_of(r)], next.classes);
-            if (c == next.classes.size()) next.classes.push_back(s_.classes[class_of(r)]);
-            r.request.class_index = static_cast<int>(c);
-            r.window = std::min(r.window, next.classes[c].window);
+        Settings updated = settings;
+        for (const auto& [id, slot] : slot_by_request_) {
+            OpenRequest& open = open_requests_[slot];
+            const std::size_t class_index =
+                index_of(settings_.classes[class_index_of(open)], updated.classes);
+            if (class_index == updated.classes.size())
+                updated.classes.push_back(settings_.classes[class_index_of(open)]);
+            open.request.class_index = static_cast<int>(class_index);
+            open.dedup_window = std::min(open.dedup_window, updated.classes[class_index].window);
         }
-        classes_ = carried(s_.classes, next.classes, classes_, {});
-        for (auto& u : upstreams_) u.services = carried(s_.classes, next.classes, u.services, {});
-        shares_ = carried(s_.tenants, next.tenants, shares_, TokenBucket{0, now - share_span});
-        listed_ = settings.classes.size();
-        s_ = std::move(next);
-        for (std::size_t c = 0; c < classes_.size(); ++c) update_t1(c);
-        if (beat_serial_ == 0) beat(now);
-        if (s_.must_ask_list) {
-            // Instances that start together ask one after another.
-            const double spread = ask_share * us(s_.ask_within) * s_.rank / s_.balancers;
-            set_ask_timer(now + micros(spread));
+        class_states_ = carry_over(settings_.classes, updated.classes, class_states_, {});
+        for (auto& upstream : upstreams_)
+            upstream.class_health = carry_over(settings_.classes, updated.classes, upstream.class_health, {});
+        tenant_buckets_ = carry_over(settings_.tenants, updated.tenants, tenant_buckets_,
+                                     TokenBucket{0, now - tenant_burst_span});
+        listed_classes_ = settings.classes.size();
+        settings_ = std::move(updated);
+        for (std::size_t class_index = 0; class_index < class_states_.size(); ++class_index)
+            update_retry_timeout(class_index);
+        if (stall_check_serial_ == 0) schedule_stall_check(now);
+        if (settings_.must_ask_list) {
+            // Balancers that start together request the list one after another.
+            const double spread =
+                list_request_share * us(settings_.ask_within) * settings_.rank / settings_.balancers;
+            set_list_timer(now + micros(spread));
         }
-        settle_all();
+        refresh_upstreams();
     }
 
-    // ------------------------------------------------------------------------------------ 1. registry
+    // --- Upstream list ---
 
     void on_list(Time now, ListKind kind, const std::vector<UpstreamEntry>& entries) {
         if (kind == ListKind::failed) {
-            if (!s_.must_ask_list) return;
-            // The call failed or the subscription dropped: ask again after a growing gap.
+            if (!settings_.must_ask_list) return;
+            // The request failed or the subscription ended: request the list again after a growing delay.
             subscribed_ = false;
-            const double first = ask_share * us(s_.ask_within);
-            ask_gap_us_ = std::min(std::max(ask_gap_us_ * 2, first), us(ask_most));
-            set_ask_timer(now + micros(ask_gap_us_ * (0.5 + 0.5 * random_.unit())));
+            const double min_delay = list_request_share * us(settings_.ask_within);
+            list_request_delay_us_ =
+                std::min(std::max(list_request_delay_us_ * 2, min_delay), us(max_list_request_delay));
+            set_list_timer(now + micros(list_request_delay_us_ * (0.5 + 0.5 * random_.unit())));
             return;
         }
         if (kind != ListKind::cached) {
-            subscribed_ = asked_;
-            ask_gap_us_ = 0;
-            fresh_ = true;
+            subscribed_ = list_requested_;
+            list_request_delay_us_ = 0;
+            list_is_current_ = true;
         }
         if (kind != ListKind::delta) {
-            for (auto& u : upstreams_) u.entry.state = UpstreamState::gone;  // unless the list names it
+            for (auto& upstream : upstreams_)
+                upstream.entry.state = UpstreamState::gone;  // unless the list names it below
         }
-        for (const auto& entry : entries) learn(now, entry, kind);
-        if (kind != ListKind::delta) settle_all();  // those that have left
+        for (const auto& entry : entries) apply_entry(now, entry, kind);
+        if (kind != ListKind::delta) refresh_upstreams();  // those that the list no longer names
     }
 
-    void settle_all() {  // after the list or the settings changed
-        for (std::size_t i = 0; i < upstreams_.size(); ++i) {
-            put_on_ring(i);
-            close_idle(upstreams_[i]);
+    // Applies a change of the list or of the settings to all upstreams.
+    void refresh_upstreams() {
+        for (std::size_t index = 0; index < upstreams_.size(); ++index) {
+            update_ring(index);
+            close_idle(upstreams_[index]);
         }
     }
 
-    // Any doubt counts, for rule 5.
-    static bool may_be_linked(const Upstream& u) { return u.linked || u.in_flight > 0; }
+    // Returns whether a connection may be open. Invariant 5 needs it to be true in doubt.
+    static bool may_be_connected(const Upstream& upstream) {
+        return upstream.connected || upstream.in_flight > 0;
+    }
 
-    // Rule 5: a draining upstream waits for its connections to end. Idle ones go with the notice, and those
-    // that an attempt still holds as soon as an outcome frees them; nothing is ever due later. Called on
-    // every notice and every outcome.
-    void close_idle(Upstream& u) {
-        if (s_.drain_close <= Micros{0} || u.entry.state == UpstreamState::ready || !may_be_linked(u)) return;
-        actions_.close_idle(u.entry.id);
-        u.linked = u.in_flight > 0;
+    // Invariant 5: a draining upstream waits for its connections to end. Idle connections are closed when the
+    // drain is notified, those in use by an attempt as soon as its outcome frees them. Called on every notice
+    // and every outcome, so nothing remains to be closed later.
+    void close_idle(Upstream& upstream) {
+        if (settings_.drain_close <= Micros{0} || upstream.entry.state == UpstreamState::ready ||
+            !may_be_connected(upstream))
+            return;
+        actions_.close_idle(upstream.entry.id);
+        upstream.connected = upstream.in_flight > 0;
     }
 
-    void learn(Time now, const UpstreamEntry& entry, ListKind kind) {
-        const bool added = index_.count(entry.id) == 0;
+    void apply_entry(Time now, const UpstreamEntry& entry, ListKind kind) {
+        const bool added = index_by_id_.count(entry.id) == 0;
         if (added && entry.state == UpstreamState::gone) return;
-        const std::size_t i = added ? free_place() : index_.at(entry.id);
-        index_[entry.id] = i;
-        Upstream& u = upstreams_[i];
-        const bool started = entry.started_at > u.entry.started_at;
-        u.entry = entry;
-        if (entry.cold && entry.cold != u.cold) {
-            if (u.cold->since > entry.cold->since) *entry.cold = *u.cold;  // what is cold stays cold
-            u.cold = entry.cold;
+        const std::size_t index = added ? allocate_upstream() : index_by_id_.at(entry.id);
+        index_by_id_[entry.id] = index;
+        Upstream& upstream = upstreams_[index];
+        const bool started = entry.started_at > upstream.entry.started_at;
+        upstream.entry = entry;
+        if (entry.cold && entry.cold != upstream.slow_start) {
+            if (upstream.slow_start->since > entry.cold->since)
+                *entry.cold = *upstream.slow_start;  // a known cold start is kept
+            upstream.slow_start = entry.cold;
         }
-        put_on_ring(i);
-        close_idle(u);
-        if (started) begin_cold(u, entry.started_at, now);
+        update_ring(index);
+        close_idle(upstream);
+        if (started) begin_slow_start(upstream, entry.started_at, now);
         if (added || (started && kind != ListKind::cached)) {
-            readmit(u);  // a new process: what the old one did says nothing of it
-            u.services.assign(classes_.size(), {});
-            u.delay_us.value = 0;
+            clear_ejection(upstream);  // a new process: the old one's failures do not apply
+            upstream.class_health.assign(class_states_.size(), {});
+            upstream.delay_us.value = 0;
         }
-        if (added && entry.memory) remember(u, *entry.memory, now);
+        if (added && entry.memory) restore(upstream, *entry.memory, now);
     }
 
-    // From before a start. Meanwhile it may have started anew: one that died comes back as if it had.
-    void remember(Upstream& u, const UpstreamMemory& memory, Time now) {
-        static_cast<UpstreamMemory&>(u) = memory;
-        out_ += u.out;
-        if (u.died) u.strikes = max_strikes + hard_strikes;
-        if (memory.cold_since > u.cold->since) begin_cold(u, memory.cold_since, now);
+    // Restores state learned before a restart of this program. The upstream may have restarted meanwhile, so
+    // one whose connections failed is treated as restarted when it is reinstated.
+    void restore(Upstream& upstream, const UpstreamMemory& memory, Time now) {
+        static_cast<UpstreamMemory&>(upstream) = memory;
+        ejected_count_ += upstream.out;
+        if (upstream.died) upstream.strikes = failures_to_eject + connect_failure_weight;
+        if (memory.cold_since > upstream.slow_start->since)
+            begin_slow_start(upstream, memory.cold_since, now);
     }
 
     std::optional<UpstreamMemory> learned(UpstreamId id) const {
-        const auto found = index_.find(id);
-        if (found == index_.end()) return std::nullopt;
+        const auto found = index_by_id_.find(id);
+        if (found == index_by_id_.end()) return std::nullopt;
         UpstreamMemory memory = upstreams_[found->second];
-        memory.cold_since = upstreams_[found->second].cold->since;
+        memory.cold_since = upstreams_[found->second].slow_start->since;
         return memory;
     }
 
-    // Guards against memory of all that ever were: the place of one that left and no open request remembers.
-    std::size_t free_place() {
-        std::vector<bool> held(upstreams_.size());
-        for (const auto& [id, slot] : by_id_) {
-            for (const auto& a : open_[slot].attempts) held[a.upstream] = true;
+    // Returns a free place in upstreams_. Reuses the place of an upstream that has left the list and that no
+    // open request refers to, so that memory does not grow with every upstream ever listed.
+    std::size_t allocate_upstream() {
+        std::vector<bool> referenced(upstreams_.size());
+        for (const auto& [id, slot] : slot_by_request_) {
+            for (const auto& attempt : open_requests_[slot].attempts) referenced[attempt.upstream] = true;
         }
-        for (std::size_t i = 0; i < upstreams_.size(); ++i) {
-            if (upstreams_[i].ring || held[i]) continue;
-            index_.erase(upstreams_[i].entry.id);
-            upstreams_[i] = {};
-            return i;
+        for (std::size_t index = 0; index < upstreams_.size(); ++index) {
+            if (upstreams_[index].ring || referenced[index]) continue;
+            index_by_id_.erase(upstreams_[index].entry.id);
+            upstreams_[index] = {};
+            return index;
         }
         upstreams_.emplace_back();
         return upstreams_.size() - 1;
     }
 
-    void ask(Time now) {
-        if (subscribed_ || !s_.must_ask_list) return;
-        asked_ = true;
+    void request_list(Time now) {
+        if (subscribed_ || !settings_.must_ask_list) return;
+        list_requested_ = true;
         actions_.watch();
-        set_ask_timer(now + s_.ask_within);  // should no answer come at all
+        set_list_timer(now + settings_.ask_within);  // in case no answer arrives
     }
 
-    void set_ask_timer(Time at) { actions_.set_timer(at, token_of(TimerKind::ask, 0, ++ask_serial_)); }
+    void set_list_timer(Time at) {
+        actions_.set_timer(at, timer_token(TimerKind::list_request, 0, ++list_timer_serial_));
+    }
 
-    // --------------------------------------------------------------------- 2. delay estimate and gate
+    // --- Delay estimate, concurrency limits and retry admission ---
 
-    // T1 of a class: well above its usual latency, below the usual time left.
-    void update_t1(std::size_t c) {
-        const double aim = us(s_.classes[c].aim);
-        ClassState& state = classes_[c];
-        const double usual = state.latency_us + t1_deviations * state.deviation_us;
-        state.t1_us = state.answers == 0 ? t1_most * aim : std::clamp(usual, t1_least * aim, t1_most * aim);
-        longest_t1_us_ = 0;
-        for (std::size_t d = 0; d < listed_; ++d)
-            longest_t1_us_ = std::max(longest_t1_us_, classes_[d].t1_us);
+    // Sets the retry timeout of a class, well above its usual latency and below its aim.
+    void update_retry_timeout(std::size_t class_index) {
+        const double aim = us(settings_.classes[class_index].aim);
+        ClassState& state = class_states_[class_index];
+        const double timeout = state.latency_us + retry_timeout_deviations * state.deviation_us;
+        state.retry_timeout_us = state.answers == 0 ? max_retry_timeout_share * aim
+                                                    : std::clamp(timeout, min_retry_timeout_share * aim,
+                                                                 max_retry_timeout_share * aim);
+        max_retry_timeout_us_ = 0;
+        for (std::size_t other = 0; other < listed_classes_; ++other)
+            max_retry_timeout_us_ = std::max(max_retry_timeout_us_, class_states_[other].retry_timeout_us);
     }
 
-    void learn_latency(std::size_t c, double latency_us) {
-        ClassState& state = classes_[c];
+    // Learns a class's usual latency and base latency from an answer.
+    void update_latency(std::size_t class_index, double latency_us) {
+        ClassState& state = class_states_[class_index];
         state.answers += 1;
         const double weight = std::max(latency_weight, 1 / state.answers);
         state.deviation_us += weight * (std::fabs(latency_us - state.latency_us) - state.deviation_us);
         if (state.answers == 1) state.deviation_us = latency_us / 2;
         state.latency_us += weight * (latency_us - state.latency_us);
-        const double base = knows_base(state) ? state.base_us * (1 + base_creep) : state.latency_us;
-        state.base_us = std::min(base, state.latency_us);
-        update_t1(c);
+        const double new_base =
+            base_latency_known(state) ? state.base_latency_us * (1 + base_latency_drift) : state.latency_us;
+        state.base_latency_us = std::min(new_base, state.latency_us);
+        update_retry_timeout(class_index);
     }
 
-    static bool knows_base(const ClassState& state) { return state.answers >= 1 / latency_weight; }
+    static bool base_latency_known(const ClassState& state) { return state.answers >= 1 / latency_weight; }
 
-    // Until it is known, the aim tells: a class can't be meant to be served in much more than this.
-    double base_us(std::size_t c) const {
-        return knows_base(classes_[c]) ? classes_[c].base_us : base_guess * us(s_.classes[c].aim);
+    // Returns the base latency of a class. Before it is known, the aim bounds it: a class is not meant to be
+    // served in much more than this.
+    double base_latency_us(std::size_t class_index) const {
+        return base_latency_known(class_states_[class_index])
+                   ? class_states_[class_index].base_latency_us
+                   : base_latency_guess * us(settings_.classes[class_index].aim);
     }
 
-    // q_avg now: without news it decays to zero, over a few of the longest T1.
-    double delay(const Upstream& u, Time now) const { return u.delay_us.now(now, decay_us()); }
+    // Returns the smoothed delay. Without new samples it decays to zero over a few of the longest retry
+    // timeouts.
+    double smoothed_delay_us(const Upstream& upstream, Time now) const {
+        return upstream.delay_us.decayed(now, decay_time_us());
+    }
 
-    double decay_us() const { return decay_t1s * longest_t1_us_; }
+    double decay_time_us() const { return decay_timeouts * max_retry_timeout_us_; }
 
-    void sample_delay(Upstream& u, double sample_us, Time now) {
-        const double gap = us(now - u.delay_us.at);
-        const double weight = std::max(delay_weight, 1 - std::exp(-gap / decay_us()));
-        u.delay_us = {u.delay_us.value + weight * (sample_us - u.delay_us.value), now};
+    void add_delay_sample(Upstream& upstream, double sample_us, Time now) {
+        const double elapsed_us = us(now - upstream.delay_us.updated_at);
+        const double weight = std::max(delay_weight, 1 - std::exp(-elapsed_us / decay_time_us()));
+        upstream.delay_us = {upstream.delay_us.value + weight * (sample_us - upstream.delay_us.value), now};
     }
 
-    void learn_capacity(Upstream& u, double latency_us, int ours, std::size_t c) {
-        const double weight = u.ours == 0 ? 1 : delay_weight;
-        u.latency_us += weight * (latency_us - u.latency_us);
-        u.ours += weight * (ours - u.ours);
-        if (ours == 1) u.idle_us += (u.idle_us == 0 ? 1 : delay_weight) * (latency_us - u.idle_us);
-        if (latency_us > crowd * base_us(c)) {
-            u.limit = std::max(1.0, std::min(u.limit, ours + 1.0) - limit_growth);
-            u.limited = true;
-        } else if (ours + 1 > u.limit) {
-            u.limit += u.limited ? limit_growth : 1;
+    // Learns an upstream's latency and concurrency limit from an answer.
+    void update_capacity(Upstream& upstream, double latency_us, int own_in_flight, std::size_t class_index) {
+        const double weight = upstream.ours == 0 ? 1 : delay_weight;
+        upstream.latency_us += weight * (latency_us - upstream.latency_us);
+        upstream.ours += weight * (own_in_flight - upstream.ours);
+        if (own_in_flight == 1)
+            upstream.idle_us += (upstream.idle_us == 0 ? 1 : delay_weight) * (latency_us - upstream.idle_us);
+        if (latency_us > congested_latency * base_latency_us(class_index)) {
+            upstream.limit =
+                std::max(1.0, std::min(upstream.limit, own_in_flight + 1.0) - upstream_limit_step);
+            upstream.limited = true;
+        } else if (own_in_flight + 1 > upstream.limit) {
+            upstream.limit += upstream.limited ? upstream_limit_step : 1;
         }
     }
 
-    // Guards against many balancers that each send just a little to every upstream and together jam them all:
-    // what all of ours in flight may be is cut while answers take twice their base latency, so that it can be
-    // less than one an upstream, and then grows by a step for each room of answers, as a TCP window does.
-    void learn_room(const AttemptEnd& end, std::size_t c, Time sent_at, Time now) {
-        room_ = room();
-        if (sent_at < cut_at_) return;  // sent before the last cut, it says nothing of the room since
-        double sample = full_crowding;
+    // Adapts the concurrency limit of this balancer, so that many balancers that each send a little to every
+    // upstream do not congest them together. The limit is cut while answers take a multiple of their base
+    // latency, and may fall below one attempt per upstream. Then it grows by a step for each limit's worth of
+    // answers, like a TCP congestion window.
+    void update_concurrency_limit(const AttemptEnd& end, std::size_t class_index, Time sent_at, Time now) {
+        concurrency_limit_ = concurrency_limit();
+        // The outcome of an attempt sent before the last cut says nothing about the new limit.
+        if (sent_at < limit_cut_at_) return;
+        double sample = rejection_congestion;
         if (end.outcome == Outcome::ok) {
-            sample = std::min(crowding_cap, us(end.latency) / std::max(1.0, base_us(c)));
+            sample = std::min(max_congestion_sample,
+                              us(end.latency) / std::max(1.0, base_latency_us(class_index)));
         } else if (end.outcome != Outcome::full && end.outcome != Outcome::timeout) {
             return;
         }
-        crowding_ += crowding_weight * (sample - crowding_);
-        const double most = for_so_many(most_crowding, most_crowding_alone);
-        if (crowding_ > most) {
-            const double held = std::max(held_.value, static_cast<double>(in_flight_));
-            room_ = std::max(part_of_fleet(s_.fair_share), std::min(room_, held) * room_cut);
-            cut_at_ = now;
-            crowding_ = 1;
-        } else if (sample <= most && in_flight_ + 1 > room_ * least_patience) {
-            room_ += std::min(1.0, part_of_fleet(room_growth)) / room_;
+        congestion_ += congestion_weight * (sample - congestion_);
+        const double threshold = by_balancer_count(max_congestion, max_congestion_single);
+        if (congestion_ > threshold) {
+            const double in_flight = std::max(smoothed_in_flight_.value, static_cast<double>(in_flight_));
+            concurrency_limit_ = std::max(share_of_fleet(settings_.fair_share),
+                                          std::min(concurrency_limit_, in_flight) * concurrency_limit_cut);
+            limit_cut_at_ = now;
+            congestion_ = 1;
+        } else if (sample <= threshold && in_flight_ + 1 > concurrency_limit_ * min_class_share) {
+            concurrency_limit_ +=
+                std::min(1.0, share_of_fleet(concurrency_limit_growth)) / concurrency_limit_;
         }
     }
 
-    // So many attempts an upstream, shared among the balancers.
-    double part_of_fleet(double each) const { return each * std::max(1, ready_) / s_.balancers; }
+    // Returns this balancer's share of a number of attempts per upstream.
+    double share_of_fleet(double per_upstream) const {
+        return per_upstream * std::max(1, available_count_) / settings_.balancers;
+    }
 
-    // Guards against a start into a crowd, which would teach its latencies as the base ones.
-    double room() const { return room_ > 0 ? room_ : part_of_fleet(s_.fair_share); }
+    // Returns the concurrency limit; before it is known, the least one. A start with a higher limit could
+    // congest the upstreams, and the latencies of congestion would be learned as base latencies.
+    double concurrency_limit() const {
+        return concurrency_limit_ > 0 ? concurrency_limit_ : share_of_fleet(settings_.fair_share);
+    }
 
-    // Is all that these requests may have of the room in use? With many balancers the room is an attempt or
-    // less. Chance then makes a balancer hold more at times, which harms nobody as long as it holds no more
-    // on average; and one that may hold less than one on average must at times hold none.
-    bool room_used(double room) const {
-        if (held_.value < room) return in_flight_ >= room + 1 + std::sqrt(room);
-        return in_flight_ >= room || room < 1;
+    // Returns whether the attempts in flight use up the given part of the concurrency limit. With many
+    // balancers the limit is about one attempt or less. Random arrivals then exceed it at times, which does
+    // no harm as long as the average stays within it. A balancer whose limit is below one must at times have
+    // nothing in flight.
+    bool concurrency_limit_reached(double limit) const {
+        if (smoothed_in_flight_.value < limit) return in_flight_ >= limit + 1 + std::sqrt(limit);
+        return in_flight_ >= limit || limit < 1;
     }
 
-    // Counts what is in flight now, and its smoothed value.
-    void count_held(Time now) {
-        held_ = {in_flight_ + (held_.value - in_flight_) * std::exp(-us(now - held_.at) / decay_us()), now};
+    // Updates the number of attempts in flight and its smoothed value.
+    void update_in_flight(Time now) {
+        smoothed_in_flight_ = {
+            in_flight_ + (smoothed_in_flight_.value - in_flight_) *
+                             std::exp(-us(now - smoothed_in_flight_.updated_at) / decay_time_us()),
+            now};
         in_flight_ = 0;
-        for (const std::size_t i : busy_) {
-            if (fit(upstreams_[i], now)) in_flight_ += upstreams_[i].in_flight;  // the others crowd nobody
+        for (const std::size_t index : busy_upstreams_) {
+            // Attempts at unhealthy upstreams congest no other upstream.
+            if (is_healthy(upstreams_[index], now)) in_flight_ += upstreams_[index].in_flight;
         }
     }
 
-    void learn_full(Upstream& u, bool full, Time now) {
-        u.full.learn(full, delay_weight, now, decay_us());
-        if (!full) return;
-        u.limit = std::max(1.0, std::min<double>(u.limit, u.in_flight));
-        u.limited = true;
-    }
-
-    // Would one more request of class c there be answered in time? Its latency is that of a lone one and what
-    // each of ours adds, on a line through what was met lately; cores or waits on others to spare make the
-    // line flatter than proportion. Being turned away costs a gap. Some of the slack stays unused: latencies
-    // have tails.
-    bool in_time(const Upstream& u, std::size_t c, double patience, Time now) const {
-        if (u.ours == 0) return true;
-        const double proportion = u.latency_us / u.ours;
-        const double idle = u.idle_us == 0 ? proportion : std::min(u.idle_us, u.latency_us);
-        const double slope = u.ours <= 1 ? proportion : (u.latency_us - idle) / (u.ours - 1);
-        const double waiting = u.in_flight * std::clamp(slope, least_slope * proportion, proportion) +
-                               u.full.now(now, decay_us()) * classes_[c].t1_us;
-        // Others may crowd it with none of ours there. That memory fades, or nothing would be sent to correct
-        // it.
-        const double lone = Fading{idle, u.answered_at}.now(now, decay_us());
-        return waiting <= aim_margin * (patience - lone) && lone <= most_lone * patience;
-    }
-
-    // The delay that an outcome tells: reported requests held over the rate, else the latency itself.
-    void learn_delay(Upstream& u, const AttemptEnd& end, std::size_t c, Time now) {
+    // Learns whether an upstream rejects attempts, and lowers its limit when it does.
+    void update_rejections(Upstream& upstream, bool rejected, Time now) {
+        upstream.rejection_rate.update(rejected, delay_weight, now, decay_time_us());
+        if (!rejected) return;
+        upstream.limit = std::max(1.0, std::min<double>(upstream.limit, upstream.in_flight));
+        upstream.limited = true;
+    }
+
+    // Returns whether the upstream would answer one more request of the class within the latency budget. The
+    // estimate is the unloaded latency plus what each attempt of this balancer adds, on a line through recent
+    // latencies. Spare cores, or time spent waiting for other services, make the line flatter than
+    // proportional. A rejection costs a back-off. Part of the slack stays unused because latencies vary.
+    bool answers_in_time(const Upstream& upstream, std::size_t class_index, double latency_budget,
+                         Time now) const {
+        if (upstream.ours == 0) return true;
+        const double proportion = upstream.latency_us / upstream.ours;
+        const double unloaded =
+            upstream.idle_us == 0 ? proportion : std::min(upstream.idle_us, upstream.latency_us);
+        const double slope =
+            upstream.ours <= 1 ? proportion : (upstream.latency_us - unloaded) / (upstream.ours - 1);
+        const double queueing =
+            upstream.in_flight * std::clamp(slope, min_latency_slope * proportion, proportion) +
+            upstream.rejection_rate.decayed(now, decay_time_us()) *
+                class_states_[class_index].retry_timeout_us;
+        // Other balancers may congest the upstream while this one has no attempt there. The memory of that
+        // decays, because otherwise no attempt would be sent that could correct it.
+        const double unloaded_now =
+            DecayingValue{unloaded, upstream.answered_at}.decayed(now, decay_time_us());
+        return queueing <= queueing_margin * (latency_budget - unloaded_now) &&
+               unloaded_now <= max_unloaded_latency * latency_budget;
+    }
+
+    // Takes a delay sample from an outcome: the reported number of requests held times the delay per request,
+    // or the latency if there are no such reports.
+    void update_delay(Upstream& upstream, const AttemptEnd& end, std::size_t class_index, Time now) {
         const double latency = us(end.latency);
-        const auto& fields = s_.report_fields;
-        const auto told = std::find(fields.begin(), fields.end(), ReportField::in_flight);
-        const auto field = static_cast<std::size_t>(told - fields.begin());
+        const auto& fields = settings_.report_fields;
+        const auto reported_field = std::find(fields.begin(), fields.end(), ReportField::in_flight);
+        const auto field = static_cast<std::size_t>(reported_field - fields.begin());
         const bool answered = end.outcome == Outcome::ok || end.outcome == Outcome::error;
         if (end.outcome == Outcome::full) {
-            sample_delay(u, classes_[c].t1_us, now);
-        } else if (end.outcome == Outcome::timeout || (answered && told == fields.end())) {
-            sample_delay(u, latency, now);  // a time-out counts its timer
+            add_delay_sample(upstream, class_states_[class_index].retry_timeout_us, now);
+        } else if (end.outcome == Outcome::timeout || (answered && reported_field == fields.end())) {
+            add_delay_sample(upstream, latency, now);  // for a time-out: the time waited
         } else if (answered && field < end.report.size()) {
-            const double held = std::max(0.0F, end.report[field]);
-            const double per_held = latency / (held + 1);
-            u.per_held_us += (u.per_held_us == 0 ? 1 : delay_weight) * (per_held - u.per_held_us);
-            sample_delay(u, held * u.per_held_us, now);
+            const double requests_held = std::max(0.0F, end.report[field]);
+            const double delay_per_held = latency / (requests_held + 1);
+            upstream.delay_per_held_us += (upstream.delay_per_held_us == 0 ? 1 : delay_weight) *
+                                          (delay_per_held - upstream.delay_per_held_us);
+            add_delay_sample(upstream, requests_held * upstream.delay_per_held_us, now);
         }
     }
 
-    // p = min{[(q_max - q_avg) / (q_max - q_min)]^+, 1}. Guards against copies that double the work of late
-    // requests and so make others late: while the first attempt runs, a copy passes only where there is known
-    // to be hardly any delay. Where nothing was heard lately the delay has decayed: that is not idleness.
-    bool passes_gate(const Upstream& u, const Open& r, Time now) {
-        const bool copy = r.in_flight > 0;
-        if (copy && us(now - u.delay_us.at) > news_t1s * longest_t1_us_) return false;
-        const double t1 = classes_[class_of(r)].t1_us * (copy ? copy_share : 1);
-        const double p = (gate_high * t1 - delay(u, now)) / ((gate_high - gate_low) * t1);
-        return p >= 1 || (p > 0 && random_.unit() < p);
-    }
-
-    // Guards against idle connections that something between drops unseen: what is sent on one gets no
-    // answer. Told from silent upstreams by the age of the connection: old ones fail, young and new ones are
-    // answered. Those older than the youngest step that fails are closed before a send.
-    std::size_t renew_links(Upstream& u, Time now) {
-        if (!may_be_linked(u) || u.idle_since == Time{}) return 0;
-        const double steps = std::log2(us(now - u.idle_since) / (youngest * longest_t1_us_)) + 1;
-        const auto age = static_cast<std::size_t>(std::clamp(steps, 0.0, ages - 1.0));
-        double younger = unanswered(0, now);
-        for (std::size_t a = 1; a <= age; ++a) {
-            const double share = unanswered(a, now);
-            if (share >= stale_share && younger <= young_share * share) {
-                actions_.close_idle(u.entry.id);
+    // Admits an attempt with probability p = min{[(q_max - q_avg) / (q_max - q_min)]^+, 1}. A hedge, sent
+    // while the first attempt still runs, is admitted only where the delay is known to be very small:
+    // otherwise hedges double the work of late requests and make other requests late. A delay that has
+    // decayed for lack of samples does not prove that the upstream is idle.
+    bool admits_retry(const Upstream& upstream, const OpenRequest& open, Time now) {
+        const bool hedged = open.in_flight > 0;
+        if (hedged && us(now - upstream.delay_us.updated_at) > recent_delay_timeouts * max_retry_timeout_us_)
+            return false;
+        const double timeout_us =
+            class_states_[class_index_of(open)].retry_timeout_us * (hedged ? hedge_admission_factor : 1);
+        const double probability = (retry_admission_high * timeout_us - smoothed_delay_us(upstream, now)) /
+                                   ((retry_admission_high - retry_admission_low) * timeout_us);
+        return probability >= 1 || (probability > 0 && random_.unit() < probability);
+    }
+
+    // Detects idle connections that a device on the path has dropped silently, so that requests sent on them
+    // get no answer. With a silent upstream connections of every age fail; here old ones fail while younger
+    // and new ones are answered. Closes the idle connections before a send if their age step, or a younger
+    // one, is stale. Returns the age step of the connection that will be used.
+    std::size_t refresh_connections(Upstream& upstream, Time now) {
+        if (!may_be_connected(upstream) || upstream.last_outcome_at == Time{}) return 0;
+        const double steps =
+            std::log2(us(now - upstream.last_outcome_at) / (first_age_step * max_retry_timeout_us_)) + 1;
+        const auto age = static_cast<std::size_t>(std::clamp(steps, 0.0, connection_age_steps - 1.0));
+        double younger = unanswered_share(0, now);
+        for (std::size_t step = 1; step <= age; ++step) {
+            const double share = unanswered_share(step, now);
+            if (share >= stale_connection_loss && younger <= young_connection_loss * share) {
+                actions_.close_idle(upstream.entry.id);
                 return 0;
             }
-            if (share < stale_share) younger = std::max(younger, share);
+            if (share < stale_connection_loss) younger = std::max(younger, share);
         }
         return age;
     }
 
-    bool open_link(const Upstream& u, Time now) const {
-        return may_be_linked(u) && !u.refused &&
-               (u.in_flight > 0 || s_.idle_close <= Micros{0} || now < u.idle_since + s_.idle_close);
+    bool has_open_connection(const Upstream& upstream, Time now) const {
+        return may_be_connected(upstream) && !upstream.last_connect_failed &&
+               (upstream.in_flight > 0 || settings_.idle_close <= Micros{0} ||
+                now < upstream.last_outcome_at + settings_.idle_close);
     }
 
-    double unanswered(std::size_t age, Time now) const { return unanswered_[age].now(now, stale_us()); }
-    double stale_us() const { return stale_t1s * longest_t1_us_; }
+    double unanswered_share(std::size_t age, Time now) const {
+        return unanswered_by_age_[age].decayed(now, long_decay_time_us());
+    }
+    double long_decay_time_us() const { return long_decay_timeouts * max_retry_timeout_us_; }
 
-    // One that a copy has overtaken after its timer got no answer either.
-    void learn_age(std::size_t age, const AttemptEnd& end, double t1_us, Time now) {
+    // Learns whether an idle connection of this age got an answer. An attempt that was cancelled after its
+    // retry timeout, because another attempt answered first, counts as unanswered.
+    void update_connection_age(std::size_t age, const AttemptEnd& end, double retry_timeout_us, Time now) {
         const bool lost = end.outcome == Outcome::timeout || end.outcome == Outcome::reset ||
-                          (end.outcome == Outcome::cancelled && us(end.latency) > t1_us);
+                          (end.outcome == Outcome::cancelled && us(end.latency) > retry_timeout_us);
         if (!lost && end.outcome != Outcome::ok && end.outcome != Outcome::error) return;
-        unanswered_[age].learn(lost, age_weight, now, stale_us());
-    }
-
-    // ----------------------------------------------------------------------- 3. choosing an upstream
-
-    // Rules 3 and 4: may this upstream get new work? Every send passes here.
-    bool may_get_new_work(Upstream& u, Time now) {
-        return u.entry.state == UpstreamState::ready && cold_budget_left(u, now);
-    }
-
-    bool in_home_zone(const Upstream& u) const { return u.entry.zone == s_.zone; }
-
-    // Guards against many balancers that each use every upstream: together they fill its table of
-    // connections, and each hears of it too seldom to know its delay. A balancer places its work in its own
-    // share of a ring: as many upstreams as it can hear from `hearings` times before it forgets, and enough
-    // that each upstream is in several shares. The shares of the balancers follow each other around the ring,
-    // so that each upstream is in as many as the next. With few balancers the share is the zone.
-    std::size_t share_size(std::size_t ring) const {
-        const double covering = coverage * ring * s_.zones / s_.balancers;
-        return std::max(least_share,
-                        static_cast<std::size_t>(std::max(arrivals_.value / hearings, covering)));
-    }
-
-    // Keeps the rings to what is listed.
-    void put_on_ring(std::size_t i) {
-        Upstream& u = upstreams_[i];
-        const bool listed = u.entry.state != UpstreamState::gone;
-        const auto ring = listed ? (in_home_zone(u) ? &home_ring_ : &away_ring_) : nullptr;
-        if (ring == u.ring) return;
-        if (!ring) readmit(u);  // what has left is not missing
-        const auto before = [&](std::size_t a, std::size_t b) { return own_chance(a) < own_chance(b); };
-        if (u.ring) u.ring->erase(std::lower_bound(u.ring->begin(), u.ring->end(), i, before));
-        if (ring) ring->insert(std::lower_bound(ring->begin(), ring->end(), i, before), i);
-        u.ring = ring;
-    }
-
-    // Walks a ring from this balancer's place until it has its share of upstreams that are fit and may get
-    // new work. Are half of those met? In a release cold ones count as ready, each replaces one that drains.
-    bool gather(const std::vector<std::size_t>& ring, std::vector<std::size_t>& pool, const Open& r,
-                bool lenient, Time now) {
-        // Guards against connections that suddenly can't be made, or only slowly and at a cost to the
-        // upstream: while many attempts to open one fail, work stays where one is open. Could crowd the few:
-        // so it fades.
-        const bool links_dear = refused_links_.now(now, decay_us()) > dear_share;
-        const bool pinned = r.request.pinned.has_value();
-        const std::size_t failed = r.attempts.empty() ? none : r.attempts.back().upstream;
-        const std::size_t shares = drawn_by_key(r.request.key) ? key_shares : 1;
-        const std::size_t most = pool.size() + shares * share_size(ring.size());
-        const double turn = s_.rank * golden;
-        const auto place = static_cast<std::size_t>((turn - std::floor(turn)) * ring.size());
-        std::size_t met = 0, ready = 0, cold = 0, leaving = 0;
-        for (; met < ring.size() && pool.size() < most; ++met) {
-            const std::size_t i = ring[(place + met) % ring.size()];
-            Upstream& u = upstreams_[i];
-            cold += warmth(u, now) < 1;
-            leaving += u.entry.state != UpstreamState::ready;
-            const bool serves = now >= u.services[class_of(r)].out_until;
-            const bool able = fit(u, now) && serves && (open_link(u, now) || !links_dear || pinned);
-            if (!(able || (lenient && !u.died && !pinned)) || !may_get_new_work(u, now)) continue;
-            ++ready;
-            if ((i != failed || pinned) && may_send(r, i, now)) pool.push_back(i);
+        unanswered_by_age_[age].update(lost, connection_outcome_weight, now, long_decay_time_us());
+    }
+
+    // --- Choice of an upstream ---
+
+    // Invariants 3 and 4: returns whether the upstream may get new work. submit calls it for every attempt.
+    bool may_get_new_work(Upstream& upstream, Time now) {
+        return upstream.entry.state == UpstreamState::ready && slow_start_allows(upstream, now);
+    }
+
+    bool in_home_zone(const Upstream& upstream) const { return upstream.entry.zone == settings_.zone; }
+
+    // Returns the size of the subset of a ring that this balancer uses. If many balancers each used every
+    // upstream, they would together fill its connection table, and each would get too few answers to know its
+    // delay. The subset has as many upstreams as can give this balancer `answers_per_upstream` answers within
+    // the decay time, and enough that each upstream is in several subsets. The subsets of the balancers
+    // follow each other around the ring, so that every upstream is in about equally many. With few balancers
+    // the subset is the whole zone.
+    std::size_t subset_size(std::size_t ring_size) const {
+        const double covering = subsets_per_upstream * ring_size * settings_.zones / settings_.balancers;
+        return std::max(min_subset_size, static_cast<std::size_t>(std::max(
+                                             recent_arrivals_.value / answers_per_upstream, covering)));
+    }
+
+    // Puts an upstream on the ring where it belongs, or takes it off.
+    void update_ring(std::size_t index) {
+        Upstream& upstream = upstreams_[index];
+        const bool listed = upstream.entry.state != UpstreamState::gone;
+        const auto ring = listed ? (in_home_zone(upstream) ? &home_ring_ : &remote_ring_) : nullptr;
+        if (ring == upstream.ring) return;
+        if (!ring) clear_ejection(upstream);  // an upstream that has left the list is not missing
+        const auto precedes = [&](std::size_t left, std::size_t right) {
+            return id_hash(left) < id_hash(right);
+        };
+        if (upstream.ring)
+            upstream.ring->erase(
+                std::lower_bound(upstream.ring->begin(), upstream.ring->end(), index, precedes));
+        if (ring) ring->insert(std::lower_bound(ring->begin(), ring->end(), index, precedes), index);
+        upstream.ring = ring;
+    }
+
+    // Walks a ring from this balancer's position until its subset is full of upstreams that are healthy and
+    // may get new work. Returns whether at least half of the visited upstreams are usable. Cold upstreams,
+    // and one draining upstream for each of them, do not count against the zone: in a rolling release each
+    // new upstream replaces a draining one.
+    bool gather_candidates(const std::vector<std::size_t>& ring, std::vector<std::size_t>& candidates,
+                           const OpenRequest& open, bool include_unhealthy, Time now) {
+        // While many new connections fail, or take long and load the upstream, requests stay at upstreams
+        // with an open connection. The measure decays, because those upstreams could be overloaded.
+        const bool connections_fail =
+            connect_failure_rate_.decayed(now, decay_time_us()) > connect_failure_share;
+        const bool pinned = open.request.pinned.has_value();
+        const std::size_t last_tried = open.attempts.empty() ? no_index : open.attempts.back().upstream;
+        const std::size_t subsets = placed_by_key(open.request.key) ? key_subsets : 1;
+        const std::size_t max_candidates = candidates.size() + subsets * subset_size(ring.size());
+        const double turns = settings_.rank * inverse_golden_ratio;
+        const auto position = static_cast<std::size_t>((turns - std::floor(turns)) * ring.size());
+        std::size_t visited = 0, usable = 0, cold_count = 0, draining = 0;
+        for (; visited < ring.size() && candidates.size() < max_candidates; ++visited) {
+            const std::size_t index = ring[(position + visited) % ring.size()];
+            Upstream& upstream = upstreams_[index];
+            cold_count += warm_up_fraction(upstream, now) < 1;
+            draining += upstream.entry.state != UpstreamState::ready;
+            const bool serves = now >= upstream.class_health[class_index_of(open)].ejected_until;
+            const bool eligible = is_healthy(upstream, now) && serves &&
+                                  (has_open_connection(upstream, now) || !connections_fail || pinned);
+            if (!(eligible || (include_unhealthy && !upstream.died && !pinned)) ||
+                !may_get_new_work(upstream, now))
+                continue;
+            ++usable;
+            if ((index != last_tried || pinned) && may_send(open, index, now)) candidates.push_back(index);
         }
-        return 2 * ready + cold + std::min(leaving, cold) >= met;
-    }
-
-    // Fills home_ with the upstreams among which a request may be placed, a fresh pair first.
-    void fill_pool(const Open& r, Time now) {
-        const std::size_t c = class_of(r);
-        count_held(now);
-        ready_ = static_cast<int>(home_ring_.size() + away_ring_.size()) - out_;
-        const double share = precedence(r);
-        home_.clear();
-        away_.clear();
-        jammed_ = room_used(room() * share);
-        if (jammed_) return;
-        // Under half of the zone is ready: the rest can't carry it. The same while the list is only a cached
-        // one: servers of the zone may have restarted cold meanwhile, and this balancer can't tell. When the
-        // whole fleet looks unfit, the trouble is not theirs alone: slow ones count as ready.
+        return 2 * usable + cold_count + std::min(draining, cold_count) >= visited;
+    }
+
+    // Fills candidates_ with the upstreams that a request may be sent to, a newly drawn pair first.
+    void fill_candidates(const OpenRequest& open, Time now) {
+        const std::size_t class_index = class_index_of(open);
+        update_in_flight(now);
+        available_count_ = static_cast<int>(home_ring_.size() + remote_ring_.size()) - ejected_count_;
+        const double allowed_share = limit_share(open);
+        candidates_.clear();
+        remote_candidates_.clear();
+        limit_reached_ = concurrency_limit_reached(concurrency_limit() * allowed_share);
+        if (limit_reached_) return;
+        // If less than half of the zone is usable, the rest cannot carry the load. The request also spills
+        // over while only a cached list is known, because upstreams of the zone may have restarted cold
+        // unnoticed. If all upstreams look unhealthy, the fault is not theirs alone, and all but those with
+        // failed connections are used.
         bool spilled = false;
-        for (const bool lenient : {false, true}) {
-            const bool half = gather(home_ring_, home_, r, lenient, now);
-            spilled = !half || home_.empty() || !fresh_;
-            if (spilled) gather(away_ring_, home_, r, lenient, now);
-            if (!home_.empty()) break;
+        for (const bool include_unhealthy : {false, true}) {
+            const bool half_usable = gather_candidates(home_ring_, candidates_, open, include_unhealthy, now);
+            spilled = !half_usable || candidates_.empty() || !list_is_current_;
+            if (spilled) gather_candidates(remote_ring_, candidates_, open, include_unhealthy, now);
+            if (!candidates_.empty()) break;
         }
-        // Every candidate of the zone is slow: spill to the others that are not.
-        const auto slow = [&](std::size_t i) { return delay(upstreams_[i], now) > classes_[c].t1_us; };
-        if (!spilled && std::all_of(home_.begin(), home_.end(), slow)) {
-            gather(away_ring_, away_, r, false, now);
-            if (!std::all_of(away_.begin(), away_.end(), slow)) {
-                home_.swap(away_);
-                std::erase_if(home_, slow);
+        // If every candidate of the zone is slow, the request spills over to candidates of other zones that
+        // are not.
+        const auto slow = [&](std::size_t index) {
+            return smoothed_delay_us(upstreams_[index], now) > class_states_[class_index].retry_timeout_us;
+        };
+        if (!spilled && std::all_of(candidates_.begin(), candidates_.end(), slow)) {
+            gather_candidates(remote_ring_, remote_candidates_, open, false, now);
+            if (!std::all_of(remote_candidates_.begin(), remote_candidates_.end(), slow)) {
+                candidates_.swap(remote_candidates_);
+                std::erase_if(candidates_, slow);
             }
         }
-        // None to choose: where the aim is lost, or full with ours. If none is left in the zone: spill.
-        const double patience = patience_us(r);
-        const auto lost = [&](std::size_t i) {
-            const Upstream& u = upstreams_[i];
-            return u.in_flight >= std::max(1.0, u.limit * share) || !in_time(u, c, patience, now);
+        // Upstreams at their limit, or too slow for the latency budget, are no candidates. If none remains in
+        // the zone, the request spills over.
+        const double latency_budget = latency_budget_us(open);
+        const auto exhausted = [&](std::size_t index) {
+            const Upstream& upstream = upstreams_[index];
+            return upstream.in_flight >= std::max(1.0, upstream.limit * allowed_share) ||
+                   !answers_in_time(upstream, class_index, latency_budget, now);
         };
-        std::erase_if(home_, lost);
-        if (home_.empty() && !spilled) {
-            if (away_.empty()) gather(away_ring_, away_, r, false, now);
-            std::erase_if(away_, lost);
-            home_.swap(away_);
+        std::erase_if(candidates_, exhausted);
+        if (candidates_.empty() && !spilled) {
+            if (remote_candidates_.empty())
+                gather_candidates(remote_ring_, remote_candidates_, open, false, now);
+            std::erase_if(remote_candidates_, exhausted);
+            candidates_.swap(remote_candidates_);
         }
-        draw_pair(r.request.key, classes_[c].t1_us, now);
-    }
-
-    bool drawn_by_key(std::uint64_t key) const { return s_.warm_keys && key != 0; }
-
-    // Moves a fresh pair to the front of the pool, the one with fewer of ours in flight first; of equals the
-    // one that clearly costs less (its answers as remembered, a gap for each full refusal), or many balancers
-    // with hardly any in flight would give slow ones as much as fast ones. Chance decides between like ones:
-    // the least lead would draw all to one. The pair is random; where upstreams do less work for keys met
-    // lately, chance is the key's own, alike at every balancer, among those with room: so keys have a choice.
-    void draw_pair(std::uint64_t key, double t1_us, Time now) {
-        if (home_.size() < 2) return;
-        if (drawn_by_key(key)) {
-            const auto rank = [&](std::size_t i) { return Random(key ^ own_chance(i)).next(); };
-            const auto below = [&](std::size_t a, std::size_t b) { return rank(a) < rank(b); };
-            for (auto front = home_.begin(); front != home_.begin() + 2; ++front) {
-                std::iter_swap(front, std::max_element(front, home_.end(), below));
+        choose_pair(open.request.key, class_states_[class_index].retry_timeout_us, now);
+    }
+
+    bool placed_by_key(std::uint64_t key) const { return settings_.warm_keys && key != 0; }
+
+    // Moves a random pair of candidates to the front, the one with fewer attempts of this balancer in flight
+    // first. Of two with equally many, the one that clearly costs less comes first: its recent latency plus a
+    // back-off for each rejection. Without this rule many balancers with hardly any attempts in flight would
+    // load slow upstreams as much as fast ones. Chance decides between similar ones, because a minimal
+    // advantage would draw all requests to one of them. Where upstreams do less work for recently used keys,
+    // the key chooses the pair instead, alike at every balancer, so that a key has a choice of two.
+    void choose_pair(std::uint64_t key, double retry_timeout_us, Time now) {
+        if (candidates_.size() < 2) return;
+        if (placed_by_key(key)) {
+            const auto score = [&](std::size_t index) { return Random(key ^ id_hash(index)).next(); };
+            const auto scores_below = [&](std::size_t left, std::size_t right) {
+                return score(left) < score(right);
+            };
+            for (auto front = candidates_.begin(); front != candidates_.begin() + 2; ++front) {
+                std::iter_swap(front, std::max_element(front, candidates_.end(), scores_below));
             }
         } else {
-            std::swap(home_[0], home_[random_.below(home_.size())]);
-            std::swap(home_[1], home_[1 + random_.below(home_.size() - 1)]);
+            std::swap(candidates_[0], candidates_[random_.below(candidates_.size())]);
+            std::swap(candidates_[1], candidates_[1 + random_.below(candidates_.size() - 1)]);
         }
-        const Upstream& a = upstreams_[home_[0]];
-        const Upstream& b = upstreams_[home_[1]];
-        const auto cost = [&](const Upstream& u) {
-            return Fading{u.latency_us, u.answered_at}.now(now, stale_us()) +
-                   u.full.now(now, decay_us()) * t1_us;
+        const Upstream& first = upstreams_[candidates_[0]];
+        const Upstream& second = upstreams_[candidates_[1]];
+        const auto cost = [&](const Upstream& upstream) {
+            return DecayingValue{upstream.latency_us, upstream.answered_at}.decayed(now,
+                                                                                    long_decay_time_us()) +
+                   upstream.rejection_rate.decayed(now, decay_time_us()) * retry_timeout_us;
         };
-        const bool cheaper = b.in_flight == a.in_flight && cost(b) + clear_lead * t1_us < cost(a);
-        if (b.in_flight < a.in_flight || cheaper) std::swap(home_[0], home_[1]);
+        const bool cheaper = second.in_flight == first.in_flight &&
+                             cost(second) + min_cost_advantage * retry_timeout_us < cost(first);
+        if (second.in_flight < first.in_flight || cheaper) std::swap(candidates_[0], candidates_[1]);
     }
 
-    // Chance of its own, the same at every balancer.
-    std::uint64_t own_chance(std::size_t i) const { return Random(upstreams_[i].entry.id).next(); }
+    // Returns a hash of the upstream's id, the same at every balancer.
+    std::uint64_t id_hash(std::size_t index) const { return Random(upstreams_[index].entry.id).next(); }
 
-    // ------------------------------------------------------------------- 4. attempt life and retries
+    // --- Attempts and retries ---
 
     void on_request(Time now, const Request& request) {
-        if (request.class_index < 0 || static_cast<std::size_t>(request.class_index) >= listed_) {
+        if (request.class_index < 0 || static_cast<std::size_t>(request.class_index) >= listed_classes_) {
             actions_.fail(request.id);
             return;
         }
-        if (by_id_.count(request.id) != 0) return;
-        arrivals_ = {arrivals_.now(now, decay_us()) + 1, now};
-        if (free_.empty()) {
-            free_.push_back(open_.size());
-            open_.emplace_back();
+        if (slot_by_request_.count(request.id) != 0) return;
+        recent_arrivals_ = {recent_arrivals_.decayed(now, decay_time_us()) + 1, now};
+        if (free_slots_.empty()) {
+            free_slots_.push_back(open_requests_.size());
+            open_requests_.emplace_back();
         }
-        const std::size_t slot = free_.back();
-        free_.pop_back();
-        by_id_.emplace(request.id, slot);
-        Open& r = open_[slot];
-        r.request = request;
-        r.arrived_at = arrival(request, now);
-        r.request.deadline = std::min(request.deadline, end_of_worth(request, r.arrived_at));
-        r.attempts.clear();
-        r.in_flight = r.round = 0;
-        r.window = s_.classes[class_of(r)].window;
-        r.done = false;
-        r.worth = worth_within_share(request, now);
-        if (now >= r.request.deadline || (request.pinned && !may_try_again(r, now))) {
+        const std::size_t slot = free_slots_.back();
+        free_slots_.pop_back();
+        slot_by_request_.emplace(request.id, slot);
+        OpenRequest& open = open_requests_[slot];
+        open.request = request;
+        open.arrived_at = arrival_time(request, now);
+        open.request.deadline = std::min(request.deadline, useful_deadline(request, open.arrived_at));
+        open.attempts.clear();
+        open.in_flight = open.backoffs = 0;
+        open.dedup_window = settings_.classes[class_index_of(open)].window;
+        open.finished = false;
+        open.worth_factor = worth_within_quota(request, now);
+        if (now >= open.request.deadline || (request.pinned && !may_retry_anywhere(open, now))) {
             finish(slot);
         } else if (!send_original(slot, now)) {
-            turn_away(slot, now);
+            defer_or_finish(slot, now);
         }
     }
 
-    // Where an answer after the aim is worth nothing, the request ends with its aim, and holds no upstream.
-    Time end_of_worth(const Request& request, Time arrived_at) const {
-        const ClassSettings& c = s_.classes[static_cast<std::size_t>(request.class_index)];
-        return c.late_worth > 0 || c.streams ? request.deadline : arrived_at + c.aim;
+    // Returns the deadline; the end of the aim if a later answer is worth nothing, so that late work holds no
+    // upstream.
+    Time useful_deadline(const Request& request, Time arrived_at) const {
+        const ClassSettings& class_settings =
+            settings_.classes[static_cast<std::size_t>(request.class_index)];
+        return class_settings.late_worth > 0 || class_settings.streams ? request.deadline
+                                                                       : arrived_at + class_settings.aim;
     }
 
-    // Guards against a stall of this balancer itself (paused, starved, swapped): what came in meanwhile has
-    // waited here, and may be past its aim before it is seen. A beat that is overdue tells of the stall, and
-    // the time left that a request comes with, short of the longest of its class, how long it has waited.
-    Time arrival(const Request& request, Time now) {
-        double& longest = classes_[static_cast<std::size_t>(request.class_index)].left_us;
-        const double left = us(request.deadline - now);
-        longest = std::max(longest * (1 - left_creep), left);
-        if (now <= beat_at_ + 2 * s_.tick) return now;
-        return now - std::min(micros(longest - left), now - beat_at_ + beat_gap());
+    // Returns when the request arrived, corrected for a stall of this process (paused, starved of CPU,
+    // swapped out): a request that waited meanwhile may be past its aim. An overdue stall check shows the
+    // stall. The difference between the request's remaining time and the longest of its class shows how long
+    // it waited.
+    Time arrival_time(const Request& request, Time now) {
+        double& max_time_left = class_states_[static_cast<std::size_t>(request.class_index)].max_time_left_us;
+        const double time_left_us = us(request.deadline - now);
+        max_time_left = std::max(max_time_left * (1 - max_time_left_drift), time_left_us);
+        if (now <= next_stall_check_at_ + 2 * settings_.tick) return now;
+        return now - std::min(micros(max_time_left - time_left_us),
+                              now - next_stall_check_at_ + stall_check_interval());
     }
 
-    Micros beat_gap() const { return micros(beat_t1s * longest_t1_us_) + s_.tick; }
+    Micros stall_check_interval() const {
+        return micros(stall_check_timeouts * max_retry_timeout_us_) + settings_.tick;
+    }
 
-    void beat(Time now) {
-        beat_at_ = now + beat_gap();
-        actions_.set_timer(beat_at_, token_of(TimerKind::beat, 0, ++beat_serial_));
+    void schedule_stall_check(Time now) {
+        next_stall_check_at_ = now + stall_check_interval();
+        actions_.set_timer(next_stall_check_at_,
+                           timer_token(TimerKind::stall_check, 0, ++stall_check_serial_));
     }
 
-    // Originals skip the gate.
+    // Sends the first attempt, without retry admission.
     bool send_original(std::size_t slot, Time now) {
-        const std::size_t trial = find_trial(open_[slot], now);
-        if (trial != none) return submit(slot, trial, now);
-        fill_pool(open_[slot], now);
-        return !home_.empty() && submit(slot, home_[0], now);
+        const std::size_t probe_target = find_probe_target(open_requests_[slot], now);
+        if (probe_target != no_index) return submit(slot, probe_target, now);
+        fill_candidates(open_requests_[slot], now);
+        return !candidates_.empty() && submit(slot, candidates_[0], now);
     }
 
-    // Retries pass with chance p: the fresh pair first, the better of it before the other, then the rest.
+    // Sends a retry or a hedge to the first candidate that admits it.
     bool send_retry(std::size_t slot, Time now) {
-        const Open& r = open_[slot];
-        fill_pool(r, now);
-        for (const std::size_t i : home_) {
-            if (passes_gate(upstreams_[i], r, now)) return submit(slot, i, now);
+        const OpenRequest& open = open_requests_[slot];
+        fill_candidates(open, now);
+        for (const std::size_t index : candidates_) {
+            if (admits_retry(upstreams_[index], open, now)) return submit(slot, index, now);
         }
         return false;
     }
 
-    // Rules 1 and 2: may this request be sent (again), to this upstream, now? Every send passes here.
-    bool may_send(const Open& r, std::size_t to, Time now) const {
-        const ClassSettings& c = s_.classes[class_of(r)];
-        if (r.done || now >= r.request.deadline) return false;
-        if (static_cast<int>(r.attempts.size()) >= s_.max_attempts) return false;
-        if (r.in_flight > 0 && !s_.parallel_attempts) return false;
-        if (r.request.pinned && *r.request.pinned != upstreams_[to].entry.id) return false;
-        if (c.effect == Effect::safe) return true;
-        for (const auto& a : r.attempts) {
-            if (!a.may_have_run) continue;
-            if (c.effect == Effect::unsafe) return false;
-            if (!same_group(c.group, a, upstreams_[to].entry)) return false;
-            if (now + s_.tick >= a.sent_at + r.window) return false;
+    // Invariants 1 and 2: returns whether an attempt may be sent to the target now. submit calls it for every
+    // attempt.
+    bool may_send(const OpenRequest& open, std::size_t target, Time now) const {
+        const ClassSettings& class_settings = settings_.classes[class_index_of(open)];
+        if (open.finished || now >= open.request.deadline) return false;
+        if (static_cast<int>(open.attempts.size()) >= settings_.max_attempts) return false;
+        if (open.in_flight > 0 && !settings_.parallel_attempts) return false;
+        if (open.request.pinned && *open.request.pinned != upstreams_[target].entry.id) return false;
+        if (class_settings.effect == Effect::safe) return true;
+        for (const auto& attempt : open.attempts) {
+            if (!attempt.may_have_executed) continue;
+            if (class_settings.effect == Effect::unsafe) return false;
+            if (!in_same_group(class_settings.group, attempt, upstreams_[target].entry)) return false;
+            if (now + settings_.tick >= attempt.sent_at + open.dedup_window) return false;
         }
         return true;
     }
 
-    static bool same_group(Group group, const Attempt& a, const UpstreamEntry& b) {
-        if (group == Group::zone) return a.zone == b.zone;
-        return group == Group::all || a.cell == b.cell;
+    static bool in_same_group(Group group, const Attempt& attempt, const UpstreamEntry& target) {
+        if (group == Group::zone) return attempt.zone == target.zone;
+        return group == Group::all || attempt.cell == target.cell;
     }
 
-    // The only place from which attempts go out.
-    bool submit(std::size_t slot, std::size_t to, Time now) {
-        Open& r = open_[slot];
-        Upstream& u = upstreams_[to];
-        if (!may_send(r, to, now) || !may_get_new_work(u, now)) return false;
-        const Micros timer = attempt_timer(r, now);
-        const bool first = !may_be_linked(u);
-        const std::size_t age = renew_links(u, now);
-        if (u.in_flight++ == 0) {
-            u.busy_since = now;
-            busy_.push_back(to);
+    // Sends an attempt. Every attempt goes out here.
+    bool submit(std::size_t slot, std::size_t target, Time now) {
+        OpenRequest& open = open_requests_[slot];
+        Upstream& upstream = upstreams_[target];
+        if (!may_send(open, target, now) || !may_get_new_work(upstream, now)) return false;
+        const Micros timeout = attempt_timeout(open, now);
+        const bool opens_connection = !may_be_connected(upstream);
+        const std::size_t connection_age = refresh_connections(upstream, now);
+        if (upstream.in_flight++ == 0) {
+            upstream.busy_since = now;
+            busy_upstreams_.push_back(target);
         }
-        r.attempts.push_back({to, u.entry.zone, u.entry.cell, now, u.in_flight, first, age, true, true});
-        ++r.in_flight;
-        count_held(now);
-        u.cold->tokens -= 1;
-        const Micros left = r.request.deadline - now;
-        const bool by_timer = !s_.parallel_attempts && timer > Micros{0};
-        actions_.submit(r.request.id, u.entry.id, by_timer ? timer : left);
-        if (s_.parallel_attempts && timer > Micros{0}) set_wake(slot, now + timer);
+        open.attempts.push_back({target, upstream.entry.zone, upstream.entry.cell, now, upstream.in_flight,
+                                 opens_connection, connection_age, true, true});
+        ++open.in_flight;
+        update_in_flight(now);
+        upstream.slow_start->tokens -= 1;
+        const Micros time_left = open.request.deadline - now;
+        const bool ends_at_timeout = !settings_.parallel_attempts && timeout > Micros{0};
+        actions_.submit(open.request.id, upstream.entry.id, ends_at_timeout ? timeout : time_left);
+        if (settings_.parallel_attempts && timeout > Micros{0}) set_retry_timer(slot, now + timeout);
         return true;
     }
 
-    void set_wake(std::size_t slot, Time at) {
-        actions_.set_timer(at, token_of(TimerKind::wake, slot, ++open_[slot].wake));
+    void set_retry_timer(std::size_t slot, Time at) {
+        actions_.set_timer(at, timer_token(TimerKind::retry, slot, ++open_requests_[slot].timer_serial));
     }
 
-    // The attempt time-out is the retry timer. There is none where it could gain nothing: no further attempt
-    // would be allowed after it, or none would fit before the deadline. Where two attempts may run at once,
-    // the timer does not end the attempt: as in the paper, the first answer counts, whichever copy it comes
-    // from.
-    Micros attempt_timer(const Open& r, Time now) const {
-        const ClassSettings& c = s_.classes[class_of(r)];
-        const Micros timer = gap(r);
-        if (c.effect == Effect::unsafe || c.streams) return Micros{0};
-        if (static_cast<int>(r.attempts.size()) + 1 >= s_.max_attempts) return Micros{0};
-        if (now + timer + s_.tick >= r.request.deadline) return Micros{0};
-        if (c.effect == Effect::keyed && timer + 2 * s_.tick >= r.window) return Micros{0};
-        return timer;
+    // Returns the time-out of the next attempt, which starts the retry. Zero: none, because no further
+    // attempt would be allowed after it or none would fit before the deadline. Where two attempts may run at
+    // once, the timer does not end the attempt: the first answer counts, whichever attempt it comes from.
+    Micros attempt_timeout(const OpenRequest& open, Time now) const {
+        const ClassSettings& class_settings = settings_.classes[class_index_of(open)];
+        const Micros timeout = backoff(open);
+        if (class_settings.effect == Effect::unsafe || class_settings.streams) return Micros{0};
+        if (static_cast<int>(open.attempts.size()) + 1 >= settings_.max_attempts) return Micros{0};
+        if (now + timeout + settings_.tick >= open.request.deadline) return Micros{0};
+        if (class_settings.effect == Effect::keyed && timeout + 2 * settings_.tick >= open.dedup_window)
+            return Micros{0};
+        return timeout;
     }
 
-    // Gaps double from T1.
-    Micros gap(const Open& r) const {
-        return micros(classes_[class_of(r)].t1_us * std::exp2(std::min(r.round, 30)));
+    // Returns the next back-off, which doubles from the retry timeout.
+    Micros backoff(const OpenRequest& open) const {
+        return micros(class_states_[class_index_of(open)].retry_timeout_us *
+                      std::exp2(std::min(open.backoffs, 30)));
     }
 
-    // Waits out the gap that began at `since`, or gives up if nothing can be sent before the deadline.
-    void wait_gap(std::size_t slot, Time since, Time now) {
-        Open& r = open_[slot];
-        const Time at = std::max(since + gap(r), now);
-        ++r.round;
-        if (at + s_.tick >= r.request.deadline) {
+    // Waits for the back-off that began at `since`, or finishes the request if nothing can be sent before its
+    // deadline.
+    void wait_backoff(std::size_t slot, Time since, Time now) {
+        OpenRequest& open = open_requests_[slot];
+        const Time at = std::max(since + backoff(open), now);
+        ++open.backoffs;
+        if (at + settings_.tick >= open.request.deadline) {
             finish(slot);
         } else if (at <= now) {
-            wake(slot, now);
+            retry_or_wait(slot, now);
         } else {
-            set_wake(slot, at);
+            set_retry_timer(slot, at);
         }
     }
 
-    void wake(std::size_t slot, Time now) {
+    // Sends a retry at the end of a back-off, or waits for the next one.
+    void retry_or_wait(std::size_t slot, Time now) {
         if (send_retry(slot, now)) return;
-        if (open_[slot].attempts.empty()) {
-            turn_away(slot, now);
+        if (open_requests_[slot].attempts.empty()) {
+            defer_or_finish(slot, now);
         } else {
-            wait_gap(slot, now, now);
+            wait_backoff(slot, now, now);
         }
     }
 
-    // The timer fired while the attempt still runs: it counts as a delay of that length at its upstream, and
-    // a copy may go out if the gate finds it a place. If it is gated, the first one is waited for.
-    void overdue(std::size_t slot, Time now) {
-        Open& r = open_[slot];
-        const Attempt& last = r.attempts.back();
-        if (last.in_flight) sample_delay(upstreams_[last.upstream], us(now - last.sent_at), now);
-        ++r.round;
+    // Handles a retry timer that fires while the attempt still runs: its running time counts as a delay
+    // sample of its upstream, and a hedge is sent if an upstream admits it. Otherwise the request waits for
+    // the running attempt.
+    void attempt_overdue(std::size_t slot, Time now) {
+        OpenRequest& open = open_requests_[slot];
+        const Attempt& last_attempt = open.attempts.back();
+        if (last_attempt.in_flight)
+            add_delay_sample(upstreams_[last_attempt.upstream], us(now - last_attempt.sent_at), now);
+        ++open.backoffs;
         if (send_retry(slot, now)) return;
-        const Micros timer = attempt_timer(r, now);
-        if (timer > Micros{0}) set_wake(slot, now + timer);
+        const Micros timeout = attempt_timeout(open, now);
+        if (timeout > Micros{0}) set_retry_timer(slot, now + timeout);
     }
 
     void on_attempt_end(Time now, const AttemptEnd& end) {
-        const std::size_t slot = find_open(end.request);
-        if (slot == none) return;
-        Open& r = open_[slot];
-        if (end.attempt < 0 || static_cast<std::size_t>(end.attempt) >= r.attempts.size()) return;
-        Attempt& a = r.attempts[static_cast<std::size_t>(end.attempt)];
-        if (!a.in_flight) return;
-        a.in_flight = false;
-        a.may_have_run = end.outcome != Outcome::full && end.outcome != Outcome::connect_failed &&
-                         end.outcome != Outcome::moot;
-        --r.in_flight;
-        Upstream& u = upstreams_[a.upstream];
-        if (--u.in_flight == 0) std::erase(busy_, a.upstream);
-        if (end.outcome != Outcome::moot) {  // one that never ran says nothing of the upstream
-            u.idle_since = now;
-            u.linked = true;
-            u.refused = end.outcome == Outcome::connect_failed;
-            if (a.first) refused_links_.learn(u.refused, age_weight, now, decay_us());
+        const std::size_t slot = find_slot(end.request);
+        if (slot == no_index) return;
+        OpenRequest& open = open_requests_[slot];
+        if (end.attempt < 0 || static_cast<std::size_t>(end.attempt) >= open.attempts.size()) return;
+        Attempt& attempt = open.attempts[static_cast<std::size_t>(end.attempt)];
+        if (!attempt.in_flight) return;
+        attempt.in_flight = false;
+        attempt.may_have_executed = end.outcome != Outcome::full && end.outcome != Outcome::connect_failed &&
+                                    end.outcome != Outcome::moot;
+        --open.in_flight;
+        Upstream& upstream = upstreams_[attempt.upstream];
+        if (--upstream.in_flight == 0) std::erase(busy_upstreams_, attempt.upstream);
+        // An attempt that was not executed for a reason on the balancer's side says nothing about the
+        // upstream.
+        if (end.outcome != Outcome::moot) {
+            upstream.last_outcome_at = now;
+            upstream.connected = true;
+            upstream.last_connect_failed = end.outcome == Outcome::connect_failed;
+            if (attempt.opened_connection)
+                connect_failure_rate_.update(upstream.last_connect_failed, connection_outcome_weight, now,
+                                             decay_time_us());
         }
-        close_idle(u);
-        learn_age(a.age, end, classes_[class_of(r)].t1_us, now);
-        count_held(now);
-        const std::size_t c = class_of(r);
+        close_idle(upstream);
+        update_connection_age(attempt.connection_age, end,
+                              class_states_[class_index_of(open)].retry_timeout_us, now);
+        update_in_flight(now);
+        const std::size_t class_index = class_index_of(open);
         if (end.outcome == Outcome::ok) {
-            learn_latency(c, us(end.latency));
-            learn_capacity(u, us(end.latency), a.ours, c);
+            update_latency(class_index, us(end.latency));
+            update_capacity(upstream, us(end.latency), attempt.own_in_flight, class_index);
         }
-        learn_service(u, end.outcome, c, now);
-        learn_room(end, c, a.sent_at, now);
-        if (end.outcome != Outcome::moot) learn_full(u, end.outcome == Outcome::full, now);
-        learn_delay(u, end, c, now);
-        learn_health(u, end.outcome, c, now);
-        if (end.closed) r.done = true;
-        if (r.done) {
+        update_class_health(upstream, end.outcome, class_index, now);
+        update_concurrency_limit(end, class_index, attempt.sent_at, now);
+        if (end.outcome != Outcome::moot) update_rejections(upstream, end.outcome == Outcome::full, now);
+        update_delay(upstream, end, class_index, now);
+        update_health(upstream, end.outcome, class_index, now);
+        if (end.closed) open.finished = true;
+        if (open.finished) {
             if (end.outcome == Outcome::ok) cancel_in_flight(slot);
-            release_if_over(slot);
+            release_if_finished(slot);
             return;
         }
-        if (r.in_flight > 0) return;
-        if (!may_try_again(r, now)) {
+        if (open.in_flight > 0) return;
+        if (!may_retry_anywhere(open, now)) {
             finish(slot);
             return;
         }
-        // Guards against small waiting rooms that many balancers fill unseen by each other: what was turned
-        // away without having run goes on through the gate without a gap, for its first attempts only.
-        const bool elsewhere = !a.may_have_run && !r.request.pinned;
-        if (elsewhere && r.attempts.size() <= at_once && send_retry(slot, now)) return;
-        wait_gap(slot, a.sent_at, now);
-    }
-
-    // Is there any upstream to which a further attempt would be allowed?
-    bool may_try_again(const Open& r, Time now) const {
-        for (std::size_t i = 0; i < upstreams_.size(); ++i) {
-            if (upstreams_[i].entry.state == UpstreamState::ready && may_send(r, i, now)) return true;
+        // Many balancers can together fill the small queues of upstreams unnoticed. A request that was
+        // rejected without being executed is therefore retried without a back-off, subject to retry
+        // admission, after its first attempts.
+        const bool may_go_elsewhere = !attempt.may_have_executed && !open.request.pinned;
+        if (may_go_elsewhere && open.attempts.size() <= immediate_retries && send_retry(slot, now)) return;
+        wait_backoff(slot, attempt.sent_at, now);
+    }
+
+    // Returns whether a further attempt would be allowed at any upstream.
+    bool may_retry_anywhere(const OpenRequest& open, Time now) const {
+        for (std::size_t index = 0; index < upstreams_.size(); ++index) {
+            if (upstreams_[index].entry.state == UpstreamState::ready && may_send(open, index, now))
+                return true;
         }
         return false;
     }
 
     void on_client_gone(Time, RequestId id) {
-        const std::size_t slot = find_open(id);
-        if (slot == none) return;
-        open_[slot].done = true;
+        const std::size_t slot = find_slot(id);
+        if (slot == no_index) return;
+        open_requests_[slot].finished = true;
         cancel_in_flight(slot);
-        release_if_over(slot);
+        release_if_finished(slot);
     }
 
-    // What can no longer count is cancelled.
+    // Cancels the attempts in flight, whose outcomes no longer matter.
     void cancel_in_flight(std::size_t slot) {
-        Open& r = open_[slot];
-        for (std::size_t a = 0; s_.may_cancel && a < r.attempts.size(); ++a) {
-            if (r.attempts[a].in_flight) actions_.cancel(r.request.id, static_cast<int>(a));
+        OpenRequest& open = open_requests_[slot];
+        for (std::size_t index = 0; settings_.may_cancel && index < open.attempts.size(); ++index) {
+            if (open.attempts[index].in_flight) actions_.cancel(open.request.id, static_cast<int>(index));
         }
     }
 
     void on_timer(Time now, std::uint64_t token) {
         const auto kind = static_cast<TimerKind>(token >> 60);
         const auto serial = static_cast<std::uint32_t>(token);
-        if (kind == TimerKind::ask && serial == ask_serial_) ask(now);
-        if (kind == TimerKind::beat && serial == beat_serial_) beat(now);
+        if (kind == TimerKind::list_request && serial == list_timer_serial_) request_list(now);
+        if (kind == TimerKind::stall_check && serial == stall_check_serial_) schedule_stall_check(now);
         const std::size_t slot = token >> 32 & 0x0fffffffU;
-        if (kind != TimerKind::wake || slot >= open_.size()) return;
-        Open& r = open_[slot];
-        if (r.done || r.wake != serial) return;
-        if (r.in_flight > 0) {
-            overdue(slot, now);
+        if (kind != TimerKind::retry || slot >= open_requests_.size()) return;
+        OpenRequest& open = open_requests_[slot];
+        if (open.finished || open.timer_serial != serial) return;
+        if (open.in_flight > 0) {
+            attempt_overdue(slot, now);
         } else {
-            wake(slot, now);
+            retry_or_wait(slot, now);
         }
     }
 
-    void release_if_over(std::size_t slot) {
-        Open& r = open_[slot];
-        if (!r.done || r.in_flight > 0) return;
-        by_id_.erase(r.request.id);
-        ++r.wake;  // timers still out no longer count
-        free_.push_back(slot);
+    void release_if_finished(std::size_t slot) {
+        OpenRequest& open = open_requests_[slot];
+        if (!open.finished || open.in_flight > 0) return;
+        slot_by_request_.erase(open.request.id);
+        ++open.timer_serial;  // invalidates timers that are still set
+        free_slots_.push_back(slot);
     }
 
-    std::size_t find_open(RequestId id) const {
-        const auto found = by_id_.find(id);
-        return found == by_id_.end() ? none : found->second;
+    std::size_t find_slot(RequestId id) const {
+        const auto found = slot_by_request_.find(id);
+        return found == slot_by_request_.end() ? no_index : found->second;
     }
 
-    std::size_t class_of(const Open& r) const { return static_cast<std::size_t>(r.request.class_index); }
+    std::size_t class_index_of(const OpenRequest& open) const {
+        return static_cast<std::size_t>(open.request.class_index);
+    }
 
-    // -------------------------------------------------------------------------------------- 5. health
+    // --- Outlier ejection ---
 
-    // Gets ordinary traffic: not put out, and not silent while work of ours is waiting there.
-    bool fit(const Upstream& u, Time now) const { return !u.out && !silent(u, now); }
+    // Returns whether the upstream may get ordinary traffic: it is not ejected, and not silent while attempts
+    // wait there.
+    bool is_healthy(const Upstream& upstream, Time now) const {
+        return !upstream.out && !is_silent(upstream, now);
+    }
 
-    // Guards against upstreams that take work and answer none: two of the longest T1 without an answer.
-    bool silent(const Upstream& u, Time now) const {
-        return u.in_flight > 1 &&
-               us(now - std::max(u.answered_at, u.busy_since)) > silence_t1s * longest_t1_us_;
+    // Returns whether the upstream accepts requests but has answered none for a while.
+    bool is_silent(const Upstream& upstream, Time now) const {
+        return upstream.in_flight > 1 && us(now - std::max(upstream.answered_at, upstream.busy_since)) >
+                                             silence_timeouts * max_retry_timeout_us_;
     }
 
-    void learn_health(Upstream& u, Outcome outcome, std::size_t c, Time now) {
-        // A time-out says something of the upstream only while nothing else is answered there.
-        const bool lone = u.answered_at + micros(classes_[c].t1_us) < now;
+    // Counts the consecutive failures of an upstream and reinstates it when it answers.
+    void update_health(Upstream& upstream, Outcome outcome, std::size_t class_index, Time now) {
+        // A time-out counts against the upstream only if it has answered nothing else for a retry timeout.
+        const bool unanswered_since =
+            upstream.answered_at + micros(class_states_[class_index].retry_timeout_us) < now;
         if (outcome == Outcome::cancelled || outcome == Outcome::moot) return;
-        if (outcome == Outcome::timeout && !lone) return;
-        const bool refused = outcome == Outcome::connect_failed;
-        if (!refused && outcome != Outcome::timeout && outcome != Outcome::reset) u.answered_at = now;
+        if (outcome == Outcome::timeout && !unanswered_since) return;
+        const bool connect_failed = outcome == Outcome::connect_failed;
+        if (!connect_failed && outcome != Outcome::timeout && outcome != Outcome::reset)
+            upstream.answered_at = now;
         if (outcome == Outcome::ok) {
-            u.answer_rate = {u.answer_rate.now(now, rate_window_us()) + 1e6 / rate_window_us(), now};
-            if (u.out) come_back(u, now);
-            u.strikes = 0;
+            upstream.answer_rate = {
+                upstream.answer_rate.decayed(now, rate_window_us()) + 1e6 / rate_window_us(), now};
+            if (upstream.out) reinstate(upstream, now);
+            upstream.strikes = 0;
             return;
         }
-        // Full refusals count: guards against upstreams that turn everything away, at once and so
-        // attractively.
-        u.died = u.died || refused;
-        strike(u, refused ? hard_strikes : 1, now);
-    }
-
-    // Guards against upstreams that fail one class and serve the others as usual, whose answers clear every
-    // strike: one that loses most of a class, and far more of it than is lost on the whole, gets none of it
-    // for a while. Could harm where most upstreams fail the class, so its own loss sets the measure.
-    void learn_service(Upstream& u, Outcome outcome, std::size_t c, Time now) {
-        const bool lost = outcome == Outcome::timeout || outcome == Outcome::error;
-        if (!lost && outcome != Outcome::ok) return;
-        classes_[c].lost += crowding_weight * (lost - classes_[c].lost);
-        Service& service = u.services[c];
-        service.lost += lost_weight * (lost - service.lost);
-        if (lost && service.lost > std::max(lost_share, lost_more * classes_[c].lost)) {
-            service.out_until = now + longest_penalty();
+        // Rejections count as failures: an upstream that rejects everything answers at once and would attract
+        // requests.
+        upstream.died = upstream.died || connect_failed;
+        record_failure(upstream, connect_failed ? connect_failure_weight : 1, now);
+    }
+
+    // Ejects an upstream for one class if it loses most of that class's attempts and far more than the
+    // upstreams on the whole. The answers to other classes would otherwise reset its consecutive failures.
+    // The comparison with the class's loss over all upstreams prevents ejections where most upstreams fail
+    // the class.
+    void update_class_health(Upstream& upstream, Outcome outcome, std::size_t class_index, Time now) {
+        const bool failed = outcome == Outcome::timeout || outcome == Outcome::error;
+        if (!failed && outcome != Outcome::ok) return;
+        class_states_[class_index].loss += congestion_weight * (failed - class_states_[class_index].loss);
+        ClassHealth& health = upstream.class_health[class_index];
+        health.loss += class_loss_weight * (failed - health.loss);
+        if (failed && health.loss > std::max(class_ejection_loss,
+                                             class_ejection_ratio * class_states_[class_index].loss)) {
+            health.ejected_until = now + max_ejection_time();
         }
     }
 
-    void strike(Upstream& u, int weight, Time now) {
-        u.trial = false;
-        u.strikes += weight;
-        if ((u.strikes < max_strikes && !u.out) || !u.ring) return;
-        if (!u.out) note(now, "upstream put out", u);
-        if (u.out && now < u.out_until) return;
-        out_ += !u.out;
-        u.out = true;
-        u.out_until = now + u.penalty;
-        u.penalty = std::min(micros(us(u.penalty) * penalty_growth), longest_penalty());
-    }
-
-    Micros first_penalty() const { return micros(decay_us()); }
-    Micros longest_penalty() const {
-        return std::max(first_penalty(), micros(us(s_.ramp_time) * share_of_ramp_out));
-    }
-
-    // Failed connections, and again when it was tried: perhaps a new process, cold until the list knows.
-    void come_back(Upstream& u, Time now) {
-        note(now, "upstream back", u);
-        const bool dead = u.died && u.strikes >= max_strikes + hard_strikes;
-        const bool cold = u.cold->since > Time{} && now - u.cold->since < s_.ramp_time;
-        if (dead && !cold) begin_cold(u, now, now);
-        readmit(u);
-    }
-
-    void readmit(Upstream& u) {
-        out_ -= u.out;
-        u.out = u.died = u.trial = false;
-        u.strikes = 0;
-        u.penalty = first_penalty();
-    }
-
-    // An upstream put out is tried again when its time is up: by a probe where they are allowed, else by one
-    // request, if possible of a class that may be sent again.
-    std::size_t find_trial(const Open& r, Time now) {
-        for (std::size_t i = 0; i < upstreams_.size(); ++i) {
-            Upstream& u = upstreams_[i];
-            if (!u.out || u.trial || now < u.out_until) continue;
-            if (!may_send(r, i, now) || !may_get_new_work(u, now)) continue;
-            if (s_.may_probe) {
-                u.trial = true;
-                u.cold->tokens -= 1;
-                actions_.probe(u.entry.id);
-            } else if (u.died || s_.classes[class_of(r)].effect == Effect::safe) {
-                u.out_until = now + u.penalty;
-                return i;
+    // Counts a failure and ejects the upstream after enough of them. A failed probe extends the ejection.
+    void record_failure(Upstream& upstream, int weight, Time now) {
+        upstream.probing = false;
+        upstream.strikes += weight;
+        if ((upstream.strikes < failures_to_eject && !upstream.out) || !upstream.ring) return;
+        if (!upstream.out) log_health(now, "upstream put out", upstream);
+        if (upstream.out && now < upstream.out_until) return;
+        ejected_count_ += !upstream.out;
+        upstream.out = true;
+        upstream.out_until = now + upstream.next_ejection_time;
+        upstream.next_ejection_time =
+            std::min(micros(us(upstream.next_ejection_time) * ejection_growth), max_ejection_time());
+    }
+
+    Micros min_ejection_time() const { return micros(decay_time_us()); }
+    Micros max_ejection_time() const {
+        return std::max(min_ejection_time(), micros(us(settings_.ramp_time) * max_ejection_share));
+    }
+
+    // Reinstates an ejected upstream. If its connections failed, and failed again when it was probed, it may
+    // be a new process, which counts as cold until the list reports its start.
+    void reinstate(Upstream& upstream, Time now) {
+        log_health(now, "upstream reinstated", upstream);
+        const bool probably_restarted =
+            upstream.died && upstream.strikes >= failures_to_eject + connect_failure_weight;
+        const bool already_cold =
+            upstream.slow_start->since > Time{} && now - upstream.slow_start->since < settings_.ramp_time;
+        if (probably_restarted && !already_cold) begin_slow_start(upstream, now, now);
+        clear_ejection(upstream);
+    }
+
+    void clear_ejection(Upstream& upstream) {
+        ejected_count_ -= upstream.out;
+        upstream.out = upstream.died = upstream.probing = false;
+        upstream.strikes = 0;
+        upstream.next_ejection_time = min_ejection_time();
+    }
+
+    // Finds an ejected upstream that is due for a probe. Where probes are allowed, sends a probe and returns
+    // nothing. Otherwise returns the upstream that gets this request as its probe. Only a request that is
+    // safe to repeat is used as a probe, or any request if the upstream's connections failed.
+    std::size_t find_probe_target(const OpenRequest& open, Time now) {
+        for (std::size_t index = 0; index < upstreams_.size(); ++index) {
+            Upstream& upstream = upstreams_[index];
+            if (!upstream.out || upstream.probing || now < upstream.out_until) continue;
+            if (!may_send(open, index, now) || !may_get_new_work(upstream, now)) continue;
+            if (settings_.may_probe) {
+                upstream.probing = true;
+                upstream.slow_start->tokens -= 1;
+                actions_.probe(upstream.entry.id);
+            } else if (upstream.died || settings_.classes[class_index_of(open)].effect == Effect::safe) {
+                upstream.out_until = now + upstream.next_ejection_time;
+                return index;
             }
         }
-        return none;
+        return no_index;
     }
 
     void on_probe_result(Time now, const ProbeResult& result) {
-        const auto found = index_.find(result.upstream);
-        if (found == index_.end()) return;
-        Upstream& u = upstreams_[found->second];
-        u.trial = false;
-        if (!u.out) return;
+        const auto found = index_by_id_.find(result.upstream);
+        if (found == index_by_id_.end()) return;
+        Upstream& upstream = upstreams_[found->second];
+        upstream.probing = false;
+        if (!upstream.out) return;
         if (result.outcome == Outcome::ok) {
-            u.answered_at = now;
-            come_back(u, now);
+            upstream.answered_at = now;
+            reinstate(upstream, now);
         } else {
-            strike(u, 1, now);
+            record_failure(upstream, 1, now);
         }
     }
 
-    void note(Time now, const char* what, const Upstream& u) {
-        if (noted_ && now - *noted_ < log_gap) return;
-        noted_ = now;
-        actions_.log(std::string(what) + ": zone " + std::to_string(u.entry.zone) + ", strikes " +
-                     std::to_string(u.strikes));
-    }
-
-    // --------------------------------------------------------------------------------- 6. cold budget
-
-    // Guards against a first part from each module that shares the account: those that hear of a start which
-    // it knows, or of an earlier one, may only lower what is left.
-    void begin_cold(Upstream& u, Time since, Time now) {
-        const double part = random_.unit();
-        const bool known = u.cold.use_count() > 1 && since <= u.cold->since;
-        if (!known) *u.cold = {{part, now}, since};
-        u.cold->tokens = std::min(u.cold->tokens, part);
-        u.answer_rate.value = 0;
-    }
-
-    // Share of its capacity that an upstream has at least by now; 1 when warm.
-    double warmth(const Upstream& u, Time now) const {
-        if (u.cold->since <= Time{} || s_.ramp_time <= Micros{0}) return 1;
-        const double age = us(now - u.cold->since) / us(s_.ramp_time);
-        return age >= 1 ? 1 : s_.cold_share + (1 - s_.cold_share) * std::max(age, 0.0);
-    }
-
-    // A cold upstream gets its warmth's share of what warm ones answer for us, counted over half the fall
-    // span. Guards against many balancers that each send it just one request as soon as they hear of it: the
-    // budget starts at a chance part of a request and fills no faster than our own part of the upstream's
-    // work, however little that is.
-    bool cold_budget_left(Upstream& u, Time now) {
-        const double share = warmth(u, now);
-        if (share >= 1 || s_.fall_span <= Micros{0}) return true;
-        const double rate = share * std::max(warm_rate(u, now), least_rate());
-        const double most = std::max(1.0, rate * us(s_.fall_span) / 2e6);
-        return fill(*u.cold, rate * us(now - u.cold->filled_at) / 1e6, most, now);
-    }
-
-    // Requests a second of ours that a warm upstream serves at least: one in the longest aim for all
-    // balancers together, or it could keep no aim.
-    double least_rate() const {
-        Micros longest{};
-        for (std::size_t c = 0; c < listed_; ++c) longest = std::max(longest, s_.classes[c].aim);
-        return 1e6 / us(longest) / s_.balancers;
-    }
-
-    double rate_window_us() const { return std::max(us(s_.ramp_time) / 2, 1e6); }
-
-    // Answers a second that a warm upstream gives this balancer: those of the same kind in the zone, or in
-    // the others, else all there. Guards against balancers that each use a few: those that one never uses
-    // count as well, or all budgets together are as many times too large.
-    double warm_rate(const Upstream& like, Time now) {
-        const auto kind = 2 * static_cast<std::size_t>(std::max(0, like.entry.kind)) + in_home_zone(like);
-        if (warm_rates_.size() <= kind) warm_rates_.resize(kind + 1);
-        Fading& known = warm_rates_[kind];
-        if (known.at > Time{} && now - known.at < s_.fall_span / 8) return known.value;
+    void log_health(Time now, const char* event, const Upstream& upstream) {
+        if (last_logged_at_ && now - *last_logged_at_ < min_log_interval) return;
+        last_logged_at_ = now;
+        actions_.log(std::string(event) + ": zone " + std::to_string(upstream.entry.zone) + ", strikes " +
+                     std::to_string(upstream.strikes));
+    }
+
+    // --- Slow start ---
+
+    // Starts the slow start of an upstream with a random first part of a token. Policies that share the
+    // bucket must not each add a first part: for a start that the bucket already knows, or an earlier one,
+    // the tokens can only decrease.
+    void begin_slow_start(Upstream& upstream, Time started_at, Time now) {
+        const double initial_tokens = random_.unit();
+        const bool known = upstream.slow_start.use_count() > 1 && started_at <= upstream.slow_start->since;
+        if (!known) *upstream.slow_start = {{initial_tokens, now}, started_at};
+        upstream.slow_start->tokens = std::min(upstream.slow_start->tokens, initial_tokens);
+        upstream.answer_rate.value = 0;
+    }
+
+    // Returns the least fraction of its capacity that an upstream has reached; 1 when it is warm.
+    double warm_up_fraction(const Upstream& upstream, Time now) const {
+        if (upstream.slow_start->since <= Time{} || settings_.ramp_time <= Micros{0}) return 1;
+        const double age = us(now - upstream.slow_start->since) / us(settings_.ramp_time);
+        return age >= 1 ? 1 : settings_.cold_share + (1 - settings_.cold_share) * std::max(age, 0.0);
+    }
+
+    // Returns whether the slow-start bucket has a token. The bucket fills at the warm-up fraction of the rate
+    // at which warm upstreams answer this balancer, and holds what comes in half of fall_span. Many balancers
+    // that each send just one request on hearing of a start would overload the upstream: the bucket therefore
+    // starts with a random part of a token, and fills no faster than this balancer's own part of the
+    // upstream's work, however small.
+    bool slow_start_allows(Upstream& upstream, Time now) {
+        const double fraction = warm_up_fraction(upstream, now);
+        if (fraction >= 1 || settings_.fall_span <= Micros{0}) return true;
+        const double rate = fraction * std::max(warm_rate(upstream, now), min_warm_rate());
+        const double capacity = std::max(1.0, rate * us(settings_.fall_span) / 2e6);
+        return refill(*upstream.slow_start, rate * us(now - upstream.slow_start->filled_at) / 1e6, capacity,
+                      now);
+    }
+
+    // Returns the least rate at which a warm upstream answers this balancer: one request per longest aim for
+    // all balancers together, because a slower upstream could meet no aim.
+    double min_warm_rate() const {
+        Micros max_aim{};
+        for (std::size_t class_index = 0; class_index < listed_classes_; ++class_index)
+            max_aim = std::max(max_aim, settings_.classes[class_index].aim);
+        return 1e6 / us(max_aim) / settings_.balancers;
+    }
+
+    double rate_window_us() const { return std::max(us(settings_.ramp_time) / 2, 1e6); }
+
+    // Returns the answers per second that a warm upstream gives this balancer: the mean over the upstreams of
+    // the same kind in the zone (or outside, like the reference), else over all there. Upstreams that this
+    // balancer never uses count too. Otherwise balancers that each use a few upstreams would together send a
+    // multiple of the intended load.
+    double warm_rate(const Upstream& reference, Time now) {
+        const auto group =
+            2 * static_cast<std::size_t>(std::max(0, reference.entry.kind)) + in_home_zone(reference);
+        if (warm_rates_.size() <= group) warm_rates_.resize(group + 1);
+        DecayingValue& cached = warm_rates_[group];
+        if (cached.updated_at > Time{} && now - cached.updated_at < settings_.fall_span / 8)
+            return cached.value;
         double sum[2] = {0, 0};
         int count[2] = {0, 0};
-        for (const auto& u : upstreams_) {
-            if (u.entry.state != UpstreamState::ready || u.out || warmth(u, now) < 1) continue;
-            if (in_home_zone(u) != in_home_zone(like)) continue;
-            const double rate = u.answer_rate.now(now, rate_window_us());
-            const int same = u.entry.kind == like.entry.kind;
-            sum[same] += rate;
-            ++count[same];
+        for (const auto& upstream : upstreams_) {
+            if (upstream.entry.state != UpstreamState::ready || upstream.out ||
+                warm_up_fraction(upstream, now) < 1)
+                continue;
+            if (in_home_zone(upstream) != in_home_zone(reference)) continue;
+            const double rate = upstream.answer_rate.decayed(now, rate_window_us());
+            const int same_kind = upstream.entry.kind == reference.entry.kind;
+            sum[same_kind] += rate;
+            ++count[same_kind];
         }
-        known = {count[1] > 0 ? sum[1] / count[1] : count[0] > 0 ? sum[0] / count[0] : 0, now};
-        return known.value;
-    }
-
-    // ------------------------------------------------------------------------------------- 7. refusal
-
-    // Rule 2: a refusal promises that trying again is harmless.
-    bool may_refuse(const Open& r) const {
-        const ClassSettings& c = s_.classes[class_of(r)];
-        if (c.effect == Effect::safe || (c.effect == Effect::keyed && c.group == Group::all)) return true;
-        return std::none_of(r.attempts.begin(), r.attempts.end(),
-                            [](const Attempt& a) { return a.may_have_run; });
-    }
-
-    // Latency beyond which a request is not sent: its own aim, or what it must leave free for the classes
-    // that are worth more for their work.
-    double patience_us(const Open& r) const {
-        const double own = density(r);
-        double patience = us(s_.classes[class_of(r)].aim);
-        for (std::size_t d = 0; d < listed_; ++d) {
-            if (density(d) <= own) continue;
-            patience = std::min(patience, share_beside(own, density(d)) * us(s_.classes[d].aim));
+        cached = {count[1] > 0 ? sum[1] / count[1] : count[0] > 0 ? sum[0] / count[0] : 0, now};
+        return cached.value;
+    }
+
+    // --- Load shedding ---
+
+    // Invariant 2: returns whether the request may be refused, which promises that a retry is harmless.
+    bool may_refuse(const OpenRequest& open) const {
+        const ClassSettings& class_settings = settings_.classes[class_index_of(open)];
+        if (class_settings.effect == Effect::safe ||
+            (class_settings.effect == Effect::keyed && class_settings.group == Group::all))
+            return true;
+        return std::none_of(open.attempts.begin(), open.attempts.end(),
+                            [](const Attempt& attempt) { return attempt.may_have_executed; });
+    }
+
+    // Returns the latency above which a request is not sent: its own aim, or less where it must leave
+    // capacity free for classes with a higher worth density.
+    double latency_budget_us(const OpenRequest& open) const {
+        const double own = worth_density(open);
+        double budget = us(settings_.classes[class_index_of(open)].aim);
+        for (std::size_t other = 0; other < listed_classes_; ++other) {
+            if (worth_density(other) <= own) continue;
+            budget =
+                std::min(budget, class_share(own, worth_density(other)) * us(settings_.classes[other].aim));
         }
-        return patience;
+        return budget;
     }
 
-    // Share of an upstream's room that a request may fill: all of it for the class worth most for its work.
-    double precedence(const Open& r) const {
-        const double own = density(r);
-        double most = own;
-        for (std::size_t d = 0; d < listed_; ++d) most = std::max(most, density(d));
-        return share_beside(own, most);
+    // Returns the fraction of the concurrency limits that a request may use: all for the highest worth
+    // density.
+    double limit_share(const OpenRequest& open) const {
+        const double own = worth_density(open);
+        double highest = own;
+        for (std::size_t other = 0; other < listed_classes_; ++other)
+            highest = std::max(highest, worth_density(other));
+        return class_share(own, highest);
     }
 
-    // Guards against a tenant that crowds out the others: what it sends beyond its share counts
-    // `over_share_worth` in the order of shedding. A bucket filled at this balancer's part of the quota
-    // tells; the part is the largest that it can have, with as few balancers in its zone as there may be.
-    double worth_within_share(const Request& request, Time now) {
-        if (!request.tenant || static_cast<std::size_t>(*request.tenant) >= shares_.size()) return 1;
+    // Returns the factor on the worth of a request: requests beyond their tenant's quota count
+    // `over_share_worth` in load shedding, so that one tenant cannot crowd out the others. A token bucket
+    // measures the quota. It fills at the largest part of the quota that this balancer can have, with as few
+    // balancers in its zone as possible.
+    double worth_within_quota(const Request& request, Time now) {
+        if (!request.tenant || static_cast<std::size_t>(*request.tenant) >= tenant_buckets_.size()) return 1;
         const auto tenant = static_cast<std::size_t>(*request.tenant);
-        const double part = 1.0 / (s_.zones * std::max(1, s_.balancers / s_.zones));
-        const double per_us = s_.tenants[tenant].quota_per_s * part / 1e6;
-        if (per_us <= 0) return 1;
-        TokenBucket& share = shares_[tenant];
-        const double gained = per_us * us(now - share.filled_at);
-        if (!fill(share, gained, std::max(1.0, per_us * us(share_span)), now)) return s_.over_share_worth;
-        share.tokens -= 1;
+        const double balancer_share =
+            1.0 / (settings_.zones * std::max(1, settings_.balancers / settings_.zones));
+        const double quota_per_us = settings_.tenants[tenant].quota_per_s * balancer_share / 1e6;
+        if (quota_per_us <= 0) return 1;
+        TokenBucket& bucket = tenant_buckets_[tenant];
+        const double gained_tokens = quota_per_us * us(now - bucket.filled_at);
+        if (!refill(bucket, gained_tokens, std::max(1.0, quota_per_us * us(tenant_burst_span)), now))
+            return settings_.over_share_worth;
+        bucket.tokens -= 1;
         return 1;
     }
 
-    // What a class may use of that which a denser one needs.
-    double share_beside(double density, double denser) const {
-        const double least = for_so_many(least_patience, least_patience_alone);
-        return least + (1 - least) * density / denser;
+    // Returns the fraction that a class may use of what a class with a higher worth density needs.
+    double class_share(double own_density, double highest_density) const {
+        const double min_share = by_balancer_count(min_class_share, min_class_share_single);
+        return min_share + (1 - min_share) * own_density / highest_density;
     }
 
-    // The fewer balancers there are, the more of what upstreams hold is ours and known: less is kept free.
-    double for_so_many(double many, double alone) const { return many + (alone - many) / s_.balancers; }
+    // Interpolates by the number of balancers. The fewer there are, the more of an upstream's load is this
+    // balancer's own and known, and the less must be kept free.
+    double by_balancer_count(double with_many, double with_one) const {
+        return with_many + (with_one - with_many) / settings_.balancers;
+    }
 
-    // Worth for the work: latency stands for the work, as waiting is the same for all. A class not yet
-    // answered counts as the longest that it may usefully take, or it would keep room from all others.
-    double density(std::size_t c) const {
-        const double work = classes_[c].answers == 0 ? us(s_.classes[c].aim) : classes_[c].latency_us;
-        return s_.classes[c].worth / std::max(1.0, work);
+    // Returns the worth per work. Latency stands for work, because waiting is the same for all classes. A
+    // class without answers counts with its aim as work; otherwise it would keep capacity from all others.
+    double worth_density(std::size_t class_index) const {
+        const double work = class_states_[class_index].answers == 0 ? us(settings_.classes[class_index].aim)
+                                                                    : class_states_[class_index].latency_us;
+        return settings_.classes[class_index].worth / std::max(1.0, work);
     }
 
-    double density(const Open& r) const { return density(class_of(r)) * r.worth; }
+    double worth_density(const OpenRequest& open) const {
+        return worth_density(class_index_of(open)) * open.worth_factor;
+    }
 
-    // No upstream has room for an original: sending it would only make others late. It waits a gap like a
-    // gated retry if it can still be in time after that, else it is refused while that is cheap.
-    void turn_away(std::size_t slot, Time now) {
-        const Open& r = open_[slot];
-        const double early = us(s_.classes[class_of(r)].aim) * (jammed_ ? early_share_jam : early_share);
-        const double most = std::min(early, us(r.request.deadline - r.arrived_at) * early_most);
-        if (upstreams_.empty() || us(now - r.arrived_at + gap(r)) < most) {
-            wait_gap(slot, now, now);
+    // Handles an original for which no upstream has capacity; sending it would only make other requests late.
+    // It waits for a back-off if it can still be in time after that. Otherwise it is refused early.
+    void defer_or_finish(std::size_t slot, Time now) {
+        const OpenRequest& open = open_requests_[slot];
+        const double aim_wait_us = us(settings_.classes[class_index_of(open)].aim) *
+                                   (limit_reached_ ? wait_share_at_limit : wait_share);
+        const double max_wait_us =
+            std::min(aim_wait_us, us(open.request.deadline - open.arrived_at) * wait_share_of_client_time);
+        if (upstreams_.empty() || us(now - open.arrived_at + backoff(open)) < max_wait_us) {
+            wait_backoff(slot, now, now);
         } else {
             finish(slot);
         }
     }
 
-    // The balancer's own final answer. Advice: by one lone latency a place may be free; more misses the aim.
+    // Gives this balancer's own final answer. The advised retry delay is one base latency: by then capacity
+    // may be free, and a longer delay would miss the aim.
     void finish(std::size_t slot) {
-        Open& r = open_[slot];
-        if (r.done) return;
-        r.done = true;
-        if (may_refuse(r)) {
-            const Micros advice = std::min(micros(base_us(class_of(r))), s_.max_retry_after);
-            actions_.refuse(r.request.id, s_.retry_after ? advice : Micros{0});
+        OpenRequest& open = open_requests_[slot];
+        if (open.finished) return;
+        open.finished = true;
+        if (may_refuse(open)) {
+            const Micros retry_after =
+                std::min(micros(base_latency_us(class_index_of(open))), settings_.max_retry_after);
+            actions_.refuse(open.request.id, settings_.retry_after ? retry_after : Micros{0});
         } else {
-            actions_.fail(r.request.id);
+            actions_.fail(open.request.id);
         }
         cancel_in_flight(slot);
-        release_if_over(slot);
+        release_if_finished(slot);
     }
 
 private:
-    static void check_settings(const Settings& s) {
-        const auto require = [](bool holds, const std::string& what) {
-            if (!holds) throw std::invalid_argument("settings: " + what);
+    static void check_settings(const Settings& settings) {
+        const auto require = [](bool condition, const std::string& what) {
+            if (!condition) throw std::invalid_argument("settings: " + what);
         };
-        require(s.balancers >= 1, "balancers must be at least 1");
-        require(s.rank >= 0 && s.rank < s.balancers, "rank must be below balancers");
-        require(s.zones >= 1 && s.zone >= 0 && s.zone < s.zones, "zone must be one of zones");
-        require(s.tick > Micros{0}, "tick must be positive");
-        require(!s.classes.empty(), "classes must not be empty");
-        require(s.max_attempts >= 1, "max_attempts must be at least 1");
-        require(s.cold_share > 0 && s.cold_share <= 1, "cold_share must be above 0 and at most 1");
-        require(s.drain_close >= Micros{0}, "drain_close must not be negative");
-        require(s.ramp_time >= Micros{0}, "ramp_time must not be negative");
-        require(s.fall_span >= Micros{0}, "fall_span must not be negative");
-        require(s.fall_span == Micros{0} || s.fall_multiple > 0, "fall_multiple must be positive");
-        require(!s.must_ask_list || s.ask_within > Micros{0}, "ask_within must be positive");
-        for (const auto& c : s.classes) {
-            require(c.aim > Micros{0}, c.name + ": aim must be positive");
-            require(c.deadline >= c.aim, c.name + ": deadline must not be below aim");
-            require(c.effect != Effect::keyed || c.window > Micros{0}, c.name + ": window must be positive");
+        require(settings.balancers >= 1, "balancers must be at least 1");
+        require(settings.rank >= 0 && settings.rank < settings.balancers, "rank must be below balancers");
+        require(settings.zones >= 1 && settings.zone >= 0 && settings.zone < settings.zones,
+                "zone must be one of zones");
+        require(settings.tick > Micros{0}, "tick must be positive");
+        require(!settings.classes.empty(), "classes must not be empty");
+        require(settings.max_attempts >= 1, "max_attempts must be at least 1");
+        require(settings.cold_share > 0 && settings.cold_share <= 1,
+                "cold_share must be above 0 and at most 1");
+        require(settings.drain_close >= Micros{0}, "drain_close must not be negative");
+        require(settings.ramp_time >= Micros{0}, "ramp_time must not be negative");
+        require(settings.fall_span >= Micros{0}, "fall_span must not be negative");
+        require(settings.fall_span == Micros{0} || settings.fall_multiple > 0,
+                "fall_multiple must be positive");
+        require(!settings.must_ask_list || settings.ask_within > Micros{0}, "ask_within must be positive");
+        for (const auto& class_settings : settings.classes) {
+            require(class_settings.aim > Micros{0}, class_settings.name + ": aim must be positive");
+            require(class_settings.deadline >= class_settings.aim,
+                    class_settings.name + ": deadline must not be below aim");
+            require(class_settings.effect != Effect::keyed || class_settings.window > Micros{0},
+                    class_settings.name + ": window must be positive");
         }
     }
 
-    Settings s_;
-    std::size_t listed_ = 0;  // classes that the settings name; those behind them are gone
+    Settings settings_;
+    // Number of classes in the settings. Classes behind them remain only for open requests.
+    std::size_t listed_classes_ = 0;
     Actions& actions_;
     Random random_;
-    double longest_t1_us_ = 0;  // over the listed classes
+    double max_retry_timeout_us_ = 0;  // over the listed classes
 
-    std::vector<Upstream> upstreams_;  // in the order in which the list named them
-    std::unordered_map<UpstreamId, std::size_t> index_;
-    bool fresh_ = false;  // a list newer than the cached one has come
-    bool asked_ = false;
+    std::vector<Upstream> upstreams_;  // referred to by index
+    std::unordered_map<UpstreamId, std::size_t> index_by_id_;
+    bool list_is_current_ = false;  // an update newer than the cached list was received
+    bool list_requested_ = false;
     bool subscribed_ = false;
-    double ask_gap_us_ = 0;
-    std::uint32_t ask_serial_ = 0;
-    Time beat_at_{};  // when the next beat is due
-    std::uint32_t beat_serial_ = 0;
-
-    std::vector<std::size_t> home_ring_, away_ring_;  // those listed, in the order in which shares take them
-    std::vector<std::size_t> busy_;                   // those with attempts of ours in flight
-    int out_ = 0;                                     // how many are put out
-    Fading arrivals_;                                 // requests within what is remembered
-
-    bool jammed_ = false;  // the last choice found the room used
-    int ready_ = 0;        // upstreams listed and not put out
-    int in_flight_ = 0;    // attempts of ours at fit upstreams at the last choice
-    double crowding_ = 1;  // smoothed latency as a multiple of the base latency, since the last cut
-    Time cut_at_{};        // when the room was last cut
-    double room_ = 0;      // what in_flight_ may be; 0: not yet known
-    Fading held_;          // in_flight_, smoothed
-    std::vector<Fading> warm_rates_;       // answers a second, by kind and side
-    Fading refused_links_;                 // of attempts to open a connection, those that failed
-    std::array<Fading, ages> unanswered_;  // what got no answer, by the age of its connection
-    std::vector<ClassState> classes_;
-    std::vector<TokenBucket> shares_;  // what each tenant has left within its share
-    std::vector<Open> open_;
-    std::vector<std::size_t> free_;
-    std::unordered_map<RequestId, std::size_t> by_id_;
-    std::vector<std::size_t> home_, away_;  // scratch of fill_pool
-    std::optional<Time> noted_;
+    double list_request_delay_us_ = 0;
+    std::uint32_t list_timer_serial_ = 0;
+    Time next_stall_check_at_{};
+    std::uint32_t stall_check_serial_ = 0;
+
+    // Listed upstreams of the balancer's zone and of the other zones, ordered by id_hash.
+    std::vector<std::size_t> home_ring_, remote_ring_;
+    std::vector<std::size_t> busy_upstreams_;  // those with attempts of this balancer in flight
+    int ejected_count_ = 0;
+    DecayingValue recent_arrivals_;  // number of arrivals, decayed
+
+    bool limit_reached_ = false;        // the last fill_candidates found the concurrency limit reached
+    int available_count_ = 0;           // upstreams that are listed and not ejected
+    int in_flight_ = 0;                 // attempts of this balancer at healthy upstreams, as last counted
+    double congestion_ = 1;             // smoothed ratio of latency to base latency since the last cut
+    Time limit_cut_at_{};               // time of the last cut
+    double concurrency_limit_ = 0;      // upper bound of in_flight_; 0: not yet known
+    DecayingValue smoothed_in_flight_;  // smoothed in_flight_
+    std::vector<DecayingValue> warm_rates_;  // answers per second, by kind and by zone or not
+    DecayingValue connect_failure_rate_;     // fraction of new connections that failed
+    std::array<DecayingValue, connection_age_steps>
+        unanswered_by_age_;  // fraction of attempts without an answer, by age of the connection
+    std::vector<ClassState> class_states_;
+    std::vector<TokenBucket> tenant_buckets_;  // unused quota of each tenant
+    std::vector<OpenRequest> open_requests_;
+    std::vector<std::size_t> free_slots_;
+    std::unordered_map<RequestId, std::size_t> slot_by_request_;
+    std::vector<std::size_t> candidates_, remote_candidates_;  // scratch space of fill_candidates
+    std::optional<Time> last_logged_at_;
 };
 
 Policy::Policy(const Settings& settings, std::uint64_t seed, Time now, Actions& actions)
@@ -1321,12 +1596,12 @@
     impl_->on_list(now, kind, entries);
 }
 void Policy::on_request(Time now, const Request& request) { impl_->on_request(now, request); }
-void Policy::on_started(Time, const AttemptStart&) {}  // it is the client's now; its outcome still comes
+void Policy::on_started(Time, const AttemptStart&) {}  // the client relays it; its outcome still follows
 void Policy::on_attempt_end(Time now, const AttemptEnd& end) { impl_->on_attempt_end(now, end); }
 void Policy::on_client_gone(Time now, RequestId request) { impl_->on_client_gone(now, request); }
 void Policy::on_probe_result(Time now, const ProbeResult& result) { impl_->on_probe_result(now, result); }
 void Policy::on_timer(Time now, std::uint64_t token) { impl_->on_timer(now, token); }
-void Policy::on_message(Time, int, std::string_view) {}  // peers send none yet
+void Policy::on_message(Time, int, std::string_view) {}  // the module sends no messages to peers yet
 std::optional<UpstreamMemory> Policy::learned(UpstreamId upstream) const { return impl_->learned(upstream); }
 
 }  // namespace flaxdoor
