--- a/tests/decide_test.cpp
+++ b/tests/decide_test.cpp
@@ -1,5 +1,5 @@
-// The module's decisions, event by event. Where the code says what it guards against, a test here fails
-// without it.
+// Tests of the decision module's decisions, event by event. Where the code names a failure that it prevents,
+// a test here fails without that code.
 #include <gtest/gtest.h>
 
 #include <array>
@@ -14,61 +14,61 @@
 namespace flaxdoor::test {
 namespace {
 
-// -------------------------------------------------------------------- rules 1 and 2: one request, its answer
+// --- Invariants 1 and 2: one request and its final answer ---
 
 constexpr auto plain = plain_settings;
 Settings with(const std::function<void(Settings&)>& change) {
-    Settings s = plain_settings();
-    change(s);
-    return s;
+    Settings settings = plain_settings();
+    change(settings);
+    return settings;
 }
 Settings one_attempt() {
-    return with([](Settings& s) { s.max_attempts = 1; });
+    return with([](Settings& settings) { settings.max_attempts = 1; });
 }
-Settings one_at_a_time() {
-    return with([](Settings& s) { s.parallel_attempts = false; });
+Settings sequential_attempts() {
+    return with([](Settings& settings) { settings.parallel_attempts = false; });
 }
-Settings late_is_worth_nothing() {
-    return with([](Settings& s) { s.classes[unsafe].late_worth = 0; });
+Settings no_late_worth() {
+    return with([](Settings& settings) { settings.classes[unsafe].late_worth = 0; });
 }
-Settings narrow_window() {
-    return with([](Settings& s) { s.classes[keyed_zone].window = ms(30); });
-}  // no gap fits
+Settings short_window() {
+    return with([](Settings& settings) { settings.classes[keyed_zone].window = ms(30); });
+}  // leaves no time for a back-off
 
-enum class Answered { not_by_us, refused, failed };
+enum class Answered { not_by_balancer, refused, failed };
 
-// One request, how its first attempt ends, and what has come of it by its deadline.
-struct Story {
+// A request, the outcome of its first attempt, and the expected state at its deadline.
+struct Scenario {
     const char* name;
     int class_index;
-    std::optional<Outcome> end;  // none: it does not
+    std::optional<Outcome> end;  // none: the attempt does not end
     std::size_t sends;
     Answered answered;
     Settings (*settings)() = plain;
-    Settings (*changed)() = nullptr;  // before the end
+    Settings (*changed_settings)() = nullptr;  // settings applied before the attempt ends
     Micros ends_after = ms(1);
-    Micros timeout{};  // of its attempt; zero: whatever it is
+    Micros timeout{};  // expected time-out of the attempt; zero: any
     Micros left = ms(1000);
 };
-std::ostream& operator<<(std::ostream& out, const Story& story) { return out << story.name; }
+std::ostream& operator<<(std::ostream& out, const Scenario& scenario) { return out << scenario.name; }
 
-std::vector<Story> stories() {
+std::vector<Scenario> scenarios() {
     using enum Outcome;
     using enum Answered;
     return {
         {"UnknownClass", 77, {}, 0, failed},
         {"NoTimeIsLeft", safe, {}, 0, refused, plain, {}, {}, {}, ms(0)},
-        {"Served", safe, ok, 1, not_by_us},
+        {"Served", safe, ok, 1, not_by_balancer},
         {"ATimeoutAtTheDeadline", unsafe, timeout, 1, failed, plain, {}, ms(1000)},
-        // What may have run is neither sent again nor refused.
+        // A request that may have executed is neither retried nor refused.
         {"UnsafeError", unsafe, error, 1, failed},
         {"UnsafeTimeout", unsafe, timeout, 1, failed},
         {"UnsafeReset", unsafe, reset, 1, failed},
         {"UnsafeCancelled", unsafe, cancelled, 1, failed},
-        // What has not run is sent again.
-        {"UnsafeFull", unsafe, full, 2, not_by_us},
-        {"UnsafeConnectFailed", unsafe, connect_failed, 2, not_by_us},
-        {"UnsafeMoot", unsafe, moot, 2, not_by_us},
+        // A request that was not executed is retried.
+        {"UnsafeFull", unsafe, full, 2, not_by_balancer},
+        {"UnsafeConnectFailed", unsafe, connect_failed, 2, not_by_balancer},
+        {"UnsafeMoot", unsafe, moot, 2, not_by_balancer},
         {"LastError", unsafe, error, 1, failed, one_attempt},
         {"LastTimeout", unsafe, timeout, 1, failed, one_attempt},
         {"LastReset", unsafe, reset, 1, failed, one_attempt},
@@ -78,42 +78,50 @@
         {"LastMoot", unsafe, moot, 1, refused, one_attempt},
         {"LastOfAZone", keyed_zone, error, 1, failed, one_attempt},
         {"LastOfAllUpstreams", keyed_all, error, 1, refused, one_attempt},
-        {"KeyedIsNotSentAfterItsWindow", keyed_zone, error, 1, failed, narrow_window},
-        {"TheWindowGrows", keyed_zone, error, 1, failed, narrow_window, plain_settings},
-        {"TheWindowShrinks", keyed_zone, error, 1, failed, plain, narrow_window},
-        {"NoCopyOfARunningUnsafeOne", unsafe, {}, 1, not_by_us, plain, {}, {}, ms(1000)},
-        {"TheTimerEndsTheAttemptWhereNoCopyMayRun", safe, {}, 1, not_by_us, one_at_a_time, {}, {}, ms(80)},
-        // Guards against upstreams that are held by work which can no longer count: it ends with its aim.
-        {"LateIsWorthNothing", unsafe, timeout, 1, failed, late_is_worth_nothing, {}, ms(100), ms(100)},
-        {"LateCounts", keyed_zone, {}, 1, not_by_us, late_is_worth_nothing, {}, {}, ms(1000)},
+        {"KeyedIsNotSentAfterItsWindow", keyed_zone, error, 1, failed, short_window},
+        {"TheWindowGrows", keyed_zone, error, 1, failed, short_window, plain_settings},
+        {"TheWindowShrinks", keyed_zone, error, 1, failed, plain, short_window},
+        {"NoCopyOfARunningUnsafeOne", unsafe, {}, 1, not_by_balancer, plain, {}, {}, ms(1000)},
+        {"TheTimerEndsTheAttemptWhereNoCopyMayRun",
+         safe,
+         {},
+         1,
+         not_by_balancer,
+         sequential_attempts,
+         {},
+         {},
+         ms(80)},
+        // Work that can no longer earn anything must not hold upstreams: the request ends with its aim.
+        {"LateIsWorthNothing", unsafe, timeout, 1, failed, no_late_worth, {}, ms(100), ms(100)},
+        {"LateCounts", keyed_zone, {}, 1, not_by_balancer, no_late_worth, {}, {}, ms(1000)},
     };
 }
 
-class Stories : public testing::TestWithParam<Story> {};
+class SingleRequest : public testing::TestWithParam<Scenario> {};
 
-TEST_P(Stories, EndAsTheyMust) {
-    const Story& story = GetParam();
-    Rig rig(story.settings());
+TEST_P(SingleRequest, EndsAsExpected) {
+    const Scenario& scenario = GetParam();
+    Rig rig(scenario.settings());
     rig.fleet(3);
-    const Time deadline = rig.now + story.left;
-    const auto id = rig.request(story.class_index, story.left);
-    if (story.timeout > Micros{0}) {
+    const Time deadline = rig.now + scenario.left;
+    const auto id = rig.request(scenario.class_index, scenario.left);
+    if (scenario.timeout > Micros{0}) {
         ASSERT_EQ(rig.sink.submits.size(), 1u);
-        EXPECT_EQ(rig.sink.submits[0].timeout, story.timeout);
+        EXPECT_EQ(rig.sink.submits[0].timeout, scenario.timeout);
     }
-    if (story.changed) rig.policy->on_settings(rig.now, story.changed());
-    rig.run(std::min(deadline, rig.now + story.ends_after));
-    if (story.end) rig.end(id, 0, *story.end, story.ends_after);
+    if (scenario.changed_settings) rig.policy->on_settings(rig.now, scenario.changed_settings());
+    rig.run(std::min(deadline, rig.now + scenario.ends_after));
+    if (scenario.end) rig.end(id, 0, *scenario.end, scenario.ends_after);
     rig.run(deadline);
-    EXPECT_EQ(rig.sink.sends(id), story.sends);
-    EXPECT_EQ(rig.sink.refused.size(), story.answered == Answered::refused ? 1u : 0u);
-    EXPECT_EQ(rig.sink.failed.size(), story.answered == Answered::failed ? 1u : 0u);
+    EXPECT_EQ(rig.sink.sends(id), scenario.sends);
+    EXPECT_EQ(rig.sink.refused.size(), scenario.answered == Answered::refused ? 1u : 0u);
+    EXPECT_EQ(rig.sink.failed.size(), scenario.answered == Answered::failed ? 1u : 0u);
 }
 
-INSTANTIATE_TEST_SUITE_P(Decide, Stories, testing::ValuesIn(stories()),
+INSTANTIATE_TEST_SUITE_P(Decide, SingleRequest, testing::ValuesIn(scenarios()),
                          [](const auto& its) { return its.param.name; });
 
-// ---------------------------------------------------------------------------- rule 1: one answer, in time
+// --- Invariant 1: one final answer, in time ---
 
 TEST(OneAnswer, NoUpstreamAtAll) {
     Rig rig;
@@ -123,7 +131,7 @@
     EXPECT_EQ(rig.sink.answers(id), 1u);
 }
 
-TEST(OneAnswer, UpstreamThatAppearsWhileARequestWaits) {
+TEST(OneAnswer, UpstreamAddedWhileARequestWaitsGetsIt) {
     Rig rig;
     const auto id = rig.request();
     rig.fleet(2);
@@ -131,19 +139,19 @@
     EXPECT_GE(rig.sink.sends(id), 1u);
 }
 
-TEST(OneAnswer, NothingSentAfterTheClientLeft) {
+TEST(OneAnswer, NothingIsSentAfterTheClientLeft) {
     Rig rig;
     rig.fleet(3);
     const auto id = rig.request();
     rig.policy->on_client_gone(rig.now, id);
-    ASSERT_EQ(rig.sink.cancelled.size(), 1u);  // what can no longer count is cancelled
+    ASSERT_EQ(rig.sink.cancelled.size(), 1u);  // its outcome no longer matters
     rig.end(id, 0, Outcome::cancelled);
     rig.run(rig.now + ms(2000));
     EXPECT_EQ(rig.sink.sends(id), 1u);
     EXPECT_EQ(rig.sink.answers(id), 0u);
 }
 
-TEST(OneAnswer, TheRequestsOwnDeadlineCounts) {
+TEST(OneAnswer, RequestDeadlineApplies) {
     Rig rig;
     rig.fleet(3);
     const auto id = rig.request(safe, ms(60));
@@ -152,7 +160,7 @@
     EXPECT_EQ(rig.sink.answers(id) + (rig.sink.sends(id) > 1 ? 1 : 0), 1u);
 }
 
-// --------------------------------------------------------------------------- rule 2: no effect twice
+// --- Invariant 2: no effect twice ---
 
 TEST(NoEffectTwice, KeyedStaysInItsGroup) {
     Rig rig;
@@ -163,9 +171,9 @@
         const auto first = rig.sink.submits.back().upstream;
         rig.end(id, 0, Outcome::reset, ms(1));
         rig.run(rig.now + ms(300));
-        for (const auto& s : rig.sink.submits) {
-            if (s.request == id) {
-                EXPECT_EQ(s.upstream > 100, first > 100);
+        for (const auto& sent : rig.sink.submits) {
+            if (sent.request == id) {
+                EXPECT_EQ(sent.upstream > 100, first > 100);
             }
         }
         rig.policy->on_client_gone(rig.now, id);
@@ -174,8 +182,8 @@
     }
 }
 
-// What ran in a zone ran there, wherever its server's name stands by now.
-TEST(NoEffectTwice, AServerThatMovesDoesNotTakeItsGroupAlong) {
+// An attempt executed in the zone where the upstream was then, wherever the upstream has moved since.
+TEST(NoEffectTwice, MovedUpstreamLeavesItsAttemptsInTheOldGroup) {
     for (const int class_index : {static_cast<int>(keyed_zone), static_cast<int>(keyed_cell)}) {
         Rig rig;
         rig.list(ListKind::full, {Rig::entry(1, 0, UpstreamState::ready, Time{}, 7)});
@@ -197,11 +205,11 @@
     ASSERT_EQ(rig.sink.sends(id), 1u);
     rig.end(id, 0, Outcome::error, ms(1));
     rig.run(rig.now + ms(1000));
-    for (const auto& s : rig.sink.submits) EXPECT_EQ(s.upstream, rig.sink.submits[0].upstream);
+    for (const auto& sent : rig.sink.submits) EXPECT_EQ(sent.upstream, rig.sink.submits[0].upstream);
     EXPECT_TRUE(rig.sink.refused.empty());
 }
 
-// ---------------------------------------------------------------------------------- rule 3: drains kept
+// --- Invariant 3: no new work for draining upstreams; invariant 5: idle connections are closed ---
 
 TEST(Drains, NothingNewToADrainingGoneOrUnlistedUpstream) {
     Rig rig;
@@ -217,15 +225,15 @@
     EXPECT_GE(rig.sink.sends_to(4), 40u);
 }
 
-// Where closing is ruled, idle connections go with the notice, and each one that an outcome frees goes with
-// it.
-TEST(Drains, ConnectionsAreClosedWhenTheyAreIdle) {
-    Settings s = plain_settings();
-    s.drain_close = ms(800);
-    Rig rig(s);
+// With the drain_close rule, idle connections are closed on the notice of the drain, and each connection that
+// an outcome frees is closed with that outcome.
+TEST(Drains, ConnectionsAreClosedWhenIdle) {
+    Settings settings = plain_settings();
+    settings.drain_close = ms(800);
+    Rig rig(settings);
     rig.fleet(1);
     rig.served();
-    const auto out = rig.wave(safe, 2);  // over the aim at most: no copy can go anywhere
+    const auto out = rig.wave(safe, 2);  // runs past the aim at most: no hedge can go anywhere
     ASSERT_EQ(out.size(), 2u);
     EXPECT_TRUE(rig.sink.closed.empty());
     rig.drain({1});
@@ -236,16 +244,17 @@
     rig.now += ms(5);
     rig.end(out[1], 0, Outcome::error);
     EXPECT_EQ(rig.sink.closed, (std::vector<UpstreamId>{1, 1, 1}));
-    rig.list(ListKind::full, {Rig::entry(1, 0, UpstreamState::draining)});  // told again: nothing is left
+    // A repeated notice: no connection is left.
+    rig.list(ListKind::full, {Rig::entry(1, 0, UpstreamState::draining)});
     rig.list(ListKind::full, {});
     EXPECT_EQ(rig.sink.closed.size(), 3u);
 }
 
-TEST(Drains, NothingIsClosedThatWasNotOpenedOrWhereNoRuleSaysSo) {
+TEST(Drains, NothingIsClosedIfNothingIsOpenOrNoRuleApplies) {
     for (const bool told : {false, true}) {
-        Settings s = plain_settings();
-        s.drain_close = told ? ms(800) : ms(0);
-        Rig rig(s);
+        Settings settings = plain_settings();
+        settings.drain_close = told ? ms(800) : ms(0);
+        Rig rig(settings);
         rig.fleet(told ? 0 : 2);
         rig.served();
         rig.drain({1});
@@ -253,49 +262,49 @@
     }
 }
 
-TEST(Drains, RetriesKeepThemToo) {
+TEST(Drains, RetriesAvoidDrainingUpstreams) {
     Rig rig;
     rig.fleet(3);
     const auto id = rig.request();
     const auto first = rig.sink.submits[0].upstream;
     rig.end(id, 0, Outcome::error, ms(1));
-    for (UpstreamId u = 1; u <= 3; ++u) {
-        if (u != first) rig.drain({u});
+    for (UpstreamId id = 1; id <= 3; ++id) {
+        if (id != first) rig.drain({id});
     }
     rig.run(rig.now + ms(1000));
     EXPECT_EQ(rig.sink.sends(id), 1u);
     EXPECT_EQ(rig.sink.answers(id), 1u);
 }
 
-TEST(TheList, AskedAtStartOneInstanceAfterAnother) {
+TEST(UpstreamList, BalancersRequestItOneAfterAnotherAtStart) {
     Time last{};
     for (int rank = 0; rank < 3; ++rank) {
-        Settings s = plain_settings();
-        s.must_ask_list = true;
-        s.ask_within = std::chrono::seconds(10);
-        s.balancers = 3;
-        s.rank = rank;
-        Rig rig(s);
+        Settings settings = plain_settings();
+        settings.must_ask_list = true;
+        settings.ask_within = std::chrono::seconds(10);
+        settings.balancers = 3;
+        settings.rank = rank;
+        Rig rig(settings);
         rig.list(ListKind::cached, {Rig::entry(1)});
-        ASSERT_EQ(rig.sink.timers.size(), 2u);  // the first beat, and the call
+        ASSERT_EQ(rig.sink.timers.size(), 2u);  // the first stall check and the list request
         if (rank > 0) {
             EXPECT_GT(rig.sink.timers[1].first, last);
         }
         last = rig.sink.timers[1].first;
-        rig.run(rig.now + s.ask_within);
+        rig.run(rig.now + settings.ask_within);
         EXPECT_GE(rig.sink.watches, 1);
     }
 }
 
-// Three fit into the 6 s after which a change counts as told, once it could have been heard: however long discovery
-// was away, and whatever the settings give for asking.
-TEST(TheList, FailedCallsAreRepeatedWithGrowingGapsInTime) {
+// Three requests fit into the 6 s within which a balancer must act on a change that it could have received,
+// however long service discovery was unavailable and whatever ask_within is.
+TEST(UpstreamList, FailedRequestsAreRepeatedWithGrowingDelays) {
     for (const int within : {2, 10, 60}) {
         SCOPED_TRACE(within);
-        Settings s = plain_settings();
-        s.must_ask_list = true;
-        s.ask_within = std::chrono::seconds(within);
-        Rig rig(s);
+        Settings settings = plain_settings();
+        settings.must_ask_list = true;
+        settings.ask_within = std::chrono::seconds(within);
+        Rig rig(settings);
         rig.list(ListKind::cached, {Rig::entry(1)});
         rig.run(rig.now);
         std::vector<Time> asked;
@@ -312,14 +321,14 @@
         if (within <= 10) {
             EXPECT_GT(asked[7], asked[0]);
         }
-        rig.list(ListKind::full, {Rig::entry(1)});  // subscribed: no further calls
+        rig.list(ListKind::full, {Rig::entry(1)});  // subscribed: no further requests
         const int before = rig.sink.watches;
         rig.run(rig.now + std::chrono::seconds(60));
         EXPECT_EQ(rig.sink.watches, before);
     }
 }
 
-TEST(TheList, PushedListsAreNeverAskedFor) {
+TEST(UpstreamList, PushedListsAreNeverRequested) {
     Rig rig;
     rig.fleet(2);
     rig.list(ListKind::failed, {});
@@ -327,16 +336,16 @@
     EXPECT_EQ(rig.sink.watches, 0);
 }
 
-// ----------------------------------------------------------------------------- rule 4: cold upstreams
+// --- Invariant 4: cold upstreams ---
 
-TEST(Cold, ARestartedUpstreamGetsLittleAtFirst) {
+TEST(SlowStart, ARestartedUpstreamGetsLittleAtFirst) {
     Rig rig;
     rig.fleet(4);
     for (int i = 0; i < 400; ++i) rig.served();
     rig.restart(1);
     const auto before = rig.sink.sends_to(1);
     const auto warm_before = rig.sink.sends_to(2);
-    for (int i = 0; i < 200; ++i) rig.served();  // two seconds: one fall span
+    for (int i = 0; i < 200; ++i) rig.served();  // two seconds: the fall_span
     const auto cold = rig.sink.sends_to(1) - before;
     const auto warm = rig.sink.sends_to(2) - warm_before;
     EXPECT_GE(cold, 1u);
@@ -346,14 +355,14 @@
     EXPECT_GT(rig.sink.sends_to(1) - before - cold, 10u);  // warm again
 }
 
-// 200 balancers with a request every `gap` each: what a restarted upstream and a warm one get in the next
-// ones.
-void expect_little_for_the_cold_one(Micros gap, int requests, std::size_t share) {
-    Settings s = plain_settings();
-    s.balancers = 200;
+// Runs 200 balancers that each send a request every `gap`, and compares what a restarted upstream and a warm
+// one get from the given number of requests.
+void expect_less_for_the_cold_upstream(Micros gap, int requests, std::size_t share) {
+    Settings settings = plain_settings();
+    settings.balancers = 200;
     std::size_t cold = 0, warm = 0;
-    for (s.rank = 0; s.rank < s.balancers; ++s.rank) {
-        Rig rig(s, static_cast<std::uint64_t>(s.rank) + 1);
+    for (settings.rank = 0; settings.rank < settings.balancers; ++settings.rank) {
+        Rig rig(settings, static_cast<std::uint64_t>(settings.rank) + 1);
         rig.fleet(4);
         const auto traffic = [&](int count) {
             for (int i = 0; i < count; ++i) {
@@ -369,23 +378,24 @@
         warm += rig.sink.sends_to(2) - warm_before;
     }
     EXPECT_GE(cold, 1u);
-    EXPECT_LT(share * cold,
-              warm);  // it can do a quarter of what a warm one can, and falls at three times that
+    // A quarter of a warm upstream's capacity is available, and three times that would make it fail.
+    EXPECT_LT(share * cold, warm);
 }
 
-TEST(Cold, ManyBalancersTogetherSendItNoMoreThanItsPart) {
-    expect_little_for_the_cold_one(ms(490), 4, 2);  // no request for each at once, in one fall span
+TEST(SlowStart, ManyBalancersTogetherStayWithinReducedCapacity) {
+    // Not one request from every balancer at once within fall_span.
+    expect_less_for_the_cold_upstream(ms(490), 4, 2);
 }
 
-TEST(Cold, BalancersThatSendLittleSendItStillLess) {
-    expect_little_for_the_cold_one(ms(3990), 2, 4);  // no floor above their own part of the work
+TEST(SlowStart, BalancersWithLittleTrafficSendEvenLess) {
+    expect_less_for_the_cold_upstream(ms(3990), 2, 4);  // no lower bound above their own part of the work
 }
 
-// Guards against budgets that are each measured by the few upstreams that one of many balancers uses.
-TEST(Cold, OneOfManyBalancersThatUsesAFewMeasuresItsPartByAll) {
-    Settings s = plain_settings();
-    s.balancers = 40;
-    Rig rig(s);
+// With many balancers, a rate measured over the subset of upstreams that one balancer uses would be too high.
+TEST(SlowStart, BalancerOfASubsetMeasuresItsRateOverAllUpstreams) {
+    Settings settings = plain_settings();
+    settings.balancers = 40;
+    Rig rig(settings);
     rig.fleet(40);
     for (int i = 0; i < 400; ++i) rig.served(safe, ms(20));
     std::set<UpstreamId> used;
@@ -400,14 +410,16 @@
     for (auto i = before; i < rig.sink.submits.size(); ++i) ++sends[rig.sink.submits[i].upstream];
     std::size_t most = 0;
     for (const auto& entry : cold) most = std::max(most, sends[entry.id]);
-    // Its part of a warm upstream's work is 50 requests a second over 40; a quarter of that for two seconds.
+    // This balancer's part of a warm upstream's work is 50 requests per second over 40; a quarter of that for
+    // two seconds.
     EXPECT_LE(most, 3u);
 }
 
-TEST(Cold, AFleetOfColdUpstreamsIsNotFlooded) {
+TEST(SlowStart, ColdFleetIsNotOverloaded) {
     Rig rig;
     std::vector<UpstreamEntry> entries;
-    for (UpstreamId u = 1; u <= 3; ++u) entries.push_back(Rig::entry(u, 0, UpstreamState::ready, rig.now));
+    for (UpstreamId id = 1; id <= 3; ++id)
+        entries.push_back(Rig::entry(id, 0, UpstreamState::ready, rig.now));
     rig.list(ListKind::full, entries);
     for (int i = 0; i < 100; ++i) rig.request(safe);
     EXPECT_LE(rig.sink.submits.size(), 3u);
@@ -418,7 +430,7 @@
     }
 }
 
-TEST(Cold, WithOnlyACachedListWorkIsSpreadOverAllZones) {
+TEST(SlowStart, CachedListSpreadsRequestsOverAllZones) {
     Rig rig;
     rig.list(ListKind::cached, {Rig::entry(1), Rig::entry(2), Rig::entry(101, 1), Rig::entry(102, 1)});
     for (int i = 0; i < 60; ++i) rig.served();
@@ -429,14 +441,15 @@
     EXPECT_EQ(rig.sink.sends_to(101) + rig.sink.sends_to(102), before);
 }
 
-// Guards against a network that breaks connections now and then: upstreams that came back cold from that
-// would one after the other be left with hardly any work, and most requests refused.
-TEST(Cold, OnlyAnUpstreamThatFailedAgainWhenTriedComesBackCold) {
+// On a network that breaks connections now and then, upstreams that are each treated as cold afterwards would
+// one after the other get hardly any work, and most requests would be refused.
+TEST(SlowStart, ReinstatedColdOnlyAfterAFailedProbeRequest) {
     const auto sent_after = [](Outcome outcome, int failures) {
         Rig rig;
         rig.fleet(2);
         for (int i = 0; i < 200; ++i) rig.served();
-        for (int i = 0; i < 400 && failures > 0; ++i) {  // upstream 1 is put out, and some trials of it fail
+        for (int i = 0; i < 400 && failures > 0;
+             ++i) {  // upstream 1 is ejected, and some probe requests fail
             const auto id = rig.request();
             if (rig.sink.submits.back().upstream == 1) {
                 rig.end(id, 0, outcome, ms(1));
@@ -449,7 +462,7 @@
         }
         EXPECT_EQ(failures, 0);
         rig.run(rig.now + std::chrono::seconds(3));
-        rig.served();  // the trial
+        rig.served();  // the probe request
         const auto before = rig.sink.sends_to(1);
         for (int i = 0; i < 30; ++i) rig.served();
         return rig.sink.sends_to(1) - before;
@@ -459,28 +472,29 @@
     EXPECT_GE(sent_after(Outcome::reset, 4), 10U);
 }
 
-// ------------------------------------------------------------------- a cold account that modules share
+// --- A slow-start bucket that several Policies share ---
 
-Settings of_one_zone() {
-    Settings s = plain_settings();
-    s.zones = 1;
-    return s;
+Settings one_zone_settings() {
+    Settings settings = plain_settings();
+    settings.zones = 1;
+    return settings;
 }
 
-// Several modules that list the same addresses, 1 to 3, with or without one account for each address.
-struct Modules {
-    Modules(std::size_t count, bool shared) {
-        for (std::size_t m = 0; m < count; ++m) rigs.push_back(std::make_unique<Rig>(of_one_zone(), m + 1));
-        for (auto& account : accounts) account = shared ? std::make_shared<ColdAccount>() : nullptr;
+// Several Policies that list the same addresses, 1 to 3, with or without one shared bucket per address.
+struct SharingPolicies {
+    SharingPolicies(std::size_t count, bool shared) {
+        for (std::size_t index = 0; index < count; ++index)
+            rigs.push_back(std::make_unique<Rig>(one_zone_settings(), index + 1));
+        for (auto& bucket : buckets) bucket = shared ? std::make_shared<ColdAccount>() : nullptr;
         for (auto& rig : rigs) rig->list(ListKind::full, {entry(1), entry(2), entry(3)});
     }
     UpstreamEntry entry(UpstreamId id, Time started_at = Time{}) const {
         UpstreamEntry e = Rig::entry(id, 0, UpstreamState::ready, started_at);
-        e.cold = accounts[id - 1];
+        e.cold = buckets[id - 1];
         return e;
     }
-    // One request of each module to the upstream, answered after 5 ms: how many were sent.
-    std::size_t round(UpstreamId to) {
+    // Sends one request of each Policy to the upstream, answered after 5 ms. Returns how many were sent.
+    std::size_t send_round(UpstreamId to) {
         std::size_t sent = 0;
         for (auto& rig : rigs) {
             const auto id = rig->pinned(to, unsafe, ms(20));
@@ -491,96 +505,97 @@
         }
         return sent;
     }
-    std::size_t rounds(UpstreamId to, int count) {
+    std::size_t send_rounds(UpstreamId to, int count) {
         std::size_t sent = 0;
-        for (int i = 0; i < count; ++i) sent += round(to);
+        for (int i = 0; i < count; ++i) sent += send_round(to);
         return sent;
     }
     void restart(Rig& rig, Time at) { rig.list(ListKind::delta, {entry(1, at)}); }
 
     std::vector<std::unique_ptr<Rig>> rigs;
-    std::array<std::shared_ptr<ColdAccount>, 3> accounts;
+    std::array<std::shared_ptr<ColdAccount>, 3> buckets;
 };
 
-TEST(ColdAccount, ModulesThatShareItSendTogetherWhatOneMay) {
+TEST(SharedSlowStart, PoliciesThatShareItSendTogetherWhatOneMay) {
     const auto sent = [](std::size_t modules, bool shared) {
-        Modules m(modules, shared);
-        m.rounds(2, 800);
-        m.rounds(3, 800);
-        for (auto& rig : m.rigs) m.restart(*rig, rig->now);
-        return m.rounds(1, 400);  // one fall span
+        SharingPolicies index(modules, shared);
+        index.send_rounds(2, 800);
+        index.send_rounds(3, 800);
+        for (auto& rig : index.rigs) index.restart(*rig, rig->now);
+        return index.send_rounds(1, 400);  // the fall_span
     };
     const auto alone = sent(1, true);
     EXPECT_GE(alone, 5u);
     EXPECT_EQ(sent(1, false), alone);
     EXPECT_LE(sent(4, true), alone + 1);
-    EXPECT_GE(sent(4, false), 3 * alone);  // what it guards against
+    EXPECT_GE(sent(4, false), 3 * alone);  // the overload that sharing prevents
 }
 
-TEST(ColdAccount, AModuleThatDidNotHearOfTheStartSeesIt) {
+TEST(SharedSlowStart, LimitsAPolicyThatWasNotNotifiedOfTheStart) {
     const auto sent = [](bool shared) {
-        Modules m(2, shared);
-        m.rounds(2, 200);
-        m.restart(*m.rigs[0], m.rigs[0]->now);
-        m.rigs.erase(m.rigs.begin());
-        return m.rounds(1, 100);
+        SharingPolicies policies(2, shared);
+        policies.send_rounds(2, 200);
+        policies.restart(*policies.rigs[0], policies.rigs[0]->now);
+        policies.rigs.erase(policies.rigs.begin());
+        return policies.send_rounds(1, 100);
     };
     EXPECT_LE(sent(true), 12u);
     EXPECT_GE(sent(false), 90u);
 }
 
-TEST(ColdAccount, HearingOfTheSameStartAgainAddsNothing) {
-    Modules m(4, true);
-    m.rounds(2, 100);
-    const Time at = m.rigs[0]->now;
-    ColdAccount& account = *m.accounts[0];
-    m.restart(*m.rigs[0], at);
-    EXPECT_EQ(account.since, at);
-    account.tokens = -3;
-    m.restart(*m.rigs[1], at);
-    EXPECT_EQ(account.tokens, -3);  // what was spent stays spent
-    account.tokens = 5;
-    m.restart(*m.rigs[2], at - ms(1));  // an earlier one does not end this one
-    EXPECT_LT(account.tokens, 1);       // what was saved up is not kept
-    EXPECT_EQ(account.since, at);
-    account.tokens = -3;
-    m.restart(*m.rigs[3], at + ms(1));  // a new process has a first part of its own
-    EXPECT_GE(account.tokens, 0);
-    EXPECT_LT(account.tokens, 1);
-    EXPECT_EQ(account.since, at + ms(1));
-}
-
-TEST(ColdAccount, ALaterEntryMayBringAnotherOne) {
-    Modules m(1, false);
-    Rig& rig = *m.rigs[0];
-    m.rounds(2, 200);
-    m.restart(rig, rig.now);
-    m.accounts[0] = std::make_shared<ColdAccount>();
-    m.restart(rig, rig.now);  // the same start: what is cold stays cold
-    EXPECT_GT(m.accounts[0]->since, Time{});
-    EXPECT_LE(m.rounds(1, 100), 12u);
-    const auto first = std::exchange(m.accounts[0], std::make_shared<ColdAccount>());
-    m.accounts[0]->since = rig.now + ms(1);  // another module has met a later start
-    m.restart(rig, rig.now);
+TEST(SharedSlowStart, RepeatedNoticeOfAStartAddsNoTokens) {
+    SharingPolicies policies(4, true);
+    policies.send_rounds(2, 100);
+    const Time at = policies.rigs[0]->now;
+    ColdAccount& bucket = *policies.buckets[0];
+    policies.restart(*policies.rigs[0], at);
+    EXPECT_EQ(bucket.since, at);
+    bucket.tokens = -3;
+    policies.restart(*policies.rigs[1], at);
+    EXPECT_EQ(bucket.tokens, -3);  // spent tokens stay spent
+    bucket.tokens = 5;
+    policies.restart(*policies.rigs[2], at - ms(1));  // an earlier start does not replace this one
+    EXPECT_LT(bucket.tokens, 1);                      // saved tokens are not kept
+    EXPECT_EQ(bucket.since, at);
+    bucket.tokens = -3;
+    policies.restart(*policies.rigs[3],
+                     at + ms(1));  // a new process starts with a part of a token of its own
+    EXPECT_GE(bucket.tokens, 0);
+    EXPECT_LT(bucket.tokens, 1);
+    EXPECT_EQ(bucket.since, at + ms(1));
+}
+
+TEST(SharedSlowStart, LaterEntryMayReplaceIt) {
+    SharingPolicies policies(1, false);
+    Rig& rig = *policies.rigs[0];
+    policies.send_rounds(2, 200);
+    policies.restart(rig, rig.now);
+    policies.buckets[0] = std::make_shared<ColdAccount>();
+    policies.restart(rig, rig.now);  // the same start: the known cold start is kept
+    EXPECT_GT(policies.buckets[0]->since, Time{});
+    EXPECT_LE(policies.send_rounds(1, 100), 12u);
+    const auto first = std::exchange(policies.buckets[0], std::make_shared<ColdAccount>());
+    policies.buckets[0]->since = rig.now + ms(1);  // another Policy has learned of a later start
+    policies.restart(rig, rig.now);
     const auto tokens = first->tokens;
-    m.rounds(1, 100);
+    policies.send_rounds(1, 100);
     EXPECT_EQ(first->tokens, tokens);
-    m.accounts[0] = nullptr;  // told no more: the last one is kept
-    m.restart(rig, Time{});
-    EXPECT_LE(m.rounds(1, 100), 12u);
+    policies.buckets[0] = nullptr;  // no bucket in the entry: the last one is kept
+    policies.restart(rig, Time{});
+    EXPECT_LE(policies.send_rounds(1, 100), 12u);
 }
 
-// --------------------------------------------------------------------------------- the ordinary path
+// --- Originals and retries ---
 
 TEST(Originals, StayInTheZoneAndSpreadOverIt) {
     Rig rig;
     rig.fleet(4, 4);
     for (int i = 0; i < 100; ++i) rig.served();
-    for (UpstreamId u = 1; u <= 4; ++u) EXPECT_GT(rig.sink.sends_to(u), 8u);
-    for (UpstreamId u = 101; u <= 104; ++u) EXPECT_EQ(rig.sink.sends_to(u), 0u);
+    for (UpstreamId id = 1; id <= 4; ++id) EXPECT_GT(rig.sink.sends_to(id), 8u);
+    for (UpstreamId id = 101; id <= 104; ++id) EXPECT_EQ(rig.sink.sends_to(id), 0u);
 }
 
-TEST(Originals, FewerOfOursInFlightWins) {
+TEST(Originals, FewerOwnAttemptsInFlightWins) {
     Rig rig;
     rig.fleet(2);  // the pair is always the same two
     for (int i = 0; i < 4; ++i) rig.request(unsafe);
@@ -588,11 +603,12 @@
     EXPECT_EQ(rig.sink.sends_to(2), 2u);
 }
 
-// With many balancers hardly any has one of its own in flight: slow upstreams would get as much as fast ones.
-TEST(Originals, OfAnEqualPairTheOneWithShorterAnswersUntilThatIsLongAgo) {
+// With many balancers hardly any has attempts of its own in flight, so slow upstreams would get as much as
+// fast ones.
+TEST(Originals, EqualPairPrefersTheRecentlyFasterUpstream) {
     Rig rig;
     rig.fleet(2);  // the pair is always the same two
-    const auto lone = [&](Micros slow) {
+    const auto send_one = [&](Micros slow) {
         const auto id = rig.request(unsafe);
         const bool first = rig.sink.submits.back().upstream == 1;
         const Micros latency = first ? slow : ms(10);
@@ -601,19 +617,19 @@
         rig.now += ms(200);
         return first;
     };
-    for (int i = 0; i < 20; ++i) lone(ms(25));
+    for (int i = 0; i < 20; ++i) send_one(ms(25));
     int slow = 0;
-    for (int i = 0; i < 40; ++i) slow += lone(ms(25));
-    EXPECT_GT(slow, 0);                         // what is long ago is asked again
-    EXPECT_LT(slow, 10);                        // of 40: 20 by chance alone
-    for (int i = 0; i < 300; ++i) lone(ms(5));  // it has become the faster one
+    for (int i = 0; i < 40; ++i) slow += send_one(ms(25));
+    EXPECT_GT(slow, 0);                             // old latencies are measured again
+    EXPECT_LT(slow, 10);                            // of 40: 20 by chance alone
+    for (int i = 0; i < 300; ++i) send_one(ms(5));  // upstream 1 has become the faster one
     slow = 0;
-    for (int i = 0; i < 40; ++i) slow += lone(ms(5));
+    for (int i = 0; i < 40; ++i) slow += send_one(ms(5));
     EXPECT_GT(slow, 30);
 }
 
-// A full refusal is quick, and costs the request a gap elsewhere.
-TEST(Originals, OfAnEqualPairTheOneThatTurnsLessAwayThoughItIsSlower) {
+// A rejection is quick, but costs the request a back-off.
+TEST(Originals, EqualPairPrefersFewerRejectionsToLowerLatency) {
     Rig rig;
     rig.fleet(2);
     int full = 0, of = 0;
@@ -631,8 +647,8 @@
     EXPECT_LT(full, of / 3);
 }
 
-// A hair's breadth would draw all work to one of two that are as good as like.
-TEST(Originals, OfAnEqualPairThatIsAsGoodAsLikeChanceDecides) {
+// A minimal advantage must not draw all requests to one of two nearly equal upstreams.
+TEST(Originals, NearlyEqualPairIsDecidedByChance) {
     Rig rig;
     rig.fleet(2);
     int slower = 0;
@@ -654,8 +670,8 @@
     EXPECT_GT(rig.sink.sends_to(101) + rig.sink.sends_to(102), 10u);
 }
 
-// A release starts most of a zone anew: what is cold and may not get more just now is ready all the same, and
-// what drains behind it is not missing.
+// A rolling release restarts most of a zone. An upstream in slow start counts as usable even without tokens,
+// and the draining upstream that it replaces does not count as missing.
 TEST(Originals, NoSpillDuringARelease) {
     Rig rig;
     rig.fleet(4, 2);
@@ -682,29 +698,29 @@
     rig.fleet(1, 1);
     const auto a = rig.request(unsafe);
     const auto b = rig.request(unsafe);
-    rig.end(b, 0, Outcome::full, ms(1));  // holds one of ours, takes no second
+    rig.end(b, 0, Outcome::full, ms(1));  // it holds one attempt and takes no second
     const auto c = rig.request(unsafe);
     EXPECT_EQ(rig.sink.submits.back().request, c);
     EXPECT_EQ(rig.sink.submits.back().upstream, 101u);
     rig.end(a, 0, Outcome::ok, ms(10));
 }
 
-TEST(Originals, ManyBalancersEachUseAShareOfTheZoneAndAllUpstreamsAlike) {
-    Settings s = plain_settings();
-    s.balancers = 40;
+TEST(Originals, ManyBalancersUseSubsetsThatCoverTheZoneEvenly) {
+    Settings settings = plain_settings();
+    settings.balancers = 40;
     std::vector<int> users(41);
-    for (s.rank = 0; s.rank < s.balancers; ++s.rank) {
-        Rig rig(s, static_cast<std::uint64_t>(s.rank) + 1);
+    for (settings.rank = 0; settings.rank < settings.balancers; ++settings.rank) {
+        Rig rig(settings, static_cast<std::uint64_t>(settings.rank) + 1);
         rig.fleet(40);
         for (int i = 0; i < 60; ++i) {
             rig.served();
             rig.now += ms(200);
         }
         std::size_t used = 0;
-        for (UpstreamId u = 1; u <= 40; ++u) {
-            const bool uses = rig.sink.sends_to(u) > 0;
+        for (UpstreamId id = 1; id <= 40; ++id) {
+            const bool uses = rig.sink.sends_to(id) > 0;
             used += uses;
-            users[u] += uses;
+            users[id] += uses;
         }
         EXPECT_LE(used, 5u);
     }
@@ -713,11 +729,11 @@
     EXPECT_LE(*most, 8);
 }
 
-TEST(Originals, KeysOfOneOfManyBalancersDrawAmongAFewShares) {
-    Settings s = plain_settings();
-    s.balancers = 40;
-    s.warm_keys = true;
-    Rig rig(s);
+TEST(Originals, KeysOfOneOfManyBalancersUseAFewSubsets) {
+    Settings settings = plain_settings();
+    settings.balancers = 40;
+    settings.warm_keys = true;
+    Rig rig(settings);
     rig.fleet(40);
     std::set<UpstreamId> used;
     for (std::uint64_t key = 1; key < 100; ++key) {
@@ -730,17 +746,17 @@
     EXPECT_LE(used.size(), 13u);
 }
 
-TEST(Originals, ABusyBalancerUsesTheWholeZone) {
+TEST(Originals, BusyBalancerUsesTheWholeZone) {
     Rig rig;
     rig.fleet(12);
     for (int i = 0; i < 400; ++i) rig.served(safe, ms(2));
-    for (UpstreamId u = 1; u <= 12; ++u) EXPECT_GT(rig.sink.sends_to(u), 0u) << u;
+    for (UpstreamId id = 1; id <= 12; ++id) EXPECT_GT(rig.sink.sends_to(id), 0u) << id;
 }
 
-TEST(Originals, AShareWithoutFitUpstreamsIsFilledFromTheRestOfTheZone) {
-    Settings s = plain_settings();
-    s.balancers = 40;
-    Rig rig(s);
+TEST(Originals, SubsetWithFailedUpstreamsIsFilledFromTheRestOfTheZone) {
+    Settings settings = plain_settings();
+    settings.balancers = 40;
+    Rig rig(settings);
     rig.fleet(12, 12);
     std::set<UpstreamId> dead;
     for (int i = 0; i < 60; ++i) {
@@ -754,14 +770,14 @@
         for (int a = 1; a < static_cast<int>(rig.sink.sends(id)); ++a) rig.end(id, a, Outcome::ok, ms(20));
     }
     std::size_t living = 0;
-    for (UpstreamId u = 1; u <= 12; ++u) living += dead.count(u) == 0 && rig.sink.sends_to(u) > 0;
+    for (UpstreamId id = 1; id <= 12; ++id) living += dead.count(id) == 0 && rig.sink.sends_to(id) > 0;
     EXPECT_GE(living, 3u);
 }
 
-TEST(Originals, KeysDrawTheirPairWhereWarmKeysSaveWork) {
-    Settings s = plain_settings();
-    s.warm_keys = true;
-    Rig rig(s), other(s, 2);
+TEST(Originals, KeysChooseTheirPairWhereWarmKeysSaveWork) {
+    Settings settings = plain_settings();
+    settings.warm_keys = true;
+    Rig rig(settings), other(settings, 2);
     std::set<UpstreamId> used;
     for (Rig* r : {&rig, &other}) {  // the same at every balancer
         r->fleet(8);
@@ -781,7 +797,7 @@
     EXPECT_EQ(all.size(), 8u);
 }
 
-TEST(Retries, WhatWasTurnedAwayUnseenGoesOnAtOnceAndThenWaits) {
+TEST(Retries, RejectedRequestIsRetriedAtOnceAndThenBacksOff) {
     Rig rig;
     rig.fleet(6);
     const auto id = rig.request(unsafe);
@@ -791,7 +807,7 @@
     rig.end(id, 1, Outcome::full, ms(1));
     ASSERT_EQ(rig.sink.sends(id), 3u);
     rig.end(id, 2, Outcome::full, ms(1));
-    EXPECT_EQ(rig.sink.sends(id), 3u);  // a gap now
+    EXPECT_EQ(rig.sink.sends(id), 3u);  // waits for a back-off
     rig.run(rig.now + ms(200));
     EXPECT_EQ(rig.sink.sends(id), 4u);
     std::set<UpstreamId> met;
@@ -799,7 +815,7 @@
     EXPECT_GE(met.size(), 2u);
 }
 
-TEST(Retries, EarlyFailuresWaitOutTheirGapAndGapsDouble) {
+TEST(Retries, EarlyFailuresWaitForADoublingBackoff) {
     Rig rig;
     rig.fleet(6);
     const Time start = rig.now;
@@ -812,7 +828,7 @@
         if (rig.sink.sends(id) > before) sent.push_back(rig.now);
     }
     ASSERT_EQ(sent.size(), 4u);
-    EXPECT_EQ(sent[1] - sent[0], ms(80));  // most of the aim before anything is learned
+    EXPECT_EQ(sent[1] - sent[0], ms(80));  // before anything is learned: the upper bound of the aim
     EXPECT_EQ(sent[2] - sent[1], ms(160));
     EXPECT_EQ(sent[3] - sent[2], ms(320));
 }
@@ -841,14 +857,14 @@
     EXPECT_EQ(rig.sink.answers(id), 1u);
 }
 
-TEST(Retries, ACopyOfAnOverdueRequestLeavesTheFirstRunning) {
-    Settings s = plain_settings();
-    s.report_fields = {ReportField::in_flight};
-    Rig rig(s);
+TEST(Retries, HedgeOfAnOverdueRequestLeavesTheFirstRunning) {
+    Settings settings = plain_settings();
+    settings.report_fields = {ReportField::in_flight};
+    Rig rig(settings);
     rig.fleet(3);
     const auto id = rig.request(safe);
     rig.run(rig.now + ms(60));
-    for (const auto other : rig.wave(unsafe, 6)) {  // the others tell that they hold nothing
+    for (const auto other : rig.wave(unsafe, 6)) {  // the others report that they hold nothing
         rig.end(other, 0, Outcome::ok, ms(1), {0.0F});
     }
     rig.run(rig.now + ms(30));
@@ -856,29 +872,29 @@
     EXPECT_NE(rig.sink.submits.front().upstream, rig.sink.submits.back().upstream);
     EXPECT_TRUE(rig.sink.cancelled.empty());
     rig.end(id, 0, Outcome::ok, ms(90));
-    ASSERT_EQ(rig.sink.cancelled.size(), 1u);  // the other can no longer count
+    ASSERT_EQ(rig.sink.cancelled.size(), 1u);  // the other attempt no longer matters
     EXPECT_EQ(rig.sink.cancelled[0].second, 1);
 }
 
-// Guards against taking silence for idleness.
-TEST(Retries, NoCopyGoesToAnUpstreamNotHeardFromLately) {
+// The lack of news about an upstream must not count as idleness.
+TEST(Retries, NoHedgeGoesToAnUpstreamWithoutRecentAnswers) {
     Rig rig;
     rig.fleet(3);
     const auto id = rig.request(safe);
     rig.run(rig.now + ms(900));
     EXPECT_EQ(rig.sink.sends(id), 1u);
-    rig.end(id, 0, Outcome::error, ms(900));  // but a retry of an ended attempt does
+    rig.end(id, 0, Outcome::error, ms(900));  // but a retry of an ended attempt is sent
     rig.run(rig.now + ms(99));
     EXPECT_EQ(rig.sink.sends(id), 2u);
 }
 
-// Guards against copies that double the work of late requests and so make others late.
-TEST(Retries, ACopyNeedsFarLessDelayThanARetry) {
+// Hedges that double the work of late requests would make other requests late.
+TEST(Retries, HedgeNeedsFarLessDelayThanARetry) {
     int copies = 0, retries = 0;
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
         Rig rig(plain_settings(), seed);
         rig.fleet(3);
-        for (int i = 0; i < 60; ++i) rig.served(safe, ms(10));  // T1 25 ms, delay 10 ms everywhere
+        for (int i = 0; i < 60; ++i) rig.served(safe, ms(10));  // retry timeout 25 ms, delay 10 ms everywhere
         const auto id = rig.request(safe);
         rig.run(rig.now + ms(30));
         copies += rig.sink.sends(id) == 2;
@@ -890,11 +906,11 @@
     EXPECT_GE(retries, 8);
 }
 
-TEST(Retries, TheGateStopsThemWhenEveryTargetIsSlow) {
+TEST(Retries, NoneIsAdmittedWhileEveryUpstreamIsSlow) {
     Rig rig;
     rig.fleet(3);
     std::vector<RequestId> ids;
-    for (int i = 0; i < 60; ++i) {  // latency far above T1 everywhere
+    for (int i = 0; i < 60; ++i) {  // latency far above the retry timeout everywhere
         const auto id = rig.request(unsafe);
         ids.push_back(id);
         rig.now += ms(300);
@@ -907,22 +923,22 @@
     EXPECT_EQ(rig.sink.sends(id), 1u);
 }
 
-// ------------------------------------------------------------------------------------------- health
+// --- Outlier ejection ---
 
-TEST(Health, FailedConnectionsPutOutAndATrialBringsBack) {
+TEST(OutlierEjection, FailedConnectionsEjectAndOneProbeRequestFollows) {
     Rig rig;
     rig.fleet(4);
-    EXPECT_LE(rig.all_but(1, 60, Outcome::connect_failed), 3);
+    EXPECT_LE(rig.serve_all_except(1, 60, Outcome::connect_failed), 3);
     rig.now += std::chrono::seconds(5);
     const auto before = rig.sink.sends_to(1);
     for (int i = 0; i < 5; ++i) rig.request(safe);
-    EXPECT_EQ(rig.sink.sends_to(1) - before, 1u);  // one trial, no more
+    EXPECT_EQ(rig.sink.sends_to(1) - before, 1u);  // one probe request
 }
 
-TEST(Health, TrialsReachOtherZonesToo) {
+TEST(OutlierEjection, ProbeRequestsReachOtherZones) {
     Rig rig;
     rig.list(ListKind::cached, {Rig::entry(1), Rig::entry(101, 1)});
-    rig.all_but(101, 60, Outcome::connect_failed);
+    rig.serve_all_except(101, 60, Outcome::connect_failed);
     rig.fleet(1, 1);
     rig.now += std::chrono::seconds(5);
     const auto before = rig.sink.sends_to(101);
@@ -930,12 +946,12 @@
     EXPECT_EQ(rig.sink.sends_to(101) - before, 1u);
 }
 
-TEST(Health, ProbesReadmitWhereTheyAreAllowed) {
-    Settings s = plain_settings();
-    s.may_probe = true;
-    Rig rig(s);
+TEST(OutlierEjection, ProbesReinstateWhereTheyAreAllowed) {
+    Settings settings = plain_settings();
+    settings.may_probe = true;
+    Rig rig(settings);
     rig.fleet(2);
-    rig.all_but(1, 30, Outcome::connect_failed);
+    rig.serve_all_except(1, 30, Outcome::connect_failed);
     rig.now += std::chrono::seconds(5);
     const auto before = rig.sink.sends_to(1);
     rig.served();
@@ -948,22 +964,22 @@
     EXPECT_GT(rig.sink.sends_to(1), before);
 }
 
-TEST(Health, AnUpstreamThatTurnsEverythingAwayIsPutOut) {
+TEST(OutlierEjection, UpstreamThatRejectsEverythingIsEjected) {
     Rig rig;
     rig.fleet(4);
-    EXPECT_LE(rig.all_but(1, 200, Outcome::full, ms(1)), 6);
+    EXPECT_LE(rig.serve_all_except(1, 200, Outcome::full, ms(1)), 6);
 }
 
-// Sends waves until the upstreams are known to take several at once.
-void warm_up(Rig& rig) {
+// Sends waves until the upstreams are known to take several requests at once.
+void send_waves(Rig& rig) {
     for (int round = 0; round < 40; ++round) rig.served_wave(unsafe, 24, ms(4));
 }
 
-TEST(Health, ASilentUpstreamIsLeftAlone) {
+TEST(OutlierEjection, SilentUpstreamGetsNoRequests) {
     Rig rig;
     rig.fleet(3);
-    warm_up(rig);
-    std::vector<RequestId> others;  // upstream 1 answers nothing more; the others hold about as many of ours
+    send_waves(rig);
+    std::vector<RequestId> others;  // upstream 1 answers nothing more; the others hold about as many
     const auto held_before = rig.sink.sends_to(1);
     for (int i = 0; i < 7; ++i) {
         const auto id = rig.request(unsafe);
@@ -978,8 +994,8 @@
     EXPECT_EQ(rig.sink.sends_to(1), before);
 }
 
-// Guards against upstreams that fail one class only, whose other answers would hide it.
-TEST(Health, AnUpstreamThatFailsOneClassGetsNoMoreOfItAndAllOfTheOthers) {
+// The answers to other classes must not hide that an upstream fails one class.
+TEST(OutlierEjection, UpstreamThatFailsOneClassIsEjectedForThatClassOnly) {
     Rig rig;
     rig.fleet(4);
     const auto serve = [&](int class_index) {
@@ -1000,14 +1016,15 @@
         ++of_unsafe[serve(unsafe)];
         ++of_safe[serve(safe)];
     }
-    EXPECT_LE(of_unsafe[1], 3);  // a try now and then
+    EXPECT_LE(of_unsafe[1], 3);  // an attempt now and then
     EXPECT_GE(of_unsafe[2] + of_unsafe[3] + of_unsafe[4], 95);
     EXPECT_GE(of_safe[1], 10);
 }
 
-// Guards against idle connections that are dropped unseen: old ones get no answer, young ones do.
-TEST(Connections, ThoseOfAnAgeThatGetsNoAnswerAreClosedBeforeASend) {
-    // How often they were closed before an old one was used, and before a young one, in 20 rounds of both.
+// On idle connections that a device on the path drops silently, old ones get no answer while young ones do.
+TEST(Connections, StaleOnesAreClosedBeforeASend) {
+    // Returns how often connections were closed before an old one was used, and before a young one, in 20
+    // rounds.
     const auto closes = [](Outcome old, Outcome young) {
         Rig rig;
         rig.fleet(1);
@@ -1031,19 +1048,18 @@
     for (const auto lost : {Outcome::timeout, Outcome::reset}) {
         EXPECT_GE(closes(lost, Outcome::ok).first, 5u);
         EXPECT_EQ(closes(lost, Outcome::ok).second, 0u);
-        EXPECT_EQ(closes(lost, lost).first, 0u);  // the upstream is ill, not its connections
+        EXPECT_EQ(closes(lost, lost).first, 0u);  // the upstream is at fault, not its connections
     }
     EXPECT_EQ(closes(Outcome::ok, Outcome::ok).first, 0u);
 }
 
-// Guards against connections that suddenly can't be made: each failed one would send work on to open the
-// next.
-TEST(Connections, WhileNewOnesFailWorkStaysWhereOneIsOpen) {
+// If new connections suddenly fail, each failure would send requests on to open the next one.
+TEST(Connections, WhileNewOnesFailRequestsStayWhereOneIsOpen) {
     const auto new_upstreams = [](bool failing) {
         Rig rig;
         rig.fleet(3);
         for (int i = 0; i < 100; ++i) rig.served(safe, ms(2));
-        rig.join(4, 12);
+        rig.add_upstreams(4, 12);
         std::set<UpstreamId> met;
         for (int i = 0; i < 60; ++i) {
             const auto id = rig.request(unsafe);
@@ -1061,11 +1077,12 @@
     EXPECT_LE(new_upstreams(true), 4u);
 }
 
-// An attempt that never ran (for want of descriptors, say) says nothing of the upstream.
-TEST(Moot, LeavesNoConnectionToClose) {
-    Settings s = plain_settings();
-    s.drain_close = ms(800);
-    Rig rig(s);
+// An attempt that was not executed for a reason on the balancer's side (no free descriptor, say) says nothing
+// about the upstream.
+TEST(InconclusiveOutcome, LeavesNoConnectionToClose) {
+    Settings settings = plain_settings();
+    settings.drain_close = ms(800);
+    Rig rig(settings);
     rig.fleet(1);
     const auto ids = rig.wave(unsafe, 2);
     ASSERT_EQ(ids.size(), 2u);
@@ -1074,26 +1091,26 @@
     EXPECT_TRUE(rig.sink.closed.empty());
 }
 
-TEST(Moot, DoesNotHideThatNewConnectionsFail) {
+TEST(InconclusiveOutcome, DoesNotHideThatNewConnectionsFail) {
     Rig rig;
     rig.fleet(3);
     for (int i = 0; i < 100; ++i) rig.served(safe, ms(2));
-    rig.join(4, 40);
-    rig.each_ends(4, 9, Outcome::connect_failed);
-    rig.each_ends(10, 40, Outcome::moot);
+    rig.add_upstreams(4, 40);
+    rig.end_one_on_each(4, 9, Outcome::connect_failed);
+    rig.end_one_on_each(10, 40, Outcome::moot);
     for (int i = 0; i < 30; ++i) {
         const auto id = rig.request(unsafe);
-        EXPECT_LE(rig.sink.submits.back().upstream, 3u);  // work stays where a connection is open
+        EXPECT_LE(rig.sink.submits.back().upstream, 3u);  // requests stay where a connection is open
         rig.end(id, 0, Outcome::ok, ms(2));
     }
 }
 
-TEST(Moot, DoesNotMakeARefusedConnectionAnOpenOne) {
+TEST(InconclusiveOutcome, DoesNotMarkAFailedConnectionAsOpen) {
     Rig rig;
     rig.fleet(4);
     for (int i = 0; i < 200; ++i) rig.served(safe, ms(2));
-    rig.join(5, 12);
-    rig.each_ends(5, 12, Outcome::connect_failed);
+    rig.add_upstreams(5, 12);
+    rig.end_one_on_each(5, 12, Outcome::connect_failed);
     const auto failing = rig.pinned(1, unsafe), moot = rig.pinned(1, unsafe);
     rig.end(failing, 0, Outcome::connect_failed, ms(1));
     rig.end(moot, 0, Outcome::moot, ms(1));
@@ -1104,8 +1121,8 @@
     EXPECT_EQ(rig.sink.sends_to(1), before);
 }
 
-TEST(Moot, DoesNotMakeAnIdleConnectionYoung) {
-    const auto renewed = [](bool moots) {
+TEST(InconclusiveOutcome, DoesNotResetTheAgeOfAnIdleConnection) {
+    const auto renewed = [](bool inconclusive) {
         Rig rig;
         rig.fleet(1);
         for (int i = 0; i < 80; ++i) rig.served();
@@ -1122,7 +1139,7 @@
         for (int i = 0; i < 30; ++i) {
             one(ms(2), Outcome::ok);
             rig.run(rig.now + ms(290));
-            if (moots) one(ms(2), Outcome::moot);
+            if (inconclusive) one(ms(2), Outcome::moot);
             closed += one(ms(2), Outcome::timeout);  // old ones get no answer
         }
         return closed;
@@ -1131,10 +1148,10 @@
     EXPECT_GE(renewed(true), 5u);
 }
 
-TEST(Moot, DoesNotMakeAFullUpstreamSeemFree) {
+TEST(InconclusiveOutcome, DoesNotMakeAFullUpstreamSeemFree) {
     Rig rig;
     rig.fleet(1);
-    for (int i = 0; i < 60; ++i) rig.served_wave(unsafe, 1, ms(66));  // little to spare to the aim
+    for (int i = 0; i < 60; ++i) rig.served_wave(unsafe, 1, ms(66));  // hardly any time left within the aim
     const auto sent = [&](Outcome outcome) {
         const auto id = rig.request(unsafe);
         if (rig.sink.sends(id) == 0) return false;
@@ -1145,31 +1162,31 @@
     ASSERT_TRUE(sent(Outcome::full) && sent(Outcome::full));
     for (int i = 0; i < 10; ++i) ASSERT_TRUE(sent(Outcome::moot));
     ASSERT_TRUE(sent(Outcome::full));
-    EXPECT_FALSE(sent(Outcome::ok));  // to be turned away would cost the aim
+    EXPECT_FALSE(sent(Outcome::ok));  // a rejection would miss the aim
 }
 
-TEST(Health, ASlowFleetIsNotAManyTimesSickOne) {
+TEST(OutlierEjection, SilentFleetStillGetsRequests) {
     Rig rig;
     rig.fleet(4);
-    warm_up(rig);
+    send_waves(rig);
     for (int i = 0; i < 8; ++i) rig.request(unsafe);
-    rig.now += ms(300);  // nobody answers for long: somebody must still be sent to
+    rig.now += ms(300);  // no upstream answers for long, but requests must still be sent
     const auto id = rig.request(unsafe);
     EXPECT_EQ(rig.sink.sends(id), 1u);
 }
 
-// --------------------------------------------------------------------------------- pinned requests
+// --- Pinned requests ---
 
-// Where the attempts of one request went.
-std::set<UpstreamId> places(const Rig& rig, RequestId id) {
+// Returns the upstreams that got attempts of the request.
+std::set<UpstreamId> upstreams_of(const Rig& rig, RequestId id) {
     std::set<UpstreamId> to;
-    for (const auto& s : rig.sink.submits) {
-        if (s.request == id) to.insert(s.upstream);
+    for (const auto& sent : rig.sink.submits) {
+        if (sent.request == id) to.insert(sent.upstream);
     }
     return to;
 }
 
-TEST(Pinned, GoesToItsUpstreamOfWhateverZoneOrNowhere) {
+TEST(Pinned, GoesOnlyToItsUpstreamInAnyZone) {
     for (const UpstreamId to : {3, 102}) {
         for (const auto outcome : {Outcome::ok, Outcome::error, Outcome::full, Outcome::connect_failed}) {
             Rig rig;
@@ -1179,16 +1196,16 @@
             ASSERT_EQ(rig.sink.sends(id), 1u);
             rig.end(id, 0, outcome, ms(5));
             rig.run(rig.now + ms(900));
-            EXPECT_EQ(places(rig, id), std::set<UpstreamId>{to});
+            EXPECT_EQ(upstreams_of(rig, id), std::set<UpstreamId>{to});
             EXPECT_EQ(rig.sink.sends(id) > 1, outcome != Outcome::ok);
         }
     }
 }
 
-TEST(Pinned, ToAnUpstreamThatIsNotListedDrainsOrIsGoneIsRefusedAtOnce) {
+TEST(Pinned, IsRefusedAtOnceIfItsUpstreamIsUnlistedDrainingOrGone) {
     Rig rig;
     rig.fleet(4);
-    for (int i = 0; i < 100; ++i) rig.served(unsafe, ms(4));  // a gap would fit before the aim
+    for (int i = 0; i < 100; ++i) rig.served(unsafe, ms(4));  // a back-off would fit within the aim
     rig.list(ListKind::delta,
              {Rig::entry(1, 0, UpstreamState::draining), Rig::entry(2, 0, UpstreamState::gone)});
     for (const UpstreamId to : {1, 2, 77}) {
@@ -1199,19 +1216,19 @@
     EXPECT_EQ(rig.sink.sends(rig.pinned(3)), 1u);
 }
 
-TEST(Pinned, WhatItsUpstreamTurnsAwayWaitsForItAndDoesNotHammerIt) {
+TEST(Pinned, WaitsForABackoffAfterARejection) {
     Rig rig;
     rig.fleet(6);
     for (int i = 0; i < 100; ++i) rig.served(unsafe, ms(4));
     const auto id = rig.pinned(3, unsafe);
     rig.end(id, 0, Outcome::full, ms(1));
-    EXPECT_EQ(rig.sink.sends(id), 1u);  // others go on at once, elsewhere
+    EXPECT_EQ(rig.sink.sends(id), 1u);  // an unpinned request would go elsewhere at once
     rig.run(rig.now + ms(900));
     EXPECT_GE(rig.sink.sends(id), 2u);
-    EXPECT_EQ(places(rig, id), std::set<UpstreamId>{3});
+    EXPECT_EQ(upstreams_of(rig, id), std::set<UpstreamId>{3});
 }
 
-TEST(Pinned, NoEffectTwiceHereEither) {
+TEST(Pinned, HasNoEffectTwice) {
     Rig rig;
     rig.fleet(3);
     const auto id = rig.pinned(2, unsafe);
@@ -1221,8 +1238,9 @@
     EXPECT_EQ(rig.sink.failed, std::vector<RequestId>{id});
 }
 
-// A fleet that looks unfit altogether still gets ordinary work; a pinned request waits for its own upstream.
-TEST(Pinned, IsNotSentToAnUpstreamThatIsPutOut) {
+// A fleet that looks unhealthy as a whole still gets ordinary requests. A pinned request waits for its own
+// upstream.
+TEST(Pinned, IsNotSentToAnEjectedUpstream) {
     Rig rig;
     rig.fleet(1);
     for (int i = 0; i < 4; ++i) rig.end(rig.request(unsafe), 0, Outcome::error, ms(1));
@@ -1233,75 +1251,76 @@
     EXPECT_EQ(rig.sink.answers(id), 1u);
 }
 
-TEST(Pinned, IsATrialOfItsOwnUpstreamOnly) {
+TEST(Pinned, ProbesItsOwnUpstreamOnly) {
     Rig rig;
     rig.fleet(3);
-    rig.all_but(1, 60, Outcome::connect_failed);
-    rig.now += std::chrono::seconds(5);  // 1 is out, and due for a trial
-    EXPECT_EQ(places(rig, rig.pinned(2)), std::set<UpstreamId>{2});
-    EXPECT_EQ(places(rig, rig.pinned(1)), std::set<UpstreamId>{1});
-    EXPECT_EQ(places(rig, rig.pinned(1)), std::set<UpstreamId>{});  // one trial at a time
+    rig.serve_all_except(1, 60, Outcome::connect_failed);
+    rig.now += std::chrono::seconds(5);  // upstream 1 is ejected and due for a probe request
+    EXPECT_EQ(upstreams_of(rig, rig.pinned(2)), std::set<UpstreamId>{2});
+    EXPECT_EQ(upstreams_of(rig, rig.pinned(1)), std::set<UpstreamId>{1});
+    EXPECT_EQ(upstreams_of(rig, rig.pinned(1)), std::set<UpstreamId>{});  // one probe request at a time
 }
 
-TEST(Pinned, KeepsToTheColdBudget) {
+TEST(Pinned, KeepsToTheSlowStartBucket) {
     Rig rig;
     rig.fleet(4);
     for (int i = 0; i < 400; ++i) rig.served();
     rig.restart(1);
     const auto before = rig.sink.sends_to(1);
-    for (int i = 0; i < 400; ++i) {  // one fall span
+    for (int i = 0; i < 400; ++i) {  // the fall_span
         const auto id = rig.pinned(1, unsafe, ms(60));
         rig.run(rig.now + ms(5));
         if (rig.sink.sends(id) == 1) rig.end(id, 0, Outcome::ok, ms(5));
     }
-    // Warm ones answered 25 a second for us; a quarter of that for two seconds, and as much saved up for one.
+    // Warm upstreams answered 25 requests per second; a quarter of that for two seconds, and one second's
+    // worth saved.
     EXPECT_GE(rig.sink.sends_to(1) - before, 2u);
     EXPECT_LE(rig.sink.sends_to(1) - before, 25u);
 }
 
-// Where new connections fail, work stays where one is open; a pinned request has no such choice.
-TEST(Pinned, MayOpenAConnectionWhileOthersKeepToOpenOnes) {
+// While new connections fail, requests stay where one is open. A pinned request has no such choice.
+TEST(Pinned, MayOpenAConnectionWhileOthersUseOpenOnes) {
     Rig rig;
     rig.fleet(3);
     for (int i = 0; i < 100; ++i) rig.served(safe, ms(2));
-    rig.join(4, 12);
-    rig.each_ends(4, 9, Outcome::connect_failed);
+    rig.add_upstreams(4, 12);
+    rig.end_one_on_each(4, 9, Outcome::connect_failed);
     for (int i = 0; i < 30; ++i) {
         const auto id = rig.request(unsafe);
         EXPECT_LE(rig.sink.submits.back().upstream, 3u);
         rig.end(id, 0, Outcome::ok, ms(2));
     }
-    EXPECT_EQ(places(rig, rig.pinned(11)), std::set<UpstreamId>{11});
+    EXPECT_EQ(upstreams_of(rig, rig.pinned(11)), std::set<UpstreamId>{11});
 }
 
-// ------------------------------------------------------------------------------------------- refusal
+// --- Load shedding ---
 
-TEST(Refusal, RoomIsKeptForTheClassWorthMostForItsWork) {
-    Settings s = plain_settings();
-    s.classes[unsafe].worth = 10;
-    Rig rig(s);
+TEST(LoadShedding, CapacityIsKeptForTheClassWithTheHighestWorthDensity) {
+    Settings settings = plain_settings();
+    settings.classes[unsafe].worth = 10;
+    Rig rig(settings);
     rig.fleet(2);
-    for (int round = 0; round < 20; ++round) {  // both are met, several at once
+    for (int round = 0; round < 20; ++round) {  // both classes are learned, several requests at once
         const auto a = rig.wave(safe, 4), b = rig.wave(unsafe, 4);
         rig.now += ms(10);
         rig.answer(a, ms(10));
         rig.answer(b, ms(10));
     }
-    const auto poor = rig.wave(safe, 40);
-    const auto rich = rig.wave(unsafe, 40);
-    EXPECT_GT(poor.size(), 0u);
-    EXPECT_LT(poor.size(), 40u);
-    EXPECT_GT(rich.size(), 0u);
-}
-
-// Guards against a tenant that crowds out the others.
-TEST(Refusal, WhatATenantSendsBeyondItsShareIsShedFirst) {
-    Settings s = plain_settings();
-    s.tenants = {{"loud", 10}, {"quiet", 10}};
-    s.over_share_worth = 0.1;
-    Rig rig(s);
+    const auto low_worth = rig.wave(safe, 40);
+    const auto high_worth = rig.wave(unsafe, 40);
+    EXPECT_GT(low_worth.size(), 0u);
+    EXPECT_LT(low_worth.size(), 40u);
+    EXPECT_GT(high_worth.size(), 0u);
+}
+
+// One tenant must not crowd out the others.
+TEST(LoadShedding, RequestsBeyondATenantsQuotaAreShedFirst) {
+    Settings settings = plain_settings();
+    settings.tenants = {{"loud", 10}, {"quiet", 10}};
+    settings.over_share_worth = 0.1;
+    Rig rig(settings);
     rig.fleet(4);
-    for (int round = 0; round < 40; ++round) {  // far beyond one share, within the other
+    for (int round = 0; round < 40; ++round) {  // far beyond one quota, within the other
         const auto loud = rig.wave(unsafe, 8, 0), quiet = rig.wave(unsafe, 1, 1);
         rig.now += ms(100);
         rig.answer(loud, ms(10));
@@ -1309,12 +1328,12 @@
     }
     const auto loud = rig.wave(unsafe, 60, 0).size();
     EXPECT_GT(loud, 0u);
-    EXPECT_GT(rig.wave(unsafe, 4, 1).size(), 0u);  // where the loud one gets no more, the quiet one does
+    EXPECT_GT(rig.wave(unsafe, 4, 1).size(), 0u);  // where the loud tenant gets no more, the quiet one does
     EXPECT_EQ(rig.wave(unsafe, 4, 0).size(), 0u);
 }
 
-// Guards against upstreams that get less done the more they hold.
-TEST(Refusal, ACrowdedUpstreamGetsLessAtATime) {
+// An upstream that does less work the more it holds must get fewer requests at a time.
+TEST(LoadShedding, CongestedUpstreamGetsFewerRequestsAtATime) {
     Rig rig;
     rig.fleet(1);
     const auto wave = [&](Micros latency) {
@@ -1322,7 +1341,7 @@
         rig.now += std::chrono::seconds(2);
         return sent;
     };
-    EXPECT_EQ(wave(ms(4)), 2u);  // nothing is known of it yet
+    EXPECT_EQ(wave(ms(4)), 2u);  // nothing is known about the upstream yet
     for (int i = 0; i < 80; ++i) wave(ms(4));
     const auto before = wave(ms(4));
     EXPECT_GT(before, 2u);
@@ -1330,13 +1349,12 @@
     EXPECT_LT(wave(ms(20)), before);
 }
 
-// Guards against many balancers that each send just a little to every upstream and together jam them all.
-// Guards against a room that shrinks only slowly while nothing is answered any more.
-TEST(Refusal, TimeOutsCutTheRoomLikeFullRefusals) {
+// The concurrency limit must shrink fast while nothing is answered any more.
+TEST(LoadShedding, TimeoutsCutTheConcurrencyLimitLikeRejections) {
     const auto sent_after = [](Outcome outcome) {
-        Settings s = plain_settings();
-        s.balancers = 10;
-        Rig rig(s);
+        Settings settings = plain_settings();
+        settings.balancers = 10;
+        Rig rig(settings);
         rig.fleet(40);
         for (int i = 0; i < 100; ++i) rig.served_wave(unsafe, 20, ms(10));
         for (int round = 0; round < 3; ++round) {
@@ -1349,29 +1367,30 @@
     EXPECT_LT(sent_after(Outcome::timeout), sent_after(Outcome::error));
 }
 
-TEST(Refusal, OneOfManyBalancersKeepsBelowOneAnUpstreamInAJam) {
-    Settings s = plain_settings();
-    s.balancers = 20;
-    Rig rig(s);
+// Many balancers that each send a little to every upstream could congest them together.
+TEST(LoadShedding, UnderCongestionABalancerHoldsLessThanOneAttemptPerUpstream) {
+    Settings settings = plain_settings();
+    settings.balancers = 20;
+    Rig rig(settings);
     rig.fleet(20, 20);
     const auto wave = [&](Micros latency) { return rig.served_wave(unsafe, 60, latency); };
     for (int i = 0; i < 100; ++i) wave(ms(4));
     EXPECT_GE(wave(ms(4)), 20u);
-    for (int i = 0; i < 30; ++i) wave(ms(30));  // each holds little of ours, and still all are slow
-    const auto jammed = wave(ms(30));
-    EXPECT_LT(jammed, 20u);
-    EXPECT_GE(jammed, 3u);  // but never below the fair share
+    // Each upstream holds few attempts of this balancer, and still all are slow.
+    for (int i = 0; i < 30; ++i) wave(ms(30));
+    const auto held_under_congestion = wave(ms(30));
+    EXPECT_LT(held_under_congestion, 20u);
+    EXPECT_GE(held_under_congestion, 3u);  // but never below fair_share
     for (int i = 0; i < 300; ++i) wave(ms(4));
-    EXPECT_GE(wave(ms(4)), 20u);  // and it comes back
+    EXPECT_GE(wave(ms(4)), 20u);  // and it recovers
 }
 
-// Guards against a start into a crowd, which would teach its latencies as the usual ones.
-// Guards against a stall of the balancer itself: what waited meanwhile ends with the aim that it came with.
-TEST(AttemptLife, WhatWaitedInAStallOfOurOwnEndsWithItsTrueAim) {
-    Settings s = plain_settings();
-    for (auto& c : s.classes) c.late_worth = 0;
-    const auto stalled = [&](Micros stall, Micros left) {
-        Rig rig(s);
+// A request that waited while this process was stalled ends with the aim that it arrived with.
+TEST(Stall, RequestThatWaitedDuringAStallEndsWithItsOriginalAim) {
+    Settings settings = plain_settings();
+    for (auto& c : settings.classes) c.late_worth = 0;
+    const auto timeout_after_stall = [&](Micros stall, Micros left) {
+        Rig rig(settings);
         rig.fleet(4);
         for (int i = 0; i < 20; ++i) {
             rig.run(rig.now + ms(5));
@@ -1383,18 +1402,19 @@
         const auto last = rig.sink.submits.back();
         return rig.sink.sends(id) == 0 ? Micros{0} : last.timeout;
     };
-    EXPECT_EQ(stalled(ms(0), ms(1000)), ms(100));    // no stall: the whole aim is left
-    EXPECT_EQ(stalled(ms(500), ms(1000)), ms(100));  // came in after it
-    EXPECT_GT(stalled(ms(500), ms(960)), ms(55));    // waited 40 ms
-    EXPECT_LT(stalled(ms(500), ms(960)), ms(65));
-    EXPECT_EQ(stalled(ms(500), ms(800)), ms(0));  // past its aim before it was seen
-    EXPECT_EQ(stalled(ms(0), ms(800)), ms(100));  // a client's short try, no stall
-}
-
-TEST(Refusal, AtTheStartAllBalancersTogetherHoldFew) {
-    Settings s = plain_settings();
-    s.balancers = 10;
-    Rig rig(s);
+    EXPECT_EQ(timeout_after_stall(ms(0), ms(1000)), ms(100));    // no stall: the whole aim is left
+    EXPECT_EQ(timeout_after_stall(ms(500), ms(1000)), ms(100));  // arrived after the stall
+    EXPECT_GT(timeout_after_stall(ms(500), ms(960)), ms(55));    // waited 40 ms
+    EXPECT_LT(timeout_after_stall(ms(500), ms(960)), ms(65));
+    EXPECT_EQ(timeout_after_stall(ms(500), ms(800)), ms(0));  // past its aim before it was seen
+    EXPECT_EQ(timeout_after_stall(ms(0), ms(800)), ms(100));  // a client with a short deadline, no stall
+}
+
+// A start that congests the upstreams would teach the latencies of congestion as the usual ones.
+TEST(LoadShedding, AtStartAllBalancersTogetherHoldFewAttempts) {
+    Settings settings = plain_settings();
+    settings.balancers = 10;
+    Rig rig(settings);
     rig.fleet(10);
     const auto sent = rig.wave(unsafe, 20);
     EXPECT_GE(sent.size(), 3u);
@@ -1404,9 +1424,8 @@
     EXPECT_EQ(rig.served_wave(unsafe, 20, ms(4)), 20u);
 }
 
-// Guards against a refusal that comes late and with nothing sent: the client has lost the time to ask
-// elsewhere.
-TEST(Refusal, AnOriginalWaitsNoLongerThanItsClientCanSpare) {
+// A refusal that comes late, with nothing sent, leaves the client no time to ask elsewhere.
+TEST(LoadShedding, OriginalWaitsForAFractionOfItsClientsTimeOnly) {
     for (const long left : {1000, 100}) {
         Rig rig;
         rig.list(ListKind::full, {Rig::entry(1, 0, UpstreamState::draining)});
@@ -1418,13 +1437,13 @@
     }
 }
 
-// Guards against a long day on which every upstream that ever died and left counts as missing: the fleet
-// would seem smaller and smaller, and the room with it.
-TEST(Refusal, WhoHasLeftIsNotMissed) {
-    const auto in_a_jam_after = [](UpstreamId left) {
-        Settings s = plain_settings();
-        s.balancers = 4;
-        Rig rig(s);
+// If upstreams that were ejected and then left the list counted as missing, the fleet would seem to shrink
+// over a long run, and the concurrency limit with it.
+TEST(LoadShedding, RemovedUpstreamsDoNotCountAsMissing) {
+    const auto held_under_congestion_after = [](UpstreamId left) {
+        Settings settings = plain_settings();
+        settings.balancers = 4;
+        Rig rig(settings);
         for (UpstreamId id = 1000; id < 1000 + left; ++id) {
             rig.list(ListKind::full, {Rig::entry(id)});
             for (int i = 0; i < 4; ++i) {
@@ -1440,19 +1459,19 @@
         for (int i = 0; i < 30; ++i) rig.served_wave(unsafe, 60, ms(30));
         return rig.wave(unsafe, 60).size();
     };
-    EXPECT_GE(in_a_jam_after(0), 10U);
-    EXPECT_GE(in_a_jam_after(15), 10U);
+    EXPECT_GE(held_under_congestion_after(0), 10U);
+    EXPECT_GE(held_under_congestion_after(15), 10U);
 }
 
-// Guards against a place given to a newcomer while a request still remembers who had it: its attempt must
-// count where it ran.
-TEST(TheList, PlacesOfThoseThatLeftAreUsedAgainOnceNothingRemembersThem) {
+// A place must not be reused while an open request refers to it: its attempt must count where it executed.
+TEST(UpstreamList, PlacesOfRemovedUpstreamsAreReusedOnceUnreferenced) {
     Rig rig;
     rig.list(ListKind::full, {Rig::entry(1)});
     const auto held = rig.request(keyed_zone);
     ASSERT_EQ(rig.sink.sends_to(1), 1U);
     for (UpstreamId id = 2; id < 50; ++id) {
-        rig.list(ListKind::full, {Rig::entry(id, 1)});  // in the other zone: the held one may not go there
+        // In the other zone, where the open request must not go.
+        rig.list(ListKind::full, {Rig::entry(id, 1)});
         rig.served();
         EXPECT_EQ(rig.sink.submits.back().upstream, id);
     }
@@ -1462,11 +1481,12 @@
     EXPECT_EQ(rig.sink.answers(held), 1U);
 }
 
-// Guards against jams of balancers that each hold just one: the room may be less than one attempt.
-TEST(Refusal, InAJamABalancerWithLessThanOneAttemptToHoldPausesBetweenThem) {
-    Settings s = plain_settings();
-    s.balancers = 200;
-    Rig rig(s);
+// If every balancer kept at least one attempt in flight, many of them could congest the upstreams. The limit
+// must be allowed below one attempt.
+TEST(LoadShedding, UnderCongestionABalancerWithALimitBelowOnePauses) {
+    Settings settings = plain_settings();
+    settings.balancers = 200;
+    Rig rig(settings);
     rig.fleet(20);
     int sent = 0;
     for (int i = 0; i < 100; ++i) {  // one at a time, all late, from the first one on
@@ -1480,11 +1500,11 @@
     EXPECT_LT(sent, 40);
 }
 
-// Guards against cutting again for what was sent before the last cut: the room would swing from end to end.
-TEST(Refusal, OneCrowdedWaveCutsTheRoomOnce) {
-    Settings s = plain_settings();
-    s.balancers = 20;
-    Rig rig(s);
+// The outcomes of attempts sent before a cut must not cut the limit again, or it would oscillate.
+TEST(LoadShedding, OneCongestedWaveCutsTheLimitOnce) {
+    Settings settings = plain_settings();
+    settings.balancers = 20;
+    Rig rig(settings);
     rig.fleet(40);
     const auto wave = [&](Micros latency) { return rig.served_wave(unsafe, 60, latency); };
     for (int i = 0; i < 150; ++i) wave(ms(4));
@@ -1496,9 +1516,9 @@
     EXPECT_GT(cut, 25u);
 }
 
-// ------------------------------------------------------------------------- settings that change meanwhile
+// --- Changes of the settings ---
 
-// When the timer of a request that was just sent fires: T1 of its class.
+// Returns when the timer of a request that was just sent fires: the retry timeout of its class.
 Micros timer_of(Rig& rig, int class_index) {
     const auto id = rig.request(class_index);
     EXPECT_EQ(rig.sink.sends(id), 1u);
@@ -1508,47 +1528,47 @@
     return timer;
 }
 
-TEST(OnSettings, ContradictionsChangeNothing) {
+TEST(OnSettings, InconsistentSettingsChangeNothing) {
     const auto play = [](bool broken) {
         Rig rig;
         rig.fleet(3);
         for (int i = 0; i < 40; ++i) rig.served(i % 5);
         const auto open = rig.request(unsafe);
-        Settings s = plain_settings();
-        s.classes.pop_back();
-        s.zone = 7;
+        Settings settings = plain_settings();
+        settings.classes.pop_back();
+        settings.zone = 7;
         if (broken) {
-            EXPECT_THROW(rig.policy->on_settings(rig.now, s), std::invalid_argument);
+            EXPECT_THROW(rig.policy->on_settings(rig.now, settings), std::invalid_argument);
         }
         rig.end(open, 0, Outcome::error);
         for (int i = 0; i < 40; ++i) rig.served(i % 5);
         rig.run(rig.now + ms(1000));
-        return rig.sink.script;
+        return rig.sink.action_log;
     };
     EXPECT_EQ(play(true), play(false));
 }
 
-TEST(OnSettings, WhatWasLearnedOfAClassMovesWithIt) {
+TEST(OnSettings, LearnedClassStateMovesWithTheClass) {
     Rig rig;
     rig.fleet(3);
     for (int i = 0; i < 100; ++i) rig.served(safe, ms(30));
     for (int i = 0; i < 100; ++i) rig.served(keyed_all, ms(40));
     const Micros was_safe = timer_of(rig, safe), was_keyed = timer_of(rig, keyed_all);
     EXPECT_LT(was_safe, was_keyed);
-    EXPECT_LT(was_keyed, ms(80));  // where nothing is known
-    Settings s = plain_settings();
-    std::reverse(s.classes.begin(), s.classes.end());
-    rig.policy->on_settings(rig.now, s);
+    EXPECT_LT(was_keyed, ms(80));  // the value before anything is learned
+    Settings settings = plain_settings();
+    std::reverse(settings.classes.begin(), settings.classes.end());
+    rig.policy->on_settings(rig.now, settings);
     EXPECT_EQ(timer_of(rig, 4 - safe), was_safe);
     EXPECT_EQ(timer_of(rig, 4 - keyed_all), was_keyed);
-    s.classes[4 - safe].name = "new";
-    s.classes[4 - keyed_all].group = Group::zone;
-    rig.policy->on_settings(rig.now, s);
+    settings.classes[4 - safe].name = "new";
+    settings.classes[4 - keyed_all].group = Group::zone;
+    rig.policy->on_settings(rig.now, settings);
     EXPECT_EQ(timer_of(rig, 4 - safe), ms(80));
     EXPECT_EQ(timer_of(rig, 4 - keyed_all), ms(80));
 }
 
-TEST(OnSettings, WhatUpstreamsLearnedForAClassMovesWithIt) {
+TEST(OnSettings, LearnedClassHealthMovesWithTheClass) {
     Rig rig;
     rig.fleet(4);
     const auto serve = [&](int class_index, bool failing) {
@@ -1559,13 +1579,13 @@
         rig.policy->on_client_gone(rig.now, id);
         return to;
     };
-    for (int i = 0; i < 200; ++i) {  // 1 loses all of one class and answers the other
+    for (int i = 0; i < 200; ++i) {  // upstream 1 fails all requests of one class and answers the other
         serve(unsafe, true);
         serve(safe, false);
     }
-    Settings s = plain_settings();
-    std::rotate(s.classes.begin(), s.classes.begin() + 1, s.classes.end());
-    rig.policy->on_settings(rig.now, s);
+    Settings settings = plain_settings();
+    std::rotate(settings.classes.begin(), settings.classes.begin() + 1, settings.classes.end());
+    rig.policy->on_settings(rig.now, settings);
     int of_unsafe = 0, of_safe = 0;
     for (int i = 0; i < 60; ++i) {
         of_unsafe += serve(unsafe - 1, true) == 1;
@@ -1575,19 +1595,19 @@
     EXPECT_GE(of_safe, 6);
 }
 
-// The class at the same place is another one now: it must say nothing of what began before.
-TEST(OnSettings, AnOpenRequestEndsUnderTheEffectThatItCameWith) {
+// The index now belongs to another class, which must not affect open requests.
+TEST(OnSettings, OpenRequestKeepsItsEffect) {
     for (const int class_index : {static_cast<int>(unsafe), static_cast<int>(keyed_cell)}) {
         Rig rig;
         rig.list(ListKind::full, {Rig::entry(1, 0, UpstreamState::ready, Time{}, 1), Rig::entry(2)});
         const auto id = rig.request(class_index);
         const auto first = rig.sink.submits.back().upstream;
-        Settings s = plain_settings();
-        s.classes = {s.classes[safe]};
-        rig.policy->on_settings(rig.now, s);
-        s.classes.push_back(s.classes[safe]);
-        s.classes.back().name = "another";
-        rig.policy->on_settings(rig.now, s);  // and again
+        Settings settings = plain_settings();
+        settings.classes = {settings.classes[safe]};
+        rig.policy->on_settings(rig.now, settings);
+        settings.classes.push_back(settings.classes[safe]);
+        settings.classes.back().name = "another";
+        rig.policy->on_settings(rig.now, settings);  // a second time
         rig.end(id, 0, Outcome::reset, ms(1));
         rig.run(rig.now + ms(1000));
         EXPECT_EQ(rig.sink.sends_to(3 - first), 0u);
@@ -1596,74 +1616,74 @@
     }
 }
 
-TEST(OnSettings, AClassThatIsGoneTakesNoNewRequestsAndIsForgottenWithItsLast) {
+TEST(OnSettings, RemovedClassTakesNoRequestsAndIsForgottenWithItsLast) {
     Rig rig;
     rig.fleet(3);
     for (int i = 0; i < 100; ++i) rig.served(keyed_all, ms(4));
     const auto held = rig.request(keyed_all);
-    Settings s = plain_settings();
-    s.classes = {s.classes[safe]};
-    rig.policy->on_settings(rig.now, s);
-    const auto stray = rig.request(1);  // its place behind the listed ones
+    Settings settings = plain_settings();
+    settings.classes = {settings.classes[safe]};
+    rig.policy->on_settings(rig.now, settings);
+    const auto stray = rig.request(1);  // the index behind the listed classes
     EXPECT_EQ(rig.sink.failed, std::vector<RequestId>{stray});
     rig.end(held, 0, Outcome::ok, ms(4));
-    rig.policy->on_settings(rig.now, s);
-    rig.policy->on_settings(rig.now, plain_settings());  // back: it starts fresh
+    rig.policy->on_settings(rig.now, settings);
+    rig.policy->on_settings(rig.now, plain_settings());  // listed again: the class starts anew
     const auto id = rig.request(keyed_all);
     EXPECT_EQ(rig.sink.timers.back().first - rig.now, ms(80));
     EXPECT_EQ(rig.sink.sends(id), 1u);
 }
 
-TEST(OnSettings, TenantsKeepWhatTheyHaveLeft) {
+TEST(OnSettings, TenantsKeepTheirTokens) {
     const auto sent_after = [](bool renamed) {
-        Settings s = plain_settings();
-        s.tenants = {{"loud", 100}, {"quiet", 100}};
-        s.over_share_worth = 0.1;
-        Rig rig(s);
+        Settings settings = plain_settings();
+        settings.tenants = {{"loud", 100}, {"quiet", 100}};
+        settings.over_share_worth = 0.1;
+        Rig rig(settings);
         rig.fleet(4);
         for (int round = 0; round < 60; ++round) rig.served_wave(unsafe, 40, ms(4));
-        rig.answer(rig.wave(unsafe, 300, 0), ms(4));  // all that it had saved up
-        s.tenants = {{"new", 100}, {"quiet", 100}, {renamed ? "louder" : "loud", 100}};
-        rig.policy->on_settings(rig.now, s);
+        rig.answer(rig.wave(unsafe, 300, 0), ms(4));  // everything that the tenant had saved
+        settings.tenants = {{"new", 100}, {"quiet", 100}, {renamed ? "louder" : "loud", 100}};
+        rig.policy->on_settings(rig.now, settings);
         return rig.wave(unsafe, 150, 2).size();
     };
     EXPECT_GT(sent_after(true), sent_after(false));
 }
 
-TEST(OnSettings, ZonesRulesAndTheListFollow) {
-    Settings s = plain_settings();
-    Rig rig(s);
+TEST(OnSettings, ZoneDrainRuleAndListRequestsFollow) {
+    Settings settings = plain_settings();
+    Rig rig(settings);
     rig.fleet(3, 3);
     for (int i = 0; i < 30; ++i) rig.served();
     EXPECT_EQ(rig.sink.sends_to(101) + rig.sink.sends_to(102) + rig.sink.sends_to(103), 0u);
-    s.zone = 1;
-    rig.policy->on_settings(rig.now, s);
+    settings.zone = 1;
+    rig.policy->on_settings(rig.now, settings);
     const auto before = rig.sink.sends_to(1) + rig.sink.sends_to(2) + rig.sink.sends_to(3);
     for (int i = 0; i < 30; ++i) rig.served();
     EXPECT_EQ(rig.sink.sends_to(1) + rig.sink.sends_to(2) + rig.sink.sends_to(3), before);
 
     rig.drain({1});
     EXPECT_TRUE(rig.sink.closed.empty());
-    s.drain_close = ms(800);  // the rule is told only now
-    s.must_ask_list = true;
-    s.ask_within = ms(500);
-    rig.policy->on_settings(rig.now, s);
+    settings.drain_close = ms(800);  // the rule is set only now
+    settings.must_ask_list = true;
+    settings.ask_within = ms(500);
+    rig.policy->on_settings(rig.now, settings);
     EXPECT_EQ(rig.sink.closed, std::vector<UpstreamId>{1});
     rig.run(rig.now + ms(600));
     const int asked = rig.sink.watches;
     EXPECT_GE(asked, 1);
-    s.must_ask_list = false;
-    rig.policy->on_settings(rig.now, s);
+    settings.must_ask_list = false;
+    rig.policy->on_settings(rig.now, settings);
     rig.run(rig.now + ms(5000));
     EXPECT_EQ(rig.sink.watches, asked);
 }
 
-// --------------------------------------------------------------------- odd events, settings, repetition
+// --- Unexpected events, unusual settings, determinism ---
 
-TEST(OddEvents, UnknownOnesAreIgnored) {
+TEST(UnexpectedEvents, UnknownOnesAreIgnored) {
     Rig rig;
     rig.fleet(2);
-    const auto before = rig.sink.script.size();
+    const auto before = rig.sink.action_log.size();
     rig.end(99, 0, Outcome::ok);
     rig.policy->on_client_gone(rig.now, 99);
     rig.policy->on_started(rig.now, {99, 0, 1, ms(5)});
@@ -1677,53 +1697,53 @@
     rig.end(id, -1, Outcome::ok);
     EXPECT_EQ(rig.sink.sends(id), 1u);
     rig.end(id, 0, Outcome::ok);
-    rig.end(id, 0, Outcome::error);  // twice
+    rig.end(id, 0, Outcome::error);  // a second outcome
     rig.run(rig.now + ms(2000));
     EXPECT_EQ(rig.sink.sends(id), 1u);
     EXPECT_EQ(rig.sink.answers(id), 0u);
-    EXPECT_GT(rig.sink.script.size(), before);
+    EXPECT_GT(rig.sink.action_log.size(), before);
 }
 
-TEST(OddSettings, ContradictionsAreNamed) {
+TEST(UnusualSettings, InconsistenciesAreNamed) {
     const auto refused = [](auto change) -> std::string {
-        Settings s = plain_settings();
-        change(s);
+        Settings settings = plain_settings();
+        change(settings);
         Recorder sink;
         try {
-            Policy policy(s, 1, Time{}, sink);
+            Policy policy(settings, 1, Time{}, sink);
         } catch (const std::invalid_argument& error) {
             return error.what();
         }
         return "";
     };
     struct Row {
-        const char* told;  // a word of it
+        const char* told;  // a word of the message
         void (*change)(Settings&);
     };
     for (const Row& row : std::vector<Row>{
-             {"rank", [](Settings& s) { s.rank = 5; }},
-             {"zone", [](Settings& s) { s.zone = 2; }},
-             {"tick", [](Settings& s) { s.tick = Micros{0}; }},
-             {"classes", [](Settings& s) { s.classes.clear(); }},
-             {"max_attempts", [](Settings& s) { s.max_attempts = 0; }},
-             {"drain_close", [](Settings& s) { s.drain_close = Micros{-1}; }},
-             {"cold_share", [](Settings& s) { s.cold_share = 0; }},
-             {"ask_within", [](Settings& s) { s.must_ask_list = true; }},
-             {"deadline", [](Settings& s) { s.classes[0].aim = ms(2000); }},
-             {"window", [](Settings& s) { s.classes[keyed_zone].window = Micros{0}; }},
+             {"rank", [](Settings& settings) { settings.rank = 5; }},
+             {"zone", [](Settings& settings) { settings.zone = 2; }},
+             {"tick", [](Settings& settings) { settings.tick = Micros{0}; }},
+             {"classes", [](Settings& settings) { settings.classes.clear(); }},
+             {"max_attempts", [](Settings& settings) { settings.max_attempts = 0; }},
+             {"drain_close", [](Settings& settings) { settings.drain_close = Micros{-1}; }},
+             {"cold_share", [](Settings& settings) { settings.cold_share = 0; }},
+             {"ask_within", [](Settings& settings) { settings.must_ask_list = true; }},
+             {"deadline", [](Settings& settings) { settings.classes[0].aim = ms(2000); }},
+             {"window", [](Settings& settings) { settings.classes[keyed_zone].window = Micros{0}; }},
          }) {
         EXPECT_NE(refused(row.change).find(row.told), std::string::npos) << row.told;
     }
     EXPECT_EQ(refused([](Settings&) {}), "");
 }
 
-TEST(OddSettings, OneZoneOneUpstreamOneAttemptNoCancelNoReports) {
-    Settings s = plain_settings();
-    s.zones = 1;
-    s.max_attempts = 1;
-    s.may_cancel = s.parallel_attempts = false;
-    s.classes[safe].streams = true;
-    Rig rig(s);
+TEST(UnusualSettings, OneZoneOneUpstreamOneAttemptNoCancelNoReports) {
+    Settings settings = plain_settings();
+    settings.zones = 1;
+    settings.max_attempts = 1;
+    settings.may_cancel = settings.parallel_attempts = false;
+    settings.classes[safe].streams = true;
+    Rig rig(settings);
     rig.fleet(1);
     const auto id = rig.request(safe);
     ASSERT_EQ(rig.sink.sends(id), 1u);
@@ -1735,7 +1755,7 @@
     EXPECT_TRUE(rig.sink.cancelled.empty());
 }
 
-TEST(Repetition, TheSameEventsGiveTheSameActions) {
+TEST(Determinism, TheSameEventsGiveTheSameActions) {
     const auto play = [](std::uint64_t seed) {
         Rig rig(plain_settings(), seed);
         rig.fleet(5, 3);
@@ -1747,7 +1767,7 @@
             if (rig.sink.sends(id) > 0) rig.end(id, 0, outcomes[i % 5], ms(i % 40));
             rig.run(rig.now + ms(3));
         }
-        return rig.sink.script;
+        return rig.sink.action_log;
     };
     EXPECT_EQ(play(3), play(3));
     EXPECT_NE(play(3), play(4));
--- a/tests/quota.h
+++ b/tests/quota.h
@@ -1,4 +1,5 @@
-// An admission that the test fills by hand: what the core is refused by one, whatever front a call came through.
+// A core::Admission whose decisions the test sets. It shows what the core does with calls and attempts that
+// an admission rejects, whatever listener a call arrived at.
 #pragma once
 
 #include <limits>
@@ -9,7 +10,7 @@
 
 namespace flaxdoor::test {
 
-// `admission`: null: there is none.
+// Returns options with this admission; null: without one.
 inline core::Options options_with(core::Admission* admission) {
     core::Options options;
     options.admission = admission;
@@ -20,10 +21,10 @@
 public:
     static constexpr int no_limit = std::numeric_limits<int>::max();
 
-    int calls = no_limit;    // that may still be taken
-    int further = no_limit;  // attempts after a call's first
-    Micros come_back = std::chrono::seconds(7);
-    int refused = 0;
+    int calls = no_limit;                        // calls that may still be admitted
+    int further = no_limit;                      // attempts after a call's first that may still begin
+    Micros come_back = std::chrono::seconds(7);  // retry delay advised to rejected calls
+    int refused = 0;                             // calls and attempts rejected so far
 
     core::Admitted admit(core::Call&, const std::string&, const Settings&, Time) override {
         core::Admitted admitted;
@@ -34,13 +35,13 @@
             return admitted;
         }
         if (calls != no_limit) --calls;
-        admitted.permits = std::make_unique<Held>(*this);
+        admitted.permits = std::make_unique<QuotaPermits>(*this);
         return admitted;
     }
 
 private:
-    struct Held final : core::Permits {
-        explicit Held(Quota& its) : owner(its) {}
+    struct QuotaPermits final : core::Permits {
+        explicit QuotaPermits(Quota& quota) : owner(quota) {}
         bool allow(int attempt, Time) override {
             if (attempt == 0) return true;
             if (owner.further <= 0) {
--- a/tests/rig.h
+++ b/tests/rig.h
@@ -1,4 +1,5 @@
-// Drives a Policy by hand: a sink that records what it is asked to do, and short ways to make events.
+// A test harness for a Policy: Recorder records the actions that the Policy requests, and Rig sends it
+// events.
 #pragma once
 
 #include <algorithm>
@@ -27,102 +28,102 @@
 public:
     void submit(RequestId request, UpstreamId upstream, Micros timeout) override {
         submits.push_back({request, upstream, timeout});
-        note("submit", request);
+        record("submit", request);
     }
     void refuse(RequestId request, Micros) override {
         refused.push_back(request);
-        note("refuse", request);
+        record("refuse", request);
     }
     void fail(RequestId request) override {
         failed.push_back(request);
-        note("fail", request);
+        record("fail", request);
     }
     void cancel(RequestId request, int attempt) override {
         cancelled.emplace_back(request, attempt);
-        note("cancel", request);
+        record("cancel", request);
     }
     void probe(UpstreamId upstream) override {
         probed.push_back(upstream);
-        note("probe", upstream);
+        record("probe", upstream);
     }
     void set_timer(Time at, std::uint64_t token) override {
         timers.emplace_back(at, token);
-        note("timer", static_cast<std::uint64_t>(at.count()));
+        record("timer", static_cast<std::uint64_t>(at.count()));
     }
     void watch() override {
         ++watches;
-        note("watch", 0);
+        record("watch", 0);
     }
-    void unwatch() override { note("unwatch", 0); }
-    void fetch() override { note("fetch", 0); }
+    void unwatch() override { record("unwatch", 0); }
+    void fetch() override { record("fetch", 0); }
     void close_idle(UpstreamId upstream) override {
         closed.push_back(upstream);
-        note("close", upstream);
+        record("close", upstream);
     }
     void tell(std::optional<int> peer, std::string_view payload) override {
-        told.emplace_back(peer, payload);
-        note("tell", payload.size());
+        peer_messages.emplace_back(peer, payload);
+        record("tell", payload.size());
     }
-    void log(std::string_view line) override { lines.emplace_back(line); }
+    void log(std::string_view line) override { log_lines.emplace_back(line); }
 
     std::size_t answers(RequestId id) const {
         return static_cast<std::size_t>(std::count(refused.begin(), refused.end(), id) +
                                         std::count(failed.begin(), failed.end(), id));
     }
     std::size_t sends(RequestId id) const {
-        return static_cast<std::size_t>(
-            std::count_if(submits.begin(), submits.end(), [&](const Submit& s) { return s.request == id; }));
+        return static_cast<std::size_t>(std::count_if(
+            submits.begin(), submits.end(), [&](const Submit& sent) { return sent.request == id; }));
     }
     std::size_t sends_to(UpstreamId id) const {
-        return static_cast<std::size_t>(
-            std::count_if(submits.begin(), submits.end(), [&](const Submit& s) { return s.upstream == id; }));
+        return static_cast<std::size_t>(std::count_if(
+            submits.begin(), submits.end(), [&](const Submit& sent) { return sent.upstream == id; }));
     }
 
     std::vector<Submit> submits;
     std::vector<RequestId> refused, failed;
     std::vector<std::pair<RequestId, int>> cancelled;
     std::vector<UpstreamId> probed, closed;
-    std::vector<std::pair<std::optional<int>, std::string>> told;
+    std::vector<std::pair<std::optional<int>, std::string>> peer_messages;
     std::vector<std::pair<Time, std::uint64_t>> timers;
-    std::vector<std::string> lines, script;
+    std::vector<std::string> log_lines, action_log;
     int watches = 0;
 
 private:
-    void note(const char* what, std::uint64_t id) {
-        script.push_back(std::string(what) + std::to_string(id));
+    void record(const char* what, std::uint64_t id) {
+        action_log.push_back(std::string(what) + std::to_string(id));
     }
 };
 
 enum ClassIndex { safe, keyed_zone, unsafe, keyed_all, keyed_cell };
 
 inline Settings plain_settings() {
-    Settings s;
-    s.zones = 2;
-    s.tick = milliseconds(1);
+    Settings settings;
+    settings.zones = 2;
+    settings.tick = milliseconds(1);
     const auto add = [&](const char* name, Effect effect, Group group) {
-        ClassSettings c;
-        c.name = name;
-        c.aim = milliseconds(100);
-        c.deadline = milliseconds(1000);
-        c.late_worth = 0.5;
-        c.effect = effect;
-        c.group = group;
-        c.window = milliseconds(400);
-        s.classes.push_back(c);
+        ClassSettings class_settings;
+        class_settings.name = name;
+        class_settings.aim = milliseconds(100);
+        class_settings.deadline = milliseconds(1000);
+        class_settings.late_worth = 0.5;
+        class_settings.effect = effect;
+        class_settings.group = group;
+        class_settings.window = milliseconds(400);
+        settings.classes.push_back(class_settings);
     };
     add("safe", Effect::safe, Group::all);
     add("keyed in the zone", Effect::keyed, Group::zone);
     add("unsafe", Effect::unsafe, Group::all);
     add("keyed everywhere", Effect::keyed, Group::all);
     add("keyed in the cell", Effect::keyed, Group::cell);
-    s.max_attempts = 4;
-    s.may_cancel = true;
-    s.parallel_attempts = true;
-    s.cold_share = 0.25;
-    s.ramp_time = std::chrono::seconds(8);
-    s.fall_multiple = 3;
-    s.fall_span = std::chrono::seconds(2);
-    return s;
+    settings.max_attempts = 4;
+    settings.may_cancel = true;
+    settings.parallel_attempts = true;
+    settings.cold_share = 0.25;
+    settings.ramp_time = std::chrono::seconds(8);
+    settings.fall_multiple = 3;
+    settings.fall_span = std::chrono::seconds(2);
+    return settings;
 }
 
 class Rig {
@@ -132,26 +133,26 @@
 
     static UpstreamEntry entry(UpstreamId id, int zone = 0, UpstreamState state = UpstreamState::ready,
                                Time started_at = Time{}, int cell = 0) {
-        UpstreamEntry e;
-        e.id = id;
-        e.zone = zone;
-        e.state = state;
-        e.started_at = started_at;
-        e.cell = cell;
-        return e;
+        UpstreamEntry entry;
+        entry.id = id;
+        entry.zone = zone;
+        entry.state = state;
+        entry.started_at = started_at;
+        entry.cell = cell;
+        return entry;
     }
     void list(ListKind kind, const std::vector<UpstreamEntry>& entries) {
         policy->on_list(now, kind, entries);
     }
-    // Upstreams 1..home in this zone, 101..100+away in the other one.
+    // Lists the upstreams 1 to `home` in this balancer's zone and 101 to 100 + `away` in the other one.
     void fleet(int home, int away = 0) {
         std::vector<UpstreamEntry> entries;
         for (int i = 1; i <= home; ++i) entries.push_back(entry(static_cast<UpstreamId>(i)));
         for (int i = 1; i <= away; ++i) entries.push_back(entry(static_cast<UpstreamId>(100 + i), 1));
         list(ListKind::full, entries);
     }
-    // More of them, in this zone.
-    void join(UpstreamId first, UpstreamId last) {
+    // Adds upstreams to the list, in this balancer's zone.
+    void add_upstreams(UpstreamId first, UpstreamId last) {
         std::vector<UpstreamEntry> entries;
         for (UpstreamId id = first; id <= last; ++id) entries.push_back(entry(id));
         list(ListKind::delta, entries);
@@ -161,62 +162,63 @@
         for (const UpstreamId id : ids) entries.push_back(entry(id, 0, UpstreamState::draining));
         list(ListKind::delta, entries);
     }
-    // A new process under the old name, from now on.
+    // Reports a new process under the same id, started now.
     void restart(UpstreamId id) { list(ListKind::delta, {entry(id, 0, UpstreamState::ready, now)}); }
     RequestId request(int class_index = safe, Micros left = milliseconds(1000), std::uint64_t key = 0,
                       std::optional<int> tenant = {}) {
-        Request r;
-        r.id = ++last_id;
-        r.class_index = class_index;
-        r.deadline = now + left;
-        r.key = key;
-        r.tenant = tenant;
-        policy->on_request(now, r);
-        return r.id;
+        Request request;
+        request.id = ++last_id;
+        request.class_index = class_index;
+        request.deadline = now + left;
+        request.key = key;
+        request.tenant = tenant;
+        policy->on_request(now, request);
+        return request.id;
     }
     RequestId pinned(UpstreamId to, int class_index = safe, Micros left = milliseconds(1000)) {
-        Request r;
-        r.id = ++last_id;
-        r.class_index = class_index;
-        r.deadline = now + left;
-        r.pinned = to;
-        policy->on_request(now, r);
-        return r.id;
+        Request request;
+        request.id = ++last_id;
+        request.class_index = class_index;
+        request.deadline = now + left;
+        request.pinned = to;
+        policy->on_request(now, request);
+        return request.id;
     }
     void end(RequestId id, int attempt, Outcome outcome, Micros latency = milliseconds(10),
              Report report = {}) {
-        AttemptEnd e;
-        e.request = id;
-        e.attempt = attempt;
-        e.outcome = outcome;
-        e.closed = outcome == Outcome::ok;
-        e.latency = latency;
-        e.report = std::move(report);
-        policy->on_attempt_end(now, e);
+        AttemptEnd attempt_end;
+        attempt_end.request = id;
+        attempt_end.attempt = attempt;
+        attempt_end.outcome = outcome;
+        attempt_end.closed = outcome == Outcome::ok;
+        attempt_end.latency = latency;
+        attempt_end.report = std::move(report);
+        policy->on_attempt_end(now, attempt_end);
     }
-    // An attempt to each of these upstreams, which ends so.
-    void each_ends(UpstreamId first, UpstreamId last, Outcome outcome) {
+    // Sends a request to each of these upstreams and ends its attempt with the outcome.
+    void end_one_on_each(UpstreamId first, UpstreamId last, Outcome outcome) {
         for (UpstreamId to = first; to <= last; ++to) end(pinned(to, unsafe, ms(50)), 0, outcome, ms(1));
     }
-    // One request, answered after `latency`.
+    // Sends a request and answers it after `latency`.
     void served(int class_index = safe, Micros latency = milliseconds(10)) {
         const RequestId id = request(class_index);
         now += latency;
         if (sink.sends(id) == 1) end(id, 0, Outcome::ok, latency);
     }
-    // So many requests, of which all but those to one upstream are served; how many those were.
-    int all_but(UpstreamId bad, int count, Outcome its_outcome, Micros between = Micros{0}) {
-        int there = 0;
+    // Sends `count` requests and answers all but those to the upstream `bad`, which end with its outcome.
+    // Returns how many it got.
+    int serve_all_except(UpstreamId bad, int count, Outcome bad_outcome, Micros between = Micros{0}) {
+        int sent_there = 0;
         for (int i = 0; i < count; ++i) {
             const auto id = request(safe);
             const bool is_bad = sink.submits.back().upstream == bad;
-            there += is_bad;
+            sent_there += is_bad;
             now += between;
-            end(id, 0, is_bad ? its_outcome : Outcome::ok, ms(1));
+            end(id, 0, is_bad ? bad_outcome : Outcome::ok, ms(1));
         }
-        return there;
+        return sent_there;
     }
-    // Several requests at once: those that were sent.
+    // Makes `size` requests at once. Returns those that were sent to an upstream.
     std::vector<RequestId> wave(int class_index, int size, std::optional<int> tenant = {}) {
         std::vector<RequestId> sent;
         for (int i = 0; i < size; ++i) {
@@ -228,19 +230,20 @@
     void answer(const std::vector<RequestId>& sent, Micros latency) {
         for (const auto id : sent) end(id, 0, Outcome::ok, latency);
     }
-    // The same, answered after `latency`: how many were sent.
+    // Makes `size` requests at once and answers them after `latency`. Returns how many were sent.
     std::size_t served_wave(int class_index, int size, Micros latency) {
         const auto sent = wave(class_index, size);
         now += latency;
         answer(sent, latency);
         return sent.size();
     }
-    // Fires the timers that come due up to `until`, in order of time.
+    // Fires the timers that are due up to `until`, in order of time.
     void run(Time until) {
         for (;;) {
             auto due = sink.timers.end();
-            for (auto t = sink.timers.begin(); t != sink.timers.end(); ++t) {
-                if (t->first <= until && (due == sink.timers.end() || t->first < due->first)) due = t;
+            for (auto candidate = sink.timers.begin(); candidate != sink.timers.end(); ++candidate) {
+                if (candidate->first <= until && (due == sink.timers.end() || candidate->first < due->first))
+                    due = candidate;
             }
             if (due == sink.timers.end()) break;
             const auto timer = *due;
