--- a/tests/decide_test.cpp
+++ b/tests/decide_test.cpp
@@ -119,7 +119,7 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(Decide, SingleRequest, testing::ValuesIn(scenarios()),
-                         [](const auto& its) { return its.param.name; });
+                         [](const auto& info) { return info.param.name; });
 
 // --- Invariant 1: one final answer, in time ---
 
@@ -193,7 +193,7 @@
                                   Rig::entry(2, 1, UpstreamState::ready, Time{}, 8)});
         rig.end(id, 0, Outcome::reset, ms(1));
         rig.run(rig.now + ms(1000));
-        EXPECT_EQ(rig.sink.sends(id), 1u) << "repeated where nobody drops it";
+        EXPECT_EQ(rig.sink.sends(id), 1u) << "repeated where no upstream drops repeats";
     }
 }
 
@@ -233,16 +233,16 @@
     Rig rig(settings);
     rig.fleet(1);
     rig.served();
-    const auto out = rig.wave(safe, 2);  // runs past the aim at most: no hedge can go anywhere
-    ASSERT_EQ(out.size(), 2u);
+    const auto in_flight = rig.wave(safe, 2);  // with one upstream, a hedge has nowhere to go
+    ASSERT_EQ(in_flight.size(), 2u);
     EXPECT_TRUE(rig.sink.closed.empty());
     rig.drain({1});
     EXPECT_EQ(rig.sink.closed.size(), 1u);
     rig.now += ms(5);
-    rig.end(out[0], 0, Outcome::ok);
+    rig.end(in_flight[0], 0, Outcome::ok);
     EXPECT_EQ(rig.sink.closed.size(), 2u);
     rig.now += ms(5);
-    rig.end(out[1], 0, Outcome::error);
+    rig.end(in_flight[1], 0, Outcome::error);
     EXPECT_EQ(rig.sink.closed, (std::vector<UpstreamId>{1, 1, 1}));
     // A repeated notice: no connection is left.
     rig.list(ListKind::full, {Rig::entry(1, 0, UpstreamState::draining)});
@@ -251,11 +251,11 @@
 }
 
 TEST(Drains, NothingIsClosedIfNothingIsOpenOrNoRuleApplies) {
-    for (const bool told : {false, true}) {
+    for (const bool rule_applies : {false, true}) {
         Settings settings = plain_settings();
-        settings.drain_close = told ? ms(800) : ms(0);
+        settings.drain_close = rule_applies ? ms(800) : ms(0);
         Rig rig(settings);
-        rig.fleet(told ? 0 : 2);
+        rig.fleet(rule_applies ? 0 : 2);
         rig.served();
         rig.drain({1});
         EXPECT_TRUE(rig.sink.closed.empty());
@@ -268,8 +268,8 @@
     const auto id = rig.request();
     const auto first = rig.sink.submits[0].upstream;
     rig.end(id, 0, Outcome::error, ms(1));
-    for (UpstreamId id = 1; id <= 3; ++id) {
-        if (id != first) rig.drain({id});
+    for (UpstreamId upstream = 1; upstream <= 3; ++upstream) {
+        if (upstream != first) rig.drain({upstream});
     }
     rig.run(rig.now + ms(1000));
     EXPECT_EQ(rig.sink.sends(id), 1u);
@@ -307,19 +307,19 @@
         Rig rig(settings);
         rig.list(ListKind::cached, {Rig::entry(1)});
         rig.run(rig.now);
-        std::vector<Time> asked;
+        std::vector<Time> delays;
         for (int i = 0; i < 8; ++i) {
             const int before = rig.sink.watches;
             rig.list(ListKind::failed, {});
             const Time failed = rig.now;
             while (rig.sink.watches == before) rig.run(rig.now + ms(50));
-            asked.push_back(rig.now - failed);
-            EXPECT_LE(asked.back(), ms(2050));
+            delays.push_back(rig.now - failed);
+            EXPECT_LE(delays.back(), ms(2050));
         }
-        EXPECT_GE(asked[0], within < 10 ? ms(50) : ms(400));
-        EXPECT_GE(asked[7], ms(1000));
+        EXPECT_GE(delays[0], within < 10 ? ms(50) : ms(400));
+        EXPECT_GE(delays[7], ms(1000));
         if (within <= 10) {
-            EXPECT_GT(asked[7], asked[0]);
+            EXPECT_GT(delays[7], delays[0]);
         }
         rig.list(ListKind::full, {Rig::entry(1)});  // subscribed: no further requests
         const int before = rig.sink.watches;
@@ -355,9 +355,9 @@
     EXPECT_GT(rig.sink.sends_to(1) - before - cold, 10u);  // warm again
 }
 
-// Runs 200 balancers that each send a request every `gap`, and compares what a restarted upstream and a warm
-// one get from the given number of requests.
-void expect_less_for_the_cold_upstream(Micros gap, int requests, std::size_t share) {
+// Runs 200 balancers that each send a request every `interval`, and compares what a restarted upstream and a
+// warm one get from the given number of requests.
+void expect_less_for_the_cold_upstream(Micros interval, int requests, std::size_t factor) {
     Settings settings = plain_settings();
     settings.balancers = 200;
     std::size_t cold = 0, warm = 0;
@@ -367,7 +367,7 @@
         const auto traffic = [&](int count) {
             for (int i = 0; i < count; ++i) {
                 rig.served();
-                rig.now += gap;
+                rig.now += interval;
             }
         };
         traffic(40);
@@ -379,7 +379,7 @@
     }
     EXPECT_GE(cold, 1u);
     // A quarter of a warm upstream's capacity is available, and three times that would make it fail.
-    EXPECT_LT(share * cold, warm);
+    EXPECT_LT(factor * cold, warm);
 }
 
 TEST(SlowStart, ManyBalancersTogetherStayWithinReducedCapacity) {
@@ -402,7 +402,8 @@
     for (const auto& sent : rig.sink.submits) used.insert(sent.upstream);
     ASSERT_LT(used.size(), 20u);
     std::vector<UpstreamEntry> cold;
-    for (UpstreamId id = 41; id <= 80; ++id) cold.push_back(Rig::entry(id, 0, UpstreamState::ready, rig.now));
+    for (UpstreamId upstream = 41; upstream <= 80; ++upstream)
+        cold.push_back(Rig::entry(upstream, 0, UpstreamState::ready, rig.now));
     rig.list(ListKind::delta, cold);
     const auto before = rig.sink.submits.size();
     for (int i = 0; i < 100; ++i) rig.served(safe, ms(20));
@@ -418,8 +419,8 @@
 TEST(SlowStart, ColdFleetIsNotOverloaded) {
     Rig rig;
     std::vector<UpstreamEntry> entries;
-    for (UpstreamId id = 1; id <= 3; ++id)
-        entries.push_back(Rig::entry(id, 0, UpstreamState::ready, rig.now));
+    for (UpstreamId upstream = 1; upstream <= 3; ++upstream)
+        entries.push_back(Rig::entry(upstream, 0, UpstreamState::ready, rig.now));
     rig.list(ListKind::full, entries);
     for (int i = 0; i < 100; ++i) rig.request(safe);
     EXPECT_LE(rig.sink.submits.size(), 3u);
@@ -448,8 +449,8 @@
         Rig rig;
         rig.fleet(2);
         for (int i = 0; i < 200; ++i) rig.served();
-        for (int i = 0; i < 400 && failures > 0;
-             ++i) {  // upstream 1 is ejected, and some probe requests fail
+        // Upstream 1 is ejected, and some probe requests to it fail.
+        for (int i = 0; i < 400 && failures > 0; ++i) {
             const auto id = rig.request();
             if (rig.sink.submits.back().upstream == 1) {
                 rig.end(id, 0, outcome, ms(1));
@@ -489,9 +490,9 @@
         for (auto& rig : rigs) rig->list(ListKind::full, {entry(1), entry(2), entry(3)});
     }
     UpstreamEntry entry(UpstreamId id, Time started_at = Time{}) const {
-        UpstreamEntry e = Rig::entry(id, 0, UpstreamState::ready, started_at);
-        e.cold = buckets[id - 1];
-        return e;
+        UpstreamEntry result = Rig::entry(id, 0, UpstreamState::ready, started_at);
+        result.cold = buckets[id - 1];
+        return result;
     }
     // Sends one request of each Policy to the upstream, answered after 5 ms. Returns how many were sent.
     std::size_t send_round(UpstreamId to) {
@@ -517,12 +518,12 @@
 };
 
 TEST(SharedSlowStart, PoliciesThatShareItSendTogetherWhatOneMay) {
-    const auto sent = [](std::size_t modules, bool shared) {
-        SharingPolicies index(modules, shared);
-        index.send_rounds(2, 800);
-        index.send_rounds(3, 800);
-        for (auto& rig : index.rigs) index.restart(*rig, rig->now);
-        return index.send_rounds(1, 400);  // the fall_span
+    const auto sent = [](std::size_t count, bool shared) {
+        SharingPolicies policies(count, shared);
+        policies.send_rounds(2, 800);
+        policies.send_rounds(3, 800);
+        for (auto& rig : policies.rigs) policies.restart(*rig, rig->now);
+        return policies.send_rounds(1, 400);  // the fall_span
     };
     const auto alone = sent(1, true);
     EXPECT_GE(alone, 5u);
@@ -558,8 +559,8 @@
     EXPECT_LT(bucket.tokens, 1);                      // saved tokens are not kept
     EXPECT_EQ(bucket.since, at);
     bucket.tokens = -3;
-    policies.restart(*policies.rigs[3],
-                     at + ms(1));  // a new process starts with a part of a token of its own
+    // A new process starts with a part of a token of its own.
+    policies.restart(*policies.rigs[3], at + ms(1));
     EXPECT_GE(bucket.tokens, 0);
     EXPECT_LT(bucket.tokens, 1);
     EXPECT_EQ(bucket.since, at + ms(1));
@@ -591,8 +592,8 @@
     Rig rig;
     rig.fleet(4, 4);
     for (int i = 0; i < 100; ++i) rig.served();
-    for (UpstreamId id = 1; id <= 4; ++id) EXPECT_GT(rig.sink.sends_to(id), 8u);
-    for (UpstreamId id = 101; id <= 104; ++id) EXPECT_EQ(rig.sink.sends_to(id), 0u);
+    for (UpstreamId upstream = 1; upstream <= 4; ++upstream) EXPECT_GT(rig.sink.sends_to(upstream), 8u);
+    for (UpstreamId upstream = 101; upstream <= 104; ++upstream) EXPECT_EQ(rig.sink.sends_to(upstream), 0u);
 }
 
 TEST(Originals, FewerOwnAttemptsInFlightWins) {
@@ -632,19 +633,19 @@
 TEST(Originals, EqualPairPrefersFewerRejectionsToLowerLatency) {
     Rig rig;
     rig.fleet(2);
-    int full = 0, of = 0;
+    int first_count = 0, total = 0;
     for (int i = 0; i < 400; ++i) {
         const auto id = rig.request(unsafe);
         const bool first = rig.sink.submits.back().upstream == 1;
         const Micros latency = first ? ms(10) : ms(14);
         rig.now += latency;
-        const bool turned_away = first && i % 2 == 0;
-        rig.end(id, 0, turned_away ? Outcome::full : Outcome::ok, latency);
-        if (turned_away && rig.sink.sends(id) == 2) rig.end(id, 1, Outcome::ok, latency);
-        full += first;
-        ++of;
+        const bool rejected = first && i % 2 == 0;
+        rig.end(id, 0, rejected ? Outcome::full : Outcome::ok, latency);
+        if (rejected && rig.sink.sends(id) == 2) rig.end(id, 1, Outcome::ok, latency);
+        first_count += first;
+        ++total;
     }
-    EXPECT_LT(full, of / 3);
+    EXPECT_LT(first_count, total / 3);
 }
 
 // A minimal advantage must not draw all requests to one of two nearly equal upstreams.
@@ -696,13 +697,13 @@
 TEST(Originals, SpillWhenTheZoneIsKnownToBeFull) {
     Rig rig;
     rig.fleet(1, 1);
-    const auto a = rig.request(unsafe);
-    const auto b = rig.request(unsafe);
-    rig.end(b, 0, Outcome::full, ms(1));  // it holds one attempt and takes no second
-    const auto c = rig.request(unsafe);
-    EXPECT_EQ(rig.sink.submits.back().request, c);
+    const auto running = rig.request(unsafe);
+    const auto rejected = rig.request(unsafe);
+    rig.end(rejected, 0, Outcome::full, ms(1));  // it holds one attempt and takes no second
+    const auto next = rig.request(unsafe);
+    EXPECT_EQ(rig.sink.submits.back().request, next);
     EXPECT_EQ(rig.sink.submits.back().upstream, 101u);
-    rig.end(a, 0, Outcome::ok, ms(10));
+    rig.end(running, 0, Outcome::ok, ms(10));
 }
 
 TEST(Originals, ManyBalancersUseSubsetsThatCoverTheZoneEvenly) {
@@ -717,10 +718,10 @@
             rig.now += ms(200);
         }
         std::size_t used = 0;
-        for (UpstreamId id = 1; id <= 40; ++id) {
-            const bool uses = rig.sink.sends_to(id) > 0;
+        for (UpstreamId upstream = 1; upstream <= 40; ++upstream) {
+            const bool uses = rig.sink.sends_to(upstream) > 0;
             used += uses;
-            users[id] += uses;
+            users[upstream] += uses;
         }
         EXPECT_LE(used, 5u);
     }
@@ -750,7 +751,8 @@
     Rig rig;
     rig.fleet(12);
     for (int i = 0; i < 400; ++i) rig.served(safe, ms(2));
-    for (UpstreamId id = 1; id <= 12; ++id) EXPECT_GT(rig.sink.sends_to(id), 0u) << id;
+    for (UpstreamId upstream = 1; upstream <= 12; ++upstream)
+        EXPECT_GT(rig.sink.sends_to(upstream), 0u) << upstream;
 }
 
 TEST(Originals, SubsetWithFailedUpstreamsIsFilledFromTheRestOfTheZone) {
@@ -758,20 +760,22 @@
     settings.balancers = 40;
     Rig rig(settings);
     rig.fleet(12, 12);
-    std::set<UpstreamId> dead;
+    std::set<UpstreamId> failed;
     for (int i = 0; i < 60; ++i) {
         const auto id = rig.request();
         ASSERT_EQ(rig.sink.sends(id), 1u);
         const auto to = rig.sink.submits.back().upstream;
-        if (dead.size() < 3) dead.insert(to);
+        if (failed.size() < 3) failed.insert(to);
         rig.now += ms(20);
-        rig.end(id, 0, dead.count(to) ? Outcome::connect_failed : Outcome::ok, ms(20));
+        rig.end(id, 0, failed.count(to) ? Outcome::connect_failed : Outcome::ok, ms(20));
         rig.run(rig.now + ms(100));
-        for (int a = 1; a < static_cast<int>(rig.sink.sends(id)); ++a) rig.end(id, a, Outcome::ok, ms(20));
+        for (int attempt = 1; attempt < static_cast<int>(rig.sink.sends(id)); ++attempt)
+            rig.end(id, attempt, Outcome::ok, ms(20));
     }
-    std::size_t living = 0;
-    for (UpstreamId id = 1; id <= 12; ++id) living += dead.count(id) == 0 && rig.sink.sends_to(id) > 0;
-    EXPECT_GE(living, 3u);
+    std::size_t working = 0;
+    for (UpstreamId upstream = 1; upstream <= 12; ++upstream)
+        working += failed.count(upstream) == 0 && rig.sink.sends_to(upstream) > 0;
+    EXPECT_GE(working, 3u);
 }
 
 TEST(Originals, KeysChooseTheirPairWhereWarmKeysSaveWork) {
@@ -779,12 +783,12 @@
     settings.warm_keys = true;
     Rig rig(settings), other(settings, 2);
     std::set<UpstreamId> used;
-    for (Rig* r : {&rig, &other}) {  // the same at every balancer
-        r->fleet(8);
+    for (Rig* balancer : {&rig, &other}) {  // the same at every balancer
+        balancer->fleet(8);
         for (int i = 0; i < 50; ++i) {
-            const auto id = r->request(safe, ms(1000), 4711);
-            used.insert(r->sink.submits.back().upstream);
-            r->end(id, 0, Outcome::ok, ms(10));
+            const auto id = balancer->request(safe, ms(1000), 4711);
+            used.insert(balancer->sink.submits.back().upstream);
+            balancer->end(id, 0, Outcome::ok, ms(10));
         }
     }
     EXPECT_LE(used.size(), 2u);
@@ -810,9 +814,9 @@
     EXPECT_EQ(rig.sink.sends(id), 3u);  // waits for a back-off
     rig.run(rig.now + ms(200));
     EXPECT_EQ(rig.sink.sends(id), 4u);
-    std::set<UpstreamId> met;
-    for (const auto& sent : rig.sink.submits) met.insert(sent.upstream);
-    EXPECT_GE(met.size(), 2u);
+    std::set<UpstreamId> used;
+    for (const auto& sent : rig.sink.submits) used.insert(sent.upstream);
+    EXPECT_GE(used.size(), 2u);
 }
 
 TEST(Retries, EarlyFailuresWaitForADoublingBackoff) {
@@ -828,7 +832,7 @@
         if (rig.sink.sends(id) > before) sent.push_back(rig.now);
     }
     ASSERT_EQ(sent.size(), 4u);
-    EXPECT_EQ(sent[1] - sent[0], ms(80));  // before anything is learned: the upper bound of the aim
+    EXPECT_EQ(sent[1] - sent[0], ms(80));  // nothing is learned yet: the upper bound of the retry timeout
     EXPECT_EQ(sent[2] - sent[1], ms(160));
     EXPECT_EQ(sent[3] - sent[2], ms(320));
 }
@@ -890,19 +894,19 @@
 
 // Hedges that double the work of late requests would make other requests late.
 TEST(Retries, HedgeNeedsFarLessDelayThanARetry) {
-    int copies = 0, retries = 0;
+    int hedges = 0, retries = 0;
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
         Rig rig(plain_settings(), seed);
         rig.fleet(3);
         for (int i = 0; i < 60; ++i) rig.served(safe, ms(10));  // retry timeout 25 ms, delay 10 ms everywhere
         const auto id = rig.request(safe);
         rig.run(rig.now + ms(30));
-        copies += rig.sink.sends(id) == 2;
+        hedges += rig.sink.sends(id) == 2;
         rig.end(id, 0, Outcome::error, ms(30));
         rig.run(rig.now + ms(30));
         retries += rig.sink.sends(id) == 2;
     }
-    EXPECT_EQ(copies, 0);
+    EXPECT_EQ(hedges, 0);
     EXPECT_GE(retries, 8);
 }
 
@@ -1030,18 +1034,18 @@
         rig.fleet(1);
         for (int i = 0; i < 80; ++i) rig.served();
         std::pair<std::size_t, std::size_t> counts;
-        const auto one = [&](Micros pause, Outcome outcome) {
+        const auto send_after = [&](Micros pause, Outcome outcome) {
             rig.run(rig.now + pause);
             const auto before = rig.sink.closed.size();
             const auto id = rig.request(unsafe);
-            const auto renewed = rig.sink.closed.size() - before;
+            const auto closed = rig.sink.closed.size() - before;
             rig.now += ms(10);
-            if (rig.sink.sends(id) == 1) rig.end(id, 0, renewed > 0 ? Outcome::ok : outcome);
-            return renewed;
+            if (rig.sink.sends(id) == 1) rig.end(id, 0, closed > 0 ? Outcome::ok : outcome);
+            return closed;
         };
         for (int i = 0; i < 20; ++i) {
-            counts.second += one(ms(2), young);
-            counts.first += one(ms(300), old);
+            counts.second += send_after(ms(2), young);
+            counts.first += send_after(ms(300), old);
         }
         return counts;
     };
@@ -1060,18 +1064,18 @@
         rig.fleet(3);
         for (int i = 0; i < 100; ++i) rig.served(safe, ms(2));
         rig.add_upstreams(4, 12);
-        std::set<UpstreamId> met;
+        std::set<UpstreamId> used;
         for (int i = 0; i < 60; ++i) {
             const auto id = rig.request(unsafe);
             if (rig.sink.sends(id) != 1) continue;
             const UpstreamId to = rig.sink.submits.back().upstream;
             rig.now += ms(2);
             const bool fails = failing && to > 3;
-            if (to > 3) met.insert(to);
+            if (to > 3) used.insert(to);
             rig.end(id, 0, fails ? Outcome::connect_failed : Outcome::ok, ms(2));
             rig.policy->on_client_gone(rig.now, id);  // no further attempts
         }
-        return met.size();
+        return used.size();
     };
     EXPECT_GE(new_upstreams(false), 8u);
     EXPECT_LE(new_upstreams(true), 4u);
@@ -1111,22 +1115,22 @@
     for (int i = 0; i < 200; ++i) rig.served(safe, ms(2));
     rig.add_upstreams(5, 12);
     rig.end_one_on_each(5, 12, Outcome::connect_failed);
-    const auto failing = rig.pinned(1, unsafe), moot = rig.pinned(1, unsafe);
+    const auto failing = rig.pinned(1, unsafe), inconclusive = rig.pinned(1, unsafe);
     rig.end(failing, 0, Outcome::connect_failed, ms(1));
-    rig.end(moot, 0, Outcome::moot, ms(1));
+    rig.end(inconclusive, 0, Outcome::moot, ms(1));
     rig.policy->on_client_gone(rig.now, failing);
-    rig.policy->on_client_gone(rig.now, moot);
+    rig.policy->on_client_gone(rig.now, inconclusive);
     const auto before = rig.sink.sends_to(1);
     for (int i = 0; i < 30; ++i) rig.end(rig.request(unsafe), 0, Outcome::ok, ms(2));
     EXPECT_EQ(rig.sink.sends_to(1), before);
 }
 
 TEST(InconclusiveOutcome, DoesNotResetTheAgeOfAnIdleConnection) {
-    const auto renewed = [](bool inconclusive) {
+    const auto closed_before_send = [](bool inconclusive) {
         Rig rig;
         rig.fleet(1);
         for (int i = 0; i < 80; ++i) rig.served();
-        const auto one = [&](Micros pause, Outcome outcome) {
+        const auto send_after = [&](Micros pause, Outcome outcome) {
             rig.run(rig.now + pause);
             const auto before = rig.sink.closed.size();
             const auto id = rig.request(unsafe, ms(20));
@@ -1137,15 +1141,15 @@
         };
         std::size_t closed = 0;
         for (int i = 0; i < 30; ++i) {
-            one(ms(2), Outcome::ok);
+            send_after(ms(2), Outcome::ok);
             rig.run(rig.now + ms(290));
-            if (inconclusive) one(ms(2), Outcome::moot);
-            closed += one(ms(2), Outcome::timeout);  // old ones get no answer
+            if (inconclusive) send_after(ms(2), Outcome::moot);
+            closed += send_after(ms(2), Outcome::timeout);  // old ones get no answer
         }
         return closed;
     };
-    EXPECT_GE(renewed(false), 5u);
-    EXPECT_GE(renewed(true), 5u);
+    EXPECT_GE(closed_before_send(false), 5u);
+    EXPECT_GE(closed_before_send(true), 5u);
 }
 
 TEST(InconclusiveOutcome, DoesNotMakeAFullUpstreamSeemFree) {
@@ -1301,10 +1305,10 @@
     Rig rig(settings);
     rig.fleet(2);
     for (int round = 0; round < 20; ++round) {  // both classes are learned, several requests at once
-        const auto a = rig.wave(safe, 4), b = rig.wave(unsafe, 4);
+        const auto safe_wave = rig.wave(safe, 4), unsafe_wave = rig.wave(unsafe, 4);
         rig.now += ms(10);
-        rig.answer(a, ms(10));
-        rig.answer(b, ms(10));
+        rig.answer(safe_wave, ms(10));
+        rig.answer(unsafe_wave, ms(10));
     }
     const auto low_worth = rig.wave(safe, 40);
     const auto high_worth = rig.wave(unsafe, 40);
@@ -1388,7 +1392,7 @@
 // A request that waited while this process was stalled ends with the aim that it arrived with.
 TEST(Stall, RequestThatWaitedDuringAStallEndsWithItsOriginalAim) {
     Settings settings = plain_settings();
-    for (auto& c : settings.classes) c.late_worth = 0;
+    for (auto& class_settings : settings.classes) class_settings.late_worth = 0;
     const auto timeout_after_stall = [&](Micros stall, Micros left) {
         Rig rig(settings);
         rig.fleet(4);
@@ -1440,16 +1444,16 @@
 // If upstreams that were ejected and then left the list counted as missing, the fleet would seem to shrink
 // over a long run, and the concurrency limit with it.
 TEST(LoadShedding, RemovedUpstreamsDoNotCountAsMissing) {
-    const auto held_under_congestion_after = [](UpstreamId left) {
+    const auto held_under_congestion_after = [](UpstreamId removed) {
         Settings settings = plain_settings();
         settings.balancers = 4;
         Rig rig(settings);
-        for (UpstreamId id = 1000; id < 1000 + left; ++id) {
-            rig.list(ListKind::full, {Rig::entry(id)});
+        for (UpstreamId upstream = 1000; upstream < 1000 + removed; ++upstream) {
+            rig.list(ListKind::full, {Rig::entry(upstream)});
             for (int i = 0; i < 4; ++i) {
                 const auto request = rig.request(unsafe);
-                for (std::size_t a = 0; a < rig.sink.sends(request); ++a) {
-                    rig.end(request, static_cast<int>(a), Outcome::connect_failed, ms(1));
+                for (std::size_t attempt = 0; attempt < rig.sink.sends(request); ++attempt) {
+                    rig.end(request, static_cast<int>(attempt), Outcome::connect_failed, ms(1));
                 }
             }
             rig.now += ms(1000);
@@ -1469,11 +1473,11 @@
     rig.list(ListKind::full, {Rig::entry(1)});
     const auto held = rig.request(keyed_zone);
     ASSERT_EQ(rig.sink.sends_to(1), 1U);
-    for (UpstreamId id = 2; id < 50; ++id) {
+    for (UpstreamId upstream = 2; upstream < 50; ++upstream) {
         // In the other zone, where the open request must not go.
-        rig.list(ListKind::full, {Rig::entry(id, 1)});
+        rig.list(ListKind::full, {Rig::entry(upstream, 1)});
         rig.served();
-        EXPECT_EQ(rig.sink.submits.back().upstream, id);
+        EXPECT_EQ(rig.sink.submits.back().upstream, upstream);
     }
     rig.end(held, 0, Outcome::error, ms(5));
     rig.run(rig.now + ms(2000));
@@ -1491,10 +1495,10 @@
     int sent = 0;
     for (int i = 0; i < 100; ++i) {  // one at a time, all late, from the first one on
         const auto id = rig.request(unsafe);
-        const bool goes = rig.sink.sends(id) == 1;
+        const bool was_sent = rig.sink.sends(id) == 1;
         rig.now += ms(90);
-        if (goes) rig.end(id, 0, Outcome::ok, ms(90));
-        if (i >= 50) sent += goes;
+        if (was_sent) rig.end(id, 0, Outcome::ok, ms(90));
+        if (i >= 50) sent += was_sent;
     }
     EXPECT_GT(sent, 5);
     EXPECT_LT(sent, 40);
@@ -1529,7 +1533,7 @@
 }
 
 TEST(OnSettings, InconsistentSettingsChangeNothing) {
-    const auto play = [](bool broken) {
+    const auto actions_of = [](bool broken) {
         Rig rig;
         rig.fleet(3);
         for (int i = 0; i < 40; ++i) rig.served(i % 5);
@@ -1545,7 +1549,7 @@
         rig.run(rig.now + ms(1000));
         return rig.sink.action_log;
     };
-    EXPECT_EQ(play(true), play(false));
+    EXPECT_EQ(actions_of(true), actions_of(false));
 }
 
 TEST(OnSettings, LearnedClassStateMovesWithTheClass) {
@@ -1705,7 +1709,7 @@
 }
 
 TEST(UnusualSettings, InconsistenciesAreNamed) {
-    const auto refused = [](auto change) -> std::string {
+    const auto error_of = [](auto change) -> std::string {
         Settings settings = plain_settings();
         change(settings);
         Recorder sink;
@@ -1717,7 +1721,7 @@
         return "";
     };
     struct Row {
-        const char* told;  // a word of the message
+        const char* expected_word;  // in the message
         void (*change)(Settings&);
     };
     for (const Row& row : std::vector<Row>{
@@ -1732,9 +1736,9 @@
              {"deadline", [](Settings& settings) { settings.classes[0].aim = ms(2000); }},
              {"window", [](Settings& settings) { settings.classes[keyed_zone].window = Micros{0}; }},
          }) {
-        EXPECT_NE(refused(row.change).find(row.told), std::string::npos) << row.told;
+        EXPECT_NE(error_of(row.change).find(row.expected_word), std::string::npos) << row.expected_word;
     }
-    EXPECT_EQ(refused([](Settings&) {}), "");
+    EXPECT_EQ(error_of([](Settings&) {}), "");
 }
 
 TEST(UnusualSettings, OneZoneOneUpstreamOneAttemptNoCancelNoReports) {
@@ -1756,7 +1760,7 @@
 }
 
 TEST(Determinism, TheSameEventsGiveTheSameActions) {
-    const auto play = [](std::uint64_t seed) {
+    const auto actions_of = [](std::uint64_t seed) {
         Rig rig(plain_settings(), seed);
         rig.fleet(5, 3);
         for (int i = 0; i < 300; ++i) {
@@ -1769,8 +1773,8 @@
         }
         return rig.sink.action_log;
     };
-    EXPECT_EQ(play(3), play(3));
-    EXPECT_NE(play(3), play(4));
+    EXPECT_EQ(actions_of(3), actions_of(3));
+    EXPECT_NE(actions_of(3), actions_of(4));
 }
 
 }  // namespace
