--- a/include/flaxdoor/decide.h
+++ b/include/flaxdoor/decide.h
@@ -185,10 +185,12 @@
     bool limited = false;  // the limit has fallen at least once
     int strikes = 0;       // consecutive failures
     bool out = false;      // ejected: the upstream gets no ordinary traffic
-    bool died = false;     // a connection failed since the last success: a reinstated upstream may be cold
-    Time out_until{};      // end of the ejection: the upstream is probed then
-    Time answered_at{};    // last answer; zero: never
-    Time cold_since{};     // last cold start; zero: long ago
+    // A connection failed since the upstream was added or last reinstated. It may be cold when it is
+    // reinstated.
+    bool died = false;
+    Time out_until{};    // end of the ejection: the upstream is probed then
+    Time answered_at{};  // last answer; zero: never
+    Time cold_since{};   // last cold start; zero: long ago
 
     bool operator==(const UpstreamMemory&) const = default;
 };
