--- a/src/settings/faults.cpp
+++ b/src/settings/faults.cpp
@@ -16,18 +16,18 @@
 }
 
 void Faults::add(Fault fault) {
-    const auto place = std::upper_bound(kept_.begin(), kept_.end(), fault.at,
-                                        [](Position at, const Fault& other) { return at < other.at; });
-    kept_.insert(place, std::move(fault));
-    if (kept_.size() <= most) return;
+    const auto position = std::upper_bound(kept_.begin(), kept_.end(), fault.at,
+                                           [](Position at, const Fault& other) { return at < other.at; });
+    kept_.insert(position, std::move(fault));
+    if (kept_.size() <= max_kept) return;
     kept_.pop_back();
-    ++others_;
+    ++omitted_count_;
 }
 
 std::string Faults::text(const std::string& file) const {
     std::string all;
     for (const Fault& fault : kept_) all += line_of(file, fault) + "\n";
-    if (others_ > 0) all += file + ": and " + std::to_string(others_) + " more\n";
+    if (omitted_count_ > 0) all += file + ": and " + std::to_string(omitted_count_) + " more\n";
     return all;
 }
 
--- a/src/settings/faults.h
+++ b/src/settings/faults.h
@@ -1,4 +1,4 @@
-// What is wrong with a file, in the order of the file; bounded.
+// The faults found in a settings file, sorted by position and bounded in number.
 #pragma once
 
 #include <cstddef>
@@ -11,35 +11,37 @@
 namespace flaxdoor::settings {
 
 struct Fault {
-    Position at;       // line 0: the file as a whole
-    std::string what;  // what is wrong
-    std::string key;   // "table.key" or "table"; empty when it is neither
-    std::string mend;  // what likely mends it; empty when there is no guess
+    Position at;       // line 0 stands for the file as a whole
+    std::string what;  // describes the fault
+    std::string key;   // "table.key" or "table"; empty if the fault concerns neither
+    std::string mend;  // a likely remedy; empty if none is known
 };
 
-// "FILE:LINE:COLUMN: what is wrong (table.key); likely mend"
+// Formats a fault as "FILE:LINE:COLUMN: description (table.key); likely remedy".
 std::string line_of(const std::string& file, const Fault& fault);
 
-// Keeps the first hundred by position and counts the others.
+// Keeps the faults with the lowest positions, up to `max_kept`, and counts the others.
 class Faults {
 public:
-    static constexpr std::size_t most = 100;
+    static constexpr std::size_t max_kept = 100;
 
-    // Whether one at this position would be kept. One that would not need not be put into words.
-    bool keeps(Position at) const { return kept_.size() < most || at < kept_.back().at; }
+    // Returns whether a fault at this position would be kept. If not, the caller can save formatting its text
+    // and call count_omitted() instead.
+    bool would_keep(Position at) const { return kept_.size() < max_kept || at < kept_.back().at; }
     void add(Fault fault);
-    void add_unworded() { ++others_; }
+    void count_omitted() { ++omitted_count_; }
 
     bool empty() const { return kept_.empty(); }
     const std::vector<Fault>& first() const { return kept_; }
-    std::size_t more() const { return others_; }
+    std::size_t more() const { return omitted_count_; }
 
-    // One line each, then "and N more"; every line ends with a newline.
+    // Returns one line for each kept fault, then "and N more" if faults were omitted. Each line ends with a
+    // newline.
     std::string text(const std::string& file) const;
 
 private:
     std::vector<Fault> kept_;
-    std::size_t others_ = 0;
+    std::size_t omitted_count_ = 0;
 };
 
 }  // namespace flaxdoor::settings
--- a/src/settings/page.cpp
+++ b/src/settings/page.cpp
@@ -24,7 +24,7 @@
 the log and waits for a restart. A broken file changes nothing.
 )";
 
-std::string_view kind_of(Type type) {
+std::string_view type_name(Type type) {
     switch (type) {
         case Type::boolean: return "boolean";
         case Type::integer: return "integer";
@@ -44,37 +44,37 @@
     return table.kind == Kind::many ? "[[" + table.name + "]]" : "[" + table.name + "]";
 }
 
-std::string default_of(const Setting& setting) {
+std::string default_text(const Setting& setting) {
     if (setting.fallback) return toml_of(*setting.fallback);
     return setting.required ? "must be given" : "none";
 }
 
-std::string_view takes_of(Takes takes) { return takes == Takes::reload ? "reload" : "restart"; }
+std::string_view takes_name(Takes takes) { return takes == Takes::reload ? "reload" : "restart"; }
 
-void add_table(std::string& out, const Table& table) {
-    out += "\n## " + header_of(table) + "\n\n" + table.meaning + "\n";
-    const std::string presence(takes_of(table.presence_takes));
+void append_table(std::string& result, const Table& table) {
+    result += "\n## " + header_of(table) + "\n\n" + table.meaning + "\n";
+    const std::string presence(takes_name(table.presence_takes));
     if (table.kind == Kind::optional) {
-        out += "Off when the table is not there; to add it or take it away takes a " + presence + ".\n";
+        result += "Off when the table is not there; to add it or take it away takes a " + presence + ".\n";
     }
     if (table.kind == Kind::many) {
-        out += "Up to " + std::to_string(table.most_rows) + " rows, told apart by `" + table.unique +
-               "`; to add one or take one away takes a " + presence + ".\n";
+        result += "Up to " + std::to_string(table.most_rows) + " rows, told apart by `" + table.unique +
+                  "`; to add one or take one away takes a " + presence + ".\n";
     }
-    out += "\n| key | type | range | default | takes | meaning |\n| --- | --- | --- | --- | --- | --- |\n";
+    result += "\n| key | type | range | default | takes | meaning |\n| --- | --- | --- | --- | --- | --- |\n";
     for (const Setting& setting : table.settings) {
-        out += "| `" + setting.name + "` | " + std::string(kind_of(setting.type)) + " | " + setting.range() +
-               " | ";
-        out += (setting.fallback ? "`" + default_of(setting) + "`" : default_of(setting)) + " | ";
-        out += std::string(takes_of(setting.takes)) + " | " + setting.meaning + " |\n";
+        result += "| `" + setting.name + "` | " + std::string(type_name(setting.type)) + " | " +
+                  setting.range() + " | ";
+        result += (setting.fallback ? "`" + default_text(setting) + "`" : default_text(setting)) + " | ";
+        result += std::string(takes_name(setting.takes)) + " | " + setting.meaning + " |\n";
     }
     if (table.checks.empty()) return;
-    out += "\n";
-    for (const Check& check : table.checks) out += "- " + check.meaning + "\n";
+    result += "\n";
+    for (const Check& check : table.checks) result += "- " + check.meaning + "\n";
 }
 
-// In lines of up to 100 columns.
-void add_comment(std::string& out, std::string_view text) {
+// Appends `text` as comment lines of up to 100 columns.
+void append_comment(std::string& result, std::string_view text) {
     constexpr std::size_t width = 98;
     while (!text.empty()) {
         std::size_t end = text.size();
@@ -82,71 +82,71 @@
             end = text.rfind(' ', width);
             if (end == std::string_view::npos || end == 0) end = std::min(text.size(), text.find(' ', width));
         }
-        out += "# " + std::string(text.substr(0, end)) + "\n";
+        result += "# " + std::string(text.substr(0, end)) + "\n";
         text.remove_prefix(std::min(text.size(), end + 1));
     }
 }
 
-void add_example(std::string& out, const Table& table) {
-    add_comment(out, table.meaning);
-    const bool all_comment = table.kind != Kind::one;
-    out += (all_comment ? "#" : "") + header_of(table) + "\n";
+void append_example(std::string& result, const Table& table) {
+    append_comment(result, table.meaning);
+    const bool commented_out = table.kind != Kind::one;
+    result += (commented_out ? "#" : "") + header_of(table) + "\n";
     for (const Setting& setting : table.settings) {
-        add_comment(out, setting.meaning);
-        add_comment(out, "(" + std::string(kind_of(setting.type)) + ", " + setting.range() + "; " +
-                             std::string(takes_of(setting.takes)) + ")");
-        const bool comment = all_comment || !setting.fallback;
-        out += (comment ? "#" : "") + setting.name + " = " +
-               (setting.fallback ? toml_of(*setting.fallback) : std::string("...")) + "\n";
+        append_comment(result, setting.meaning);
+        append_comment(result, "(" + std::string(type_name(setting.type)) + ", " + setting.range() + "; " +
+                                   std::string(takes_name(setting.takes)) + ")");
+        const bool comment = commented_out || !setting.fallback;
+        result += (comment ? "#" : "") + setting.name + " = " +
+                  (setting.fallback ? toml_of(*setting.fallback) : std::string("...")) + "\n";
     }
 }
 
 }  // namespace
 
 std::string page(const Schema& schema) {
-    std::string out(preface);
-    for (const Table& table : schema.tables()) add_table(out, table);
-    if (schema.checks().empty()) return out;
-    out += "\n## Between tables\n\n";
-    for (const SchemaCheck& check : schema.checks()) out += "- " + check.meaning + "\n";
-    return out;
+    std::string result(preface);
+    for (const Table& table : schema.tables()) append_table(result, table);
+    if (schema.checks().empty()) return result;
+    result += "\n## Between tables\n\n";
+    for (const SchemaCheck& check : schema.checks()) result += "- " + check.meaning + "\n";
+    return result;
 }
 
 std::string columns(const std::vector<std::vector<std::string>>& lines) {
-    std::string out;
-    if (lines.empty()) return out;
+    std::string result;
+    if (lines.empty()) return result;
     std::vector<std::size_t> widths(lines.front().size());
     for (const auto& line : lines) {
         for (std::size_t i = 0; i < line.size(); ++i) widths[i] = std::max(widths[i], line[i].size());
     }
     for (const auto& line : lines) {
         for (std::size_t i = 0; i + 1 < line.size(); ++i) {
-            out += line[i] + std::string(widths[i] + 2 - line[i].size(), ' ');
+            result += line[i] + std::string(widths[i] + 2 - line[i].size(), ' ');
         }
-        out += line.back() + "\n";
+        result += line.back() + "\n";
     }
-    return out;
+    return result;
 }
 
 std::string listing(const Schema& schema) {
     std::vector<std::vector<std::string>> lines{{"KEY", "TYPE", "RANGE", "DEFAULT", "TAKES", "MEANING"}};
     for (const Table& table : schema.tables()) {
         for (const Setting& setting : table.settings) {
-            lines.push_back({setting.text(), std::string(kind_of(setting.type)), setting.range(),
-                             default_of(setting), std::string(takes_of(setting.takes)), setting.meaning});
+            lines.push_back({setting.text(), std::string(type_name(setting.type)), setting.range(),
+                             default_text(setting), std::string(takes_name(setting.takes)), setting.meaning});
         }
     }
     return columns(lines);
 }
 
 std::string example(const Schema& schema, std::string_view table) {
-    std::string out;
-    for (const Table& each : schema.tables()) {
-        if (!table.empty() && each.name != table) continue;
-        if (!out.empty()) out += "\n";
-        add_example(out, each);
+    std::string result;
+    for (const Table& candidate : schema.tables()) {
+        if (!table.empty() && candidate.name != table) continue;
+        if (!result.empty()) result += "\n";
+        append_example(result, candidate);
     }
-    return out;
+    return result;
 }
 
 }  // namespace flaxdoor::settings
--- a/src/settings/page.h
+++ b/src/settings/page.h
@@ -1,4 +1,5 @@
-// The list of settings for people: the page in docs/operators, a table for a terminal, an example file.
+// Renders the list of settings for operators: as a Markdown page, as a table for a terminal, and as an
+// example file.
 #pragma once
 
 #include <string>
@@ -9,17 +10,18 @@
 
 namespace flaxdoor::settings {
 
-// Markdown, as docs/operators/settings.md holds it.
+// Returns the content of docs/operators/settings.md (Markdown).
 std::string page(const Schema& schema);
 
-// Lines of words, each column as wide as it must be.
+// Formats lines of words as columns; each column is as wide as its longest word.
 std::string columns(const std::vector<std::vector<std::string>>& lines);
 
-// Columns of text, one line a setting.
+// Returns the settings as columns of text, one line per setting.
 std::string listing(const Schema& schema);
 
-// A file that gives every setting its default, each with its meaning above it. What has no default, and rows,
-// stand there as comments. With a table's name only that table.
+// Returns a settings file that sets every key to its default, with a description above each key. Keys without
+// a default, optional tables and rows are commented out. If `table` is not empty, only that table is
+// included.
 std::string example(const Schema& schema, std::string_view table = {});
 
 }  // namespace flaxdoor::settings
--- a/src/settings/product.cpp
+++ b/src/settings/product.cpp
@@ -13,11 +13,11 @@
 
 namespace flaxdoor::settings {
 
-// The one place that knows all subsystems: each adds its table here, in the order of the page.
+// The only place that lists all subsystems. Each adds its tables here, in the order of the settings page.
 Schema product_schema() {
     auto checks = postgres::checks();
-    for (auto& each : gateway::checks()) checks.push_back(std::move(each));
-    for (auto& each : budget::checks()) checks.push_back(std::move(each));
+    for (auto& check : gateway::checks()) checks.push_back(std::move(check));
+    for (auto& check : budget::checks()) checks.push_back(std::move(check));
     return Schema(
         {http::table(), core::table(), drain::table(), log::table(), membership::table(), store::table(),
          door::table(), door::tenant_table(), door::class_table(), budget::table(), budget::limit_table(),
--- a/src/settings/product.h
+++ b/src/settings/product.h
@@ -1,4 +1,4 @@
-// All settings of this program's operator's file.
+// The schema of the operator's settings file: all tables of the balancer and of the coordinator.
 #pragma once
 
 #include "settings/schema.h"
--- a/src/settings/reload.cpp
+++ b/src/settings/reload.cpp
@@ -9,34 +9,36 @@
 
 namespace {
 
-std::string written(const std::optional<Value>& value) { return value ? toml_of(*value) : std::string(); }
+std::string toml_or_empty(const std::optional<Value>& value) {
+    return value ? toml_of(*value) : std::string();
+}
 
-const Row* row_called(const std::vector<Row>& rows, const std::string& label) {
+const Row* find_row(const std::vector<Row>& rows, const std::string& label) {
     const auto found =
-        std::find_if(rows.begin(), rows.end(), [&](const Row& r) { return r.label() == label; });
+        std::find_if(rows.begin(), rows.end(), [&](const Row& row) { return row.label() == label; });
     return found == rows.end() ? nullptr : &*found;
 }
 
-std::string name_of(const Table& table, const Row& row) {
+std::string displayed_name(const Table& table, const Row& row) {
     return table.kind != Kind::many ? table.name : table.name + "[" + in_quotes(row.label()) + "]";
 }
 
-// Whether the file turns a subsystem on or off.
-bool switched(const Table& table, const Values::Part& was, const Values::Part& wanted) {
+// Returns whether the new file enables or disables the table's subsystem.
+bool presence_changed(const Table& table, const Values::Part& was, const Values::Part& wanted) {
     return table.kind == Kind::optional && was.given != wanted.given;
 }
 
-void compare(const Table& table, const Row& was, const Row& wanted, std::vector<Change>& all) {
+void append_changes(const Table& table, const Row& was, const Row& wanted, std::vector<Change>& result) {
     for (std::size_t i = 0; i < table.settings.size(); ++i) {
         const auto& before = was.slots()[i].value;
         const auto& after = wanted.slots()[i].value;
         if (before == after) continue;
-        all.push_back({name_of(table, wanted) + "." + table.settings[i].name, table.settings[i].takes,
-                       written(before), written(after)});
+        result.push_back({displayed_name(table, wanted) + "." + table.settings[i].name,
+                          table.settings[i].takes, toml_or_empty(before), toml_or_empty(after)});
     }
 }
 
-// The row as it is to be until a restart.
+// Returns the row that applies until a restart: settings that need a restart keep their old values.
 Row merged(const Table& table, const Row& was, const Row& wanted) {
     Row row = wanted;
     for (std::size_t i = 0; i < table.settings.size(); ++i) {
@@ -47,18 +49,18 @@
 
 std::vector<Row> merged(const Table& table, const std::vector<Row>& was, const std::vector<Row>& wanted) {
     if (table.kind != Kind::many) return {merged(table, was.front(), wanted.front())};
-    const bool rows_stay = table.presence_takes == Takes::restart;
+    const bool keep_old_rows = table.presence_takes == Takes::restart;
     std::vector<Row> rows;
     for (const Row& row : wanted) {
-        const Row* const before = row_called(was, row.label());
+        const Row* const before = find_row(was, row.label());
         if (before) {
             rows.push_back(merged(table, *before, row));
-        } else if (!rows_stay) {
+        } else if (!keep_old_rows) {
             rows.push_back(row);
         }
     }
     for (const Row& row : was) {
-        if (rows_stay && !row_called(wanted, row.label())) rows.push_back(row);
+        if (keep_old_rows && !find_row(wanted, row.label())) rows.push_back(row);
     }
     return rows;
 }
@@ -66,35 +68,36 @@
 }  // namespace
 
 std::vector<Change> changes(const Values& was, const Values& wanted) {
-    std::vector<Change> all;
+    std::vector<Change> result;
     const auto& tables = wanted.schema().tables();
-    for (std::size_t t = 0; t < tables.size(); ++t) {
-        const Table& table = tables[t];
-        const auto& before = was.parts()[t].rows;
-        const auto& after = wanted.parts()[t].rows;
-        if (switched(table, was.parts()[t], wanted.parts()[t])) {
-            const bool on = wanted.parts()[t].given;
-            all.push_back({table.name, table.presence_takes, on ? "" : "given", on ? "given" : ""});
+    for (std::size_t table_index = 0; table_index < tables.size(); ++table_index) {
+        const Table& table = tables[table_index];
+        const auto& before = was.parts()[table_index].rows;
+        const auto& after = wanted.parts()[table_index].rows;
+        if (presence_changed(table, was.parts()[table_index], wanted.parts()[table_index])) {
+            const bool enabled = wanted.parts()[table_index].given;
+            result.push_back(
+                {table.name, table.presence_takes, enabled ? "" : "given", enabled ? "given" : ""});
             continue;
         }
         if (table.kind != Kind::many) {
-            compare(table, before.front(), after.front(), all);
+            append_changes(table, before.front(), after.front(), result);
             continue;
         }
         for (const Row& row : after) {
-            const Row* const old = row_called(before, row.label());
+            const Row* const old = find_row(before, row.label());
             if (old) {
-                compare(table, *old, row, all);
+                append_changes(table, *old, row, result);
             } else {
-                all.push_back({name_of(table, row), table.presence_takes, {}, "a new row"});
+                result.push_back({displayed_name(table, row), table.presence_takes, {}, "a new row"});
             }
         }
         for (const Row& row : before) {
-            if (row_called(after, row.label())) continue;
-            all.push_back({name_of(table, row), table.presence_takes, "a row", {}});
+            if (find_row(after, row.label())) continue;
+            result.push_back({displayed_name(table, row), table.presence_takes, "a row", {}});
         }
     }
-    return all;
+    return result;
 }
 
 std::variant<Reload, Faults> reload(const Values& was, const Values& wanted) {
@@ -103,12 +106,13 @@
         (change.takes == Takes::reload ? result.taken : result.held).push_back(std::move(change));
     }
     const auto& tables = wanted.schema().tables();
-    for (std::size_t t = 0; t < tables.size(); ++t) {
-        auto& part = result.values.parts()[t];
-        if (!switched(tables[t], was.parts()[t], part)) {
-            part.rows = merged(tables[t], was.parts()[t].rows, wanted.parts()[t].rows);
-        } else if (tables[t].presence_takes == Takes::restart) {
-            part = was.parts()[t];
+    for (std::size_t table_index = 0; table_index < tables.size(); ++table_index) {
+        auto& part = result.values.parts()[table_index];
+        if (!presence_changed(tables[table_index], was.parts()[table_index], part)) {
+            part.rows =
+                merged(tables[table_index], was.parts()[table_index].rows, wanted.parts()[table_index].rows);
+        } else if (tables[table_index].presence_takes == Takes::restart) {
+            part = was.parts()[table_index];
         }
     }
     Faults faults = check_values(result.values);
--- a/src/settings/reload.h
+++ b/src/settings/reload.h
@@ -1,4 +1,5 @@
-// What a new file changes in a running program (SIGHUP). What needs a restart stays as it was.
+// Determines what a changed settings file changes in a running program (SIGHUP). Settings that need a restart
+// keep their old values.
 #pragma once
 
 #include <string>
@@ -11,25 +12,27 @@
 namespace flaxdoor::settings {
 
 struct Change {
-    std::string key;  // "http.idle_timeout", or "route[\"a\"].share"; of a whole row "route[\"a\"]"
+    std::string key;  // "http.idle_timeout", "route[\"a\"].share", or "route[\"a\"]" for a whole row
     Takes takes = Takes::restart;
-    std::string was;  // as written in TOML; empty where there was or will be none
+    std::string was;  // as TOML; `was` and `will_be` are empty if there is no such value
     std::string will_be;
 };
 
-// Both are of the same schema. In the order of the schema; rows are told apart by their unique key.
+// Returns the differences in the order of the schema. Requires that both values have the same schema. Rows
+// are matched by their unique key.
 [[nodiscard]] std::vector<Change> changes(const Values& was, const Values& wanted);
 
 struct Reload {
-    Values values;              // what counts from now on
-    std::vector<Change> taken;  // these differ from before
-    std::vector<Change> held;   // these were asked for, but take a restart
+    Values values;              // the values in effect from now on
+    std::vector<Change> taken;  // changes that are in effect
+    std::vector<Change> held;   // changes that need a restart
 };
 
-// Faults: the new values do not go together with those that stay until a restart. Then nothing changes.
+// Merges the new values with those that stay until a restart. Returns faults if the merged values fail a
+// check; the caller then keeps the old values.
 [[nodiscard]] std::variant<Reload, Faults> reload(const Values& was, const Values& wanted);
 
-// For the log: "http.idle_timeout: \"5m\" to \"1m\""
+// Formats a change for the log, as in "http.idle_timeout: \"5m\" to \"1m\"".
 std::string line_of(const Change& change);
 
 }  // namespace flaxdoor::settings
--- a/src/settings/tables/budget.h
+++ b/src/settings/tables/budget.h
@@ -1,5 +1,5 @@
-// [budget] with its rows, and [coordinator]: limits that hold for all balancers of a fleet together. Balancers and
-// the coordinator read the same file. Off unless the file has the table.
+// [budget], [[budget_limit]] and [coordinator]: limits that all balancers of a fleet share. Balancers and the
+// coordinator read the same file. The limits are off unless the file has [budget].
 #pragma once
 
 #include <array>
@@ -12,8 +12,9 @@
 inline constexpr std::array<std::string_view, 4> counts_words{"requests", "attempts", "retries",
                                                               "concurrency"};
 
-// What a message of a balancer has room for, at the longest names.
-inline constexpr std::size_t limits_most = 200;
+// Greatest number of limits: a message of a balancer has room for this many if all names have the greatest
+// length.
+inline constexpr std::size_t max_limits = 200;
 
 // ------------------------------------------------------------------------------------------------ [budget]
 
@@ -34,8 +35,8 @@
                                                   "of its own (`name` in NODE_CONFIG): for so many a "
                                                   "reserve is set aside."}};
 
-// With 2 * drift at a tenth of a term or less, and ten round trips of 20 ms in one, every term in these ranges makes
-// sense with every drift: no check between the two is needed.
+// The ranges of term and clock_drift need no check between the two keys: twice the greatest drift is a tenth
+// of a term, and the shortest term has time for ten round trips of 20 ms.
 inline constexpr Key<Micros> term{
     {.table = "budget",
      .name = "term",
@@ -194,19 +195,20 @@
      .meaning = "A file that shows at a start that the store is the latest, so that no term has to be "
                 "waited out; in a place that is never copied or restored with the store, such as /run."}};
 
-// What a row's amounts come to, in the units of budget/terms.h: thousandths of a permit a second, whole permits or
-// places. Rounded down, so that parts which fit as written fit as counted.
+// The amounts of a row in the units of budget/terms.h: the rate in thousandths of a permit per second, the
+// size in whole permits or places. Both are rounded down, so that reserves which fit as written also fit
+// after the conversion.
 struct Size {
     std::int64_t rate = 0;
     std::int64_t size = 0;
 };
-[[nodiscard]] Size whole_of(const Row& row);
-[[nodiscard]] Size reserve_of(const Row& row);  // of one balancer
+[[nodiscard]] Size whole_of(const Row& row);    // for the whole fleet
+[[nodiscard]] Size reserve_of(const Row& row);  // for one balancer
 
 [[nodiscard]] Table table();
 [[nodiscard]] Table limit_table();
 [[nodiscard]] Table coordinator_table();
-// Checks between the tables.
+// Returns the checks between tables.
 [[nodiscard]] std::vector<SchemaCheck> checks();
 
 }  // namespace flaxdoor::settings::budget
--- a/src/settings/tables/core.h
+++ b/src/settings/tables/core.h
@@ -1,4 +1,4 @@
-// [core]: calls, wherever they come from.
+// [core]: calls of all protocols.
 #pragma once
 
 #include <array>
--- a/src/settings/tables/door.cpp
+++ b/src/settings/tables/door.cpp
@@ -6,23 +6,25 @@
 
 namespace {
 
-std::optional<Objection> no_header(const Row& row) {
-    const bool wanted = row.get(client) == Client::header, named = row.get(client_header).has_value();
-    if (wanted == named) return std::nullopt;
-    if (wanted) return Objection{"no header is named", "give client_header"};
+std::optional<Objection> check_client_header(const Row& row) {
+    const bool uses_header = row.get(client) == Client::header,
+               header_set = row.get(client_header).has_value();
+    if (uses_header == header_set) return std::nullopt;
+    if (uses_header) return Objection{"client_header is missing", "set client_header"};
     return Objection{"client_header is not used", "set client = \"header\""};
 }
 
 }  // namespace
 
 Table table() {
-    return {
-        .name = "door",
-        .kind = Kind::optional,
-        .meaning = "Requests that the servers have no room for wait in fair queues by tenant and client.",
-        .settings = {client, client_header, others_weight, max_waiting, max_bytes, head_start, patience,
-                     whole_seconds, client_open, client_rate, client_burst},
-        .checks = {{{"client", "client_header"}, "client_header goes with client = \"header\".", no_header}}};
+    return {.name = "door",
+            .kind = Kind::optional,
+            .meaning = "Requests that the servers have no room for wait in fair queues by tenant and client.",
+            .settings = {client, client_header, others_weight, max_waiting, max_bytes, head_start, patience,
+                         whole_seconds, client_open, client_rate, client_burst},
+            .checks = {{{"client", "client_header"},
+                        "client_header goes with client = \"header\".",
+                        check_client_header}}};
 }
 
 Table tenant_table() {
--- a/src/settings/tables/door.h
+++ b/src/settings/tables/door.h
@@ -1,4 +1,5 @@
-// [door] and its rows: fair queues ahead of the core. Off unless the file has the table.
+// [door], [[door_tenant]] and [[door_class]]: the admission queue ahead of the core. Off unless the file has
+// [door].
 #pragma once
 
 #include <array>
@@ -10,7 +11,8 @@
 enum class Client { address, header, key };
 inline constexpr std::array<std::string_view, 3> client_words{"address", "header", "key"};
 
-// One limit each of a tenant, a class and a client: the three keys of it.
+// The three keys of a request limit: open requests, rate and burst. Tenants, classes and clients have one
+// such limit each.
 constexpr Spec<std::int64_t> open_spec(std::string_view table, std::string_view name,
                                        std::string_view meaning) {
     return {.table = table,
--- a/src/settings/tables/drain.h
+++ b/src/settings/tables/drain.h
@@ -1,4 +1,4 @@
-// [drain]: how the balancer ends.
+// [drain]: graceful shutdown of the balancer.
 #pragma once
 
 #include "settings/schema.h"
--- a/src/settings/tables/gateway.cpp
+++ b/src/settings/tables/gateway.cpp
@@ -8,33 +8,33 @@
 
 namespace {
 
-std::optional<Objection> kubeconfig_missing(const Row& row) {
-    const bool wanted = row.get(cluster) == Cluster::kubeconfig;
-    if (wanted == row.get(kubeconfig).has_value()) return std::nullopt;
-    if (wanted) return Objection{"no kubeconfig is named", "give kubeconfig"};
+std::optional<Objection> check_kubeconfig(const Row& row) {
+    const bool required = row.get(cluster) == Cluster::kubeconfig;
+    if (required == row.get(kubeconfig).has_value()) return std::nullopt;
+    if (required) return Objection{"no kubeconfig is named", "set kubeconfig"};
     return Objection{"kubeconfig is not used", "set cluster = \"kubeconfig\""};
 }
 
-std::optional<Objection> aim_beyond_deadline(const Row& row) {
+std::optional<Objection> check_aim(const Row& row) {
     if (row.get(aim) <= row.get(deadline)) return std::nullopt;
     return Objection{"aim exceeds deadline", "lower aim or raise deadline"};
 }
 
-std::optional<Objection> route_aim_beyond_timeout(const Row& row) {
+std::optional<Objection> check_route_aim(const Row& row) {
     if (!row.get(route_aim) || !row.get(timeout) || *row.get(route_aim) <= *row.get(timeout))
         return std::nullopt;
     return Objection{"aim exceeds timeout", "lower aim or raise timeout"};
 }
 
-std::optional<Objection> server_timeout_beyond_timeout(const Row& row) {
+std::optional<Objection> check_server_timeout(const Row& row) {
     if (!row.get(server_timeout) || !row.get(timeout) || *row.get(server_timeout) <= *row.get(timeout))
         return std::nullopt;
-    return Objection{"server_timeout exceeds timeout", "lower the one or raise the other"};
+    return Objection{"server_timeout exceeds timeout", "lower server_timeout or raise timeout"};
 }
 
-std::optional<Objection> redirect_and_pools(const Row& row) {
+std::optional<Objection> check_route_target(const Row& row) {
     if (row.get(redirect).has_value() != row.get(pools).empty())
-        return Objection{"a route has pools or a redirect", "give one of them"};
+        return Objection{"a route has pools or a redirect", "set exactly one of them"};
     return std::nullopt;
 }
 
@@ -43,18 +43,18 @@
     return slot.given ? slot.key : row.place();
 }
 
-std::optional<Objection> listen_missing(const Values& values) {
+std::optional<Objection> check_listen(const Values& values) {
     if (!values.given("gateway")) return std::nullopt;
     const Row& row = values.row("gateway");
-    const bool wanted = row.get(cluster) == Cluster::none;
-    if (wanted == row.get(listen).has_value()) return std::nullopt;
-    if (wanted)
-        return Objection{"without a cluster nothing says where to listen", "give listen", row.place()};
+    const bool required = row.get(cluster) == Cluster::none;
+    if (required == row.get(listen).has_value()) return std::nullopt;
+    if (required)
+        return Objection{"without a cluster nothing says where to listen", "set listen", row.place()};
     return Objection{"listen is not used with a cluster, whose Gateways name their ports",
-                     "leave it out; see bind_address and ports", place_of(row, "listen")};
+                     "remove it; see bind_address and ports", place_of(row, "listen")};
 }
 
-std::optional<Objection> unknown_pool(const Values& values) {
+std::optional<Objection> check_pools_exist(const Values& values) {
     const auto& known = values.rows("route_pool");
     for (const Row& route : values.rows("route")) {
         for (const std::string& each : route.get(pools)) {
@@ -69,7 +69,7 @@
     return std::nullopt;
 }
 
-std::optional<Objection> rows_without_table(const Values& values) {
+std::optional<Objection> check_gateway_table(const Values& values) {
     const bool given = values.given("gateway");
     if (given && values.row("gateway").get(cluster) == Cluster::none) return std::nullopt;
     for (const char* table : {"route_pool", "route"}) {
@@ -77,7 +77,7 @@
         if (rows.empty()) continue;
         return Objection{
             std::string("[[") + table + "]] " + (given ? "beside a cluster" : "without [gateway]"),
-            given ? "leave the rows out, or set cluster = \"none\"" : "add [gateway] with listen",
+            given ? "remove the rows, or set cluster = \"none\"" : "add [gateway] with listen",
             rows.front().place()};
     }
     return std::nullopt;
@@ -86,28 +86,28 @@
 }  // namespace
 
 Table table() {
-    return {.name = "gateway",
-            .kind = Kind::optional,
-            .meaning = "Listeners whose requests are routed, by the rows below or by a Kubernetes cluster.",
-            .settings = {listen,           cluster,
-                         kubeconfig,       controller_name,
-                         bind_address,     ports,
-                         public_addresses, write_status,
-                         status_writes,    lease_namespace,
-                         lease_name,       identity,
-                         apply_every,      guard_hold,
-                         guard_share,      zone,
-                         max_clients,      max_server_connections,
-                         max_body,         request_timeout,
-                         idle_timeout,     aim,
-                         deadline,         attempts,
-                         connect_timeout,  server_idle,
-                         max_retry_after,  slow_start,
-                         cold_share,       in_flight},
-            .checks = {
-                {{"cluster", "kubeconfig"}, "A kubeconfig is named where one is used.", kubeconfig_missing},
-
-                {{"aim", "deadline"}, "`aim` does not exceed `deadline`.", aim_beyond_deadline}}};
+    return {
+        .name = "gateway",
+        .kind = Kind::optional,
+        .meaning = "Listeners whose requests are routed, by the rows below or by a Kubernetes cluster.",
+        .settings = {listen,           cluster,
+                     kubeconfig,       controller_name,
+                     bind_address,     ports,
+                     public_addresses, write_status,
+                     status_writes,    lease_namespace,
+                     lease_name,       identity,
+                     apply_every,      guard_hold,
+                     guard_share,      zone,
+                     max_clients,      max_server_connections,
+                     max_body,         request_timeout,
+                     idle_timeout,     aim,
+                     deadline,         attempts,
+                     connect_timeout,  server_idle,
+                     max_retry_after,  slow_start,
+                     cold_share,       in_flight},
+        .checks = {{{"cluster", "kubeconfig"}, "A kubeconfig is named where one is used.", check_kubeconfig},
+
+                   {{"aim", "deadline"}, "`aim` does not exceed `deadline`.", check_aim}}};
 }
 
 Table pool_table() {
@@ -125,11 +125,11 @@
             .meaning = "Which requests go to which pools.",
             .settings = {route_name, hosts, path, method, headers, queries, pools, redirect, rewrite,
                          set_headers, effect, route_aim, timeout, server_timeout, retries, retry_budget},
-            .checks = {{{"pools", "redirect"}, "A route has pools or a redirect.", redirect_and_pools},
-                       {{"aim", "timeout"}, "`aim` does not exceed `timeout`.", route_aim_beyond_timeout},
+            .checks = {{{"pools", "redirect"}, "A route has pools or a redirect.", check_route_target},
+                       {{"aim", "timeout"}, "`aim` does not exceed `timeout`.", check_route_aim},
                        {{"server_timeout", "timeout"},
                         "`server_timeout` does not exceed `timeout`.",
-                        server_timeout_beyond_timeout}},
+                        check_server_timeout}},
             .presence_takes = Takes::reload,
             .unique = "name",
             .most_rows = 20000};
@@ -138,13 +138,13 @@
 std::vector<SchemaCheck> checks() {
     return {{{"gateway.listen", "gateway.cluster"},
              "`listen` is given where there is no cluster, and only there.",
-             listen_missing},
+             check_listen},
             {{"route.pools", "route_pool.name"},
              "The pools of a route are rows of [[route_pool]].",
-             unknown_pool},
+             check_pools_exist},
             {{"route.name", "route_pool.name", "gateway.cluster"},
              "Rows of routes go with the table [gateway], and not with a cluster.",
-             rows_without_table}};
+             check_gateway_table}};
 }
 
 }  // namespace flaxdoor::settings::gateway
--- a/src/settings/tables/gateway.h
+++ b/src/settings/tables/gateway.h
@@ -1,5 +1,5 @@
-// [gateway] and its rows: listeners whose requests are routed, with routes and pools of this file or of a
-// Kubernetes cluster. Off unless the file has the table.
+// [gateway], [[route_pool]] and [[route]]: listeners whose requests are routed. Routes and pools come from
+// this file or from a Kubernetes cluster. Off unless the file has [gateway].
 #pragma once
 
 #include <array>
--- a/src/settings/tables/http.cpp
+++ b/src/settings/tables/http.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-std::optional<Objection> crowded_is_shorter(const Row& row) {
+std::optional<Objection> check_idle_timeouts(const Row& row) {
     const Micros idle = row.get(idle_timeout), crowded = row.get(idle_timeout_crowded);
     if (crowded <= idle) return std::nullopt;
     return Objection{
@@ -14,7 +14,7 @@
         "raise idle_timeout or lower idle_timeout_crowded"};
 }
 
-std::optional<Objection> kept_are_clients(const Row& row) {
+std::optional<Objection> check_connection_shares(const Row& row) {
     const double kept = row.get(keepalive_share), all = row.get(client_share);
     if (kept <= all) return std::nullopt;
     return Objection{"keepalive_share, " + text_of(kept) + ", must not exceed client_share, " + text_of(all),
@@ -30,10 +30,10 @@
                          linger_bytes, client_share, keepalive_share},
             .checks = {{{"idle_timeout_crowded", "idle_timeout"},
                         "`idle_timeout_crowded` must not exceed `idle_timeout`.",
-                        crowded_is_shorter},
+                        check_idle_timeouts},
                        {{"keepalive_share", "client_share"},
                         "`keepalive_share` must not exceed `client_share`.",
-                        kept_are_clients}}};
+                        check_connection_shares}}};
 }
 
 }  // namespace flaxdoor::settings::http
--- a/src/settings/tables/http.h
+++ b/src/settings/tables/http.h
@@ -1,4 +1,4 @@
-// [http]: clients' connections.
+// [http]: client connections.
 #pragma once
 
 #include "settings/schema.h"
--- a/src/settings/tables/log.h
+++ b/src/settings/tables/log.h
@@ -1,4 +1,4 @@
-// [log]: the lines on standard error.
+// [log]: the log lines on standard error.
 #pragma once
 
 #include <array>
--- a/src/settings/tables/membership.h
+++ b/src/settings/tables/membership.h
@@ -1,4 +1,4 @@
-// [membership]: the list of upstreams as discovery tells it.
+// [membership]: the list of upstreams from service discovery.
 #pragma once
 
 #include "settings/schema.h"
--- a/src/settings/tables/postgres.cpp
+++ b/src/settings/tables/postgres.cpp
@@ -8,22 +8,22 @@
 
 namespace {
 
-std::optional<Objection> tls_without_files(const Row& row) {
+std::optional<Objection> check_tls_files(const Row& row) {
     if (row.get(tls) == Tls::off || (row.get(certificate) && row.get(certificate_key))) return std::nullopt;
-    return Objection{"TLS needs a certificate and its key", "give certificate and certificate_key"};
+    return Objection{"TLS needs a certificate and its key", "set certificate and certificate_key"};
 }
 
-std::optional<Objection> scram_without_password(const Row& row) {
+std::optional<Objection> check_password_file(const Row& row) {
     if (row.get(auth) != Auth::scram || row.get(password_file)) return std::nullopt;
-    return Objection{"scram needs a password", "give password_file, or auth = \"trust\""};
+    return Objection{"scram needs a password", "set password_file, or auth = \"trust\""};
 }
 
-std::optional<Objection> aim_beyond_deadline(const Row& row) {
+std::optional<Objection> check_aim(const Row& row) {
     if (row.get(aim) <= row.get(deadline)) return std::nullopt;
     return Objection{"aim exceeds deadline", "lower aim or raise deadline"};
 }
 
-std::optional<Objection> authorities_unused(const Row& row) {
+std::optional<Objection> check_authorities(const Row& row) {
     if (!row.get(authorities) || row.get(server_tls) == ServerTls::verify_full) return std::nullopt;
     return Objection{"authorities are not used", "set server_tls = \"verify_full\""};
 }
@@ -33,7 +33,7 @@
     return slot.given ? slot.key : row.place();
 }
 
-std::optional<Objection> unknown_server(const Values& values) {
+std::optional<Objection> check_servers_exist(const Values& values) {
     const auto& known = values.rows("postgres_server");
     for (const Row& database : values.rows("postgres_database")) {
         for (const std::string& name : database.get(servers)) {
@@ -47,18 +47,18 @@
     return std::nullopt;
 }
 
-std::optional<Objection> too_few_connections(const Values& values) {
+std::optional<Objection> check_pool_sizes(const Values& values) {
     if (!values.given("postgres")) return std::nullopt;
     const auto most = values.row("postgres").get(max_server_connections);
     for (const Row& database : values.rows("postgres_database")) {
         if (database.get(pool_size) <= most) continue;
         return Objection{"pool_size exceeds postgres.max_server_connections",
-                         "lower the one or raise the other", place_of(database, "pool_size")};
+                         "lower pool_size or raise max_server_connections", place_of(database, "pool_size")};
     }
     return std::nullopt;
 }
 
-std::optional<Objection> rows_without_table(const Values& values) {
+std::optional<Objection> check_postgres_table(const Values& values) {
     if (values.given("postgres")) return std::nullopt;
     for (const char* table : {"postgres_server", "postgres_database", "postgres_user"}) {
         const auto& rows = values.rows(table);
@@ -80,7 +80,7 @@
                          max_server_connections, ignore_settings, safe_applications, client_says_safe, zone},
             .checks = {{{"tls", "certificate", "certificate_key"},
                         "With TLS, a certificate and its key are given.",
-                        tls_without_files}}};
+                        check_tls_files}}};
 }
 
 Table server_table() {
@@ -97,7 +97,7 @@
             .kind = Kind::many,
             .meaning = "A database, with the servers that have it.",
             .settings = {database_name,
-                         database_there,
+                         server_side_database,
                          servers,
                          role,
                          mode,
@@ -118,34 +118,33 @@
                          server_tls,
                          authorities,
                          prepared_statements},
-            .checks = {{{"aim", "deadline"}, "`aim` does not exceed `deadline`.", aim_beyond_deadline},
+            .checks = {{{"aim", "deadline"}, "`aim` does not exceed `deadline`.", check_aim},
                        {{"authorities", "server_tls"},
                         "Authorities are given where servers are verified.",
-                        authorities_unused}},
+                        check_authorities}},
             .unique = "name"};
 }
 
 Table user_table() {
-    return {
-        .name = "postgres_user",
-        .kind = Kind::many,
-        .meaning = "A user of databases: who is not listed is not let in.",
-        .settings = {user_name, auth, password_file, user_clients, user_effect},
-        .checks = {{{"auth", "password_file"}, "With scram, a password is given.", scram_without_password}},
-        .presence_takes = Takes::reload,
-        .unique = "name"};
+    return {.name = "postgres_user",
+            .kind = Kind::many,
+            .meaning = "A user of databases: who is not listed is not let in.",
+            .settings = {user_name, auth, password_file, user_clients, user_effect},
+            .checks = {{{"auth", "password_file"}, "With scram, a password is given.", check_password_file}},
+            .presence_takes = Takes::reload,
+            .unique = "name"};
 }
 
 std::vector<SchemaCheck> checks() {
     return {{{"postgres_database.servers", "postgres_server.name"},
              "The servers of a database are rows of [[postgres_server]].",
-             unknown_server},
+             check_servers_exist},
             {{"postgres_database.pool_size", "postgres.max_server_connections"},
              "No database's `pool_size` exceeds `postgres.max_server_connections`.",
-             too_few_connections},
+             check_pool_sizes},
             {{"postgres_server.name", "postgres_database.name", "postgres_user.name"},
              "Rows of PostgreSQL's go with the table [postgres].",
-             rows_without_table}};
+             check_postgres_table}};
 }
 
 }  // namespace flaxdoor::settings::postgres
--- a/src/settings/tables/postgres.h
+++ b/src/settings/tables/postgres.h
@@ -1,5 +1,5 @@
-// [postgres] and its rows: a listener for PostgreSQL's protocol, servers, databases and users. Off unless the
-// file has the table.
+// [postgres], [[postgres_server]], [[postgres_database]] and [[postgres_user]]: a listener for PostgreSQL's
+// protocol and its servers, databases and users. Off unless the file has [postgres].
 #pragma once
 
 #include <array>
@@ -22,7 +22,7 @@
 inline constexpr std::array<std::string_view, 2> effect_words{"unsafe", "safe"};
 enum class Auth { scram, trust };
 inline constexpr std::array<std::string_view, 2> auth_words{"scram", "trust"};
-inline constexpr std::array<std::string_view, 1> ignored_at_first{"extra_float_digits"};
+inline constexpr std::array<std::string_view, 1> default_ignored_settings{"extra_float_digits"};
 
 // ---------------------------------------------------------------------------------------------- [postgres]
 
@@ -127,7 +127,7 @@
 inline constexpr Key<std::vector<std::string>> ignore_settings{
     {.table = "postgres",
      .name = "ignore_settings",
-     .fallback = ignored_at_first,
+     .fallback = default_ignored_settings,
      .takes = Takes::reload,
      .meaning = "Settings in a client's start-up packet that are dropped."}};
 
@@ -197,7 +197,7 @@
                                                  .takes = Takes::restart,
                                                  .meaning = "The name by which clients ask for it."}};
 
-inline constexpr OptionalKey<std::string> database_there{
+inline constexpr OptionalKey<std::string> server_side_database{
     {.table = "postgres_database",
      .name = "database",
      .most = 63,
--- a/src/settings/tables/store.h
+++ b/src/settings/tables/store.h
@@ -1,4 +1,4 @@
-// [store]: what is kept over a start. Off unless the file has the table.
+// [store]: state that is kept across restarts. Off unless the file has [store].
 #pragma once
 
 #include "settings/schema.h"
--- a/src/settings/types.h
+++ b/src/settings/types.h
@@ -1,4 +1,4 @@
-// What a setting can hold, beyond the language's own types. Plain values, safe to copy to any thread.
+// The types of setting values that C++ does not provide. Plain values, safe to copy to any thread.
 #pragma once
 
 #include <chrono>
@@ -10,7 +10,7 @@
 
 namespace flaxdoor::settings {
 
-using Micros = std::chrono::microseconds;  // a span of time, never negative here
+using Micros = std::chrono::microseconds;  // a duration, never negative in settings
 
 struct Bytes {
     std::uint64_t count = 0;
@@ -20,14 +20,15 @@
 constexpr Bytes kibibytes(std::uint64_t count) { return {count << 10}; }
 constexpr Bytes mebibytes(std::uint64_t count) { return {count << 20}; }
 
-// HOST:PORT. The host is an IPv4 or IPv6 address (without brackets here) or a name that is not looked up yet.
+// HOST:PORT. The host is an IPv4 address, an IPv6 address (stored without brackets) or a name that is not
+// resolved yet.
 struct Address {
     std::string host;
     std::uint16_t port = 0;
     friend bool operator==(const Address&, const Address&) = default;
 };
 
-// A path as it was written: one that is not absolute counts from the folder that the program was started in.
+// A path as written. A relative path is resolved against the working directory of the program at its start.
 struct Path {
     std::string text;
     friend bool operator==(const Path&, const Path&) = default;
@@ -35,13 +36,13 @@
 
 enum class Type { boolean, integer, real, duration, bytes, text, choice, address, path, texts };
 
-// A value of any type: a choice, an address and a path are held as their text.
+// A value of any type. A choice, an address and a path are stored as text.
 using Value = std::variant<bool, std::int64_t, double, Micros, Bytes, std::string, std::vector<std::string>>;
 
-// What a new value in the file takes to count: a SIGHUP, or a new start.
+// When a changed value is applied: on SIGHUP or at the next start.
 enum class Takes { reload, restart };
 
-// A place in a file, from 1; columns are counted in characters. Line 0: no place.
+// A position in a file. Lines and columns count from 1; columns count characters. Line 0 means no position.
 struct Position {
     std::uint32_t line = 0;
     std::uint32_t column = 0;
--- a/src/settings/units.h
+++ b/src/settings/units.h
@@ -1,5 +1,5 @@
-// Durations and sizes as an operator writes them, and values as they are shown to one.
-//   duration: a number and one of us, ms, s, m, h, as in "250ms" or "1.5s"; at least a microsecond apart
+// Parses durations, sizes and addresses as operators write them, and formats values for operators.
+//   duration: a number and one of us, ms, s, m, h, as in "250ms" or "1.5s"; a whole number of microseconds
 //   size:     a whole number and one of B, KiB, MiB, GiB, as in "64KiB"
 //   address:  HOST:PORT, an IPv6 address in brackets
 // Pure functions.
@@ -14,50 +14,54 @@
 
 namespace flaxdoor::settings {
 
-// Why a text is not what it should be, and the text that was likely meant, as far as that can be guessed.
-struct Unreadable {
+// Why a text cannot be parsed, and the text that was likely meant.
+struct ParseError {
     std::string what;
-    std::string meant;
-    std::optional<double> bare{};  // a number that only lacks its unit
+    std::string suggestion;               // empty if there is no likely meaning
+    std::optional<double> bare_number{};  // set if only the unit is missing
 };
 
-[[nodiscard]] std::variant<Micros, Unreadable> parse_duration(std::string_view text);
-[[nodiscard]] std::variant<Bytes, Unreadable> parse_bytes(std::string_view text);
-[[nodiscard]] std::variant<Address, Unreadable> parse_address(std::string_view text);
+[[nodiscard]] std::variant<Micros, ParseError> parse_duration(std::string_view text);
+[[nodiscard]] std::variant<Bytes, ParseError> parse_bytes(std::string_view text);
+[[nodiscard]] std::variant<Address, ParseError> parse_address(std::string_view text);
 
-// The shortest text that parses to the same value.
-std::string text_of(Micros span);
+// Each returns a short text that parses to the same value. Durations and sizes use the largest unit in which
+// they are whole numbers.
+std::string text_of(Micros duration);
 std::string text_of(Bytes size);
 std::string text_of(double number);
 std::string text_of(const Address& address);
 
-// A value as it is written in TOML.
+// Returns the value as TOML.
 std::string toml_of(const Value& value);
 
-// The unit with which a bare number was likely meant: within the range, and nearest to the usual value.
-std::string likely_duration(double number, Micros least, Micros most, Micros usual);
-std::string likely_bytes(double number, Bytes least, Bytes most, Bytes usual);
+// Returns the number with the unit that was likely meant: the one whose value is in the range and closest to
+// `usual`. Empty if no unit gives a value in the range.
+std::string suggest_duration(double number, Micros least, Micros most, Micros usual);
+std::string suggest_size(double number, Bytes least, Bytes most, Bytes usual);
 
-// Text of an operator for a message: in quotes, cut when long, with nothing in it that a terminal would obey.
+// Quotes text of an operator for a message. Truncates long text and escapes control characters, so that the
+// text cannot control a terminal.
 std::string in_quotes(std::string_view text);
 
-// The word nearest to what was written, when it is near enough to be a slip.
+// Returns the word most similar to what was written, if the difference is small enough to be a typing error.
 template <class Words>
 std::optional<std::string> nearest(std::string_view written, const Words& words);
 
-// Slips between two words: letters added, left out, changed, or two neighbours changed about.
-std::size_t slips(std::string_view a, std::string_view b);
-// As many as still pass for a slip of the pen in a word of this length.
-constexpr std::size_t slips_allowed(std::size_t length) { return length < 5 ? 1 : length < 9 ? 2 : 3; }
+// Returns the edit distance of two words: letters inserted, deleted, replaced, or two adjacent letters
+// swapped.
+std::size_t edit_distance(std::string_view a, std::string_view b);
+// Returns the greatest edit distance that still counts as a typing error in a word of this length.
+constexpr std::size_t max_edit_distance(std::size_t length) { return length < 5 ? 1 : length < 9 ? 2 : 3; }
 
 template <class Words>
 std::optional<std::string> nearest(std::string_view written, const Words& words) {
     std::optional<std::string> best;
-    std::size_t fewest = slips_allowed(written.size()) + 1;
+    std::size_t best_distance = max_edit_distance(written.size()) + 1;
     for (const auto& word : words) {
-        const std::size_t here = slips(written, word);
-        if (here >= fewest) continue;
-        fewest = here;
+        const std::size_t distance = edit_distance(written, word);
+        if (distance >= best_distance) continue;
+        best_distance = distance;
         best = std::string(word);
     }
     return best;
--- a/src/settings/values.cpp
+++ b/src/settings/values.cpp
@@ -8,7 +8,8 @@
 
 const Value* Row::find(std::string_view table, std::string_view name) const {
     if (table != table_->name) {
-        throw std::logic_error("asked table " + table_->name + " for a key of " + std::string(table));
+        throw std::logic_error("row of table " + table_->name + " was asked for a key of table " +
+                               std::string(table));
     }
     const Slot& slot = slots_[table_->index_of(name)];
     return slot.value ? &*slot.value : nullptr;
@@ -16,20 +17,20 @@
 
 const std::string& Row::label() const {
     const Slot& slot = slots_[table_->index_of(table_->unique)];
-    if (!slot.value) throw std::logic_error("a row of " + table_->name + " without a label");
+    if (!slot.value) throw std::logic_error("row of table " + table_->name + " has no label");
     return std::get<std::string>(*slot.value);
 }
 
 Values::Values(Schema schema) : schema_(std::move(schema)), parts_(schema_.tables().size()) {
     for (std::size_t i = 0; i < parts_.size(); ++i) {
-        if (schema_.tables()[i].kind != Kind::many) parts_[i].rows.emplace_back(schema_.share(i));
+        if (schema_.tables()[i].kind != Kind::many) parts_[i].rows.emplace_back(schema_.shared_table(i));
     }
 }
 
 const Row& Values::row(std::string_view table) const {
     const std::size_t index = schema_.index_of(table);
     if (schema_.tables()[index].kind == Kind::many) {
-        throw std::logic_error("[[" + std::string(table) + "]] has rows");
+        throw std::logic_error("[[" + std::string(table) + "]] has rows: use rows()");
     }
     return parts_[index].rows.front();
 }
@@ -37,7 +38,7 @@
 const std::vector<Row>& Values::rows(std::string_view table) const {
     const std::size_t index = schema_.index_of(table);
     if (schema_.tables()[index].kind != Kind::many) {
-        throw std::logic_error("[" + std::string(table) + "] has no rows");
+        throw std::logic_error("[" + std::string(table) + "] has no rows: use row()");
     }
     return parts_[index].rows;
 }
--- a/src/settings/values.h
+++ b/src/settings/values.h
@@ -1,10 +1,10 @@
-// The values of one file, each setting with its default where the file says nothing.
+// The values of one settings file. A setting that the file does not set has its default.
 //
-// Threading: Values that no one changes may be read from any thread; copies are independent.
-// Ownership: a Row that is handed out as a reference belongs to its Values; a copy stands alone. What get()
-//            returns is the caller's.
-// Errors:    asking for what the schema does not have, or for a value that must be given and was not, is a
-//            fault of the program: std::logic_error.
+// Threading: Values may be read from any thread while no thread modifies them; copies are independent.
+// Ownership: a Row returned by reference is owned by its Values; a copied Row is independent. get() returns
+//            copies.
+// Errors:    reading a key or a table that the schema does not have, or a required value that is not set, is
+//            a bug in the program and throws std::logic_error.
 #pragma once
 
 #include <memory>
@@ -32,15 +32,15 @@
     template <class T>
     std::optional<T> get(const OptionalKey<T>& key) const;
 
-    // What the unique key of a [[table]] holds.
+    // Returns the value of the unique key of a [[table]].
     const std::string& label() const;
 
-    // Without types, by the place in the table's list; a value is missing where there is none to have.
+    // Untyped access. Slots have the order of the table's settings.
     struct Slot {
-        std::optional<Value> value;
-        bool given = false;   // by the file
-        Position key, place;  // where the file has the key and the value
-        bool faulty = false;
+        std::optional<Value> value;  // empty if the setting has neither a value in the file nor a default
+        bool given = false;          // whether the file sets the key
+        Position key, place;         // positions of the key and of its value in the file
+        bool faulty = false;         // whether the value in the file is invalid
     };
     const std::vector<Slot>& slots() const { return slots_; }
     std::vector<Slot>& slots() { return slots_; }
@@ -64,21 +64,21 @@
     auto get(const K& key) const {
         return row(key.spec().table).get(key);
     }
-    // Of a [table]. One that is optional has its values only when given() says so.
+    // Returns the row of a [table]. An optional table has values only if given() returns true.
     const Row& row(std::string_view table) const;
-    // Of a [[table]], in the order of the file.
+    // Returns the rows of a [[table]] in the order of the file.
     const std::vector<Row>& rows(std::string_view table) const;
-    // Whether the file has the table.
+    // Returns whether the file has the table.
     bool given(std::string_view table) const;
-    // How many settings the file gives.
+    // Returns the number of keys that the file sets.
     std::size_t count_given() const;
 
     const Schema& schema() const { return schema_; }
 
-    // For whoever builds them: the tables in the order of the schema.
+    // The tables in the order of the schema, for code that builds or merges values.
     struct Part {
         bool given = false;
-        std::vector<Row> rows;  // exactly one unless the kind is `many`
+        std::vector<Row> rows;  // exactly one row unless the table's kind is `many`
     };
     const std::vector<Part>& parts() const { return parts_; }
     std::vector<Part>& parts() { return parts_; }
@@ -88,21 +88,21 @@
     std::vector<Part> parts_;
 };
 
-// --------------------------------------------------------------------------------------------------------
+// Implementation
 
 template <class T>
 T value_as(const Value& value, const Spec<T>& spec) {
-    if constexpr (Form<T>::type == Type::choice) {
+    if constexpr (SettingTraits<T>::type == Type::choice) {
         const std::string& word = std::get<std::string>(value);
         for (std::size_t i = 0; i < spec.words.size(); ++i) {
             if (spec.words[i] == word) return static_cast<T>(i);
         }
-        throw std::logic_error("a word that no choice has: " + word);
-    } else if constexpr (Form<T>::type == Type::address) {
+        throw std::logic_error("word is not a choice: " + word);
+    } else if constexpr (SettingTraits<T>::type == Type::address) {
         const auto parsed = parse_address(std::get<std::string>(value));
         if (const auto* address = std::get_if<Address>(&parsed)) return *address;
-        throw std::logic_error("an address that was not checked");
-    } else if constexpr (Form<T>::type == Type::path) {
+        throw std::logic_error("address was not validated");
+    } else if constexpr (SettingTraits<T>::type == Type::path) {
         return Path{std::get<std::string>(value)};
     } else {
         return std::get<T>(value);
@@ -112,7 +112,7 @@
 template <class T>
 T Row::get(const Key<T>& key) const {
     const Value* const value = find(key.spec().table, key.spec().name);
-    if (!value) throw std::logic_error("no value was given: " + key.text());
+    if (!value) throw std::logic_error("no value is set for " + key.text());
     return value_as<T>(*value, key.spec());
 }
 
--- a/src/sides/gateway.cpp
+++ b/src/sides/gateway.cpp
@@ -21,9 +21,10 @@
 namespace keys = settings::gateway;
 using settings::Row;
 
-constexpr std::uint16_t rows_port = 80;  // the number that the one listener of [[route]]s has
+constexpr std::uint16_t file_routes_port =
+    80;  // nominal port of the single listener of the [[route]] rows; the real one is set in `moved`
 
-std::string trimmed(std::string text) {
+std::string trim(std::string text) {
     while (!text.empty() && text.front() == ' ') text.erase(text.begin());
     while (!text.empty() && text.back() == ' ') text.pop_back();
     return text;
@@ -36,24 +37,25 @@
     });
 }
 
-// "name<mark>value", blanks round the mark. False: there is no such mark.
-bool split(const std::string& text, char mark, std::string& name, std::string& value) {
-    const auto at = text.find(mark);
+// Splits "name<separator>value" and trims both parts. Returns false if the separator is missing, the name is
+// not a word, or the value is empty.
+bool split_pair(const std::string& text, char separator, std::string& name, std::string& value) {
+    const auto at = text.find(separator);
     if (at == std::string::npos) return false;
-    name = trimmed(text.substr(0, at));
-    value = trimmed(text.substr(at + 1));
+    name = trim(text.substr(0, at));
+    value = trim(text.substr(at + 1));
     return is_word(name) && !value.empty();
 }
 
-std::optional<std::uint32_t> number_of(const std::string& text, std::uint32_t most) {
+std::optional<std::uint32_t> parse_number(const std::string& text, std::uint32_t most) {
     std::uint32_t value = 0;
-    const auto [end, bad] = std::from_chars(text.data(), text.data() + text.size(), value);
-    if (bad != std::errc{} || end != text.data() + text.size() || text.empty() || value > most)
+    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
+    if (error != std::errc{} || end != text.data() + text.size() || text.empty() || value > most)
         return std::nullopt;
     return value;
 }
 
-routes::CallClass::Kind kind_of(keys::Effect effect) {
+routes::CallClass::Kind call_kind(keys::Effect effect) {
     using Kind = routes::CallClass::Kind;
     switch (effect) {
         case keys::Effect::safe: return Kind::safe;
@@ -64,105 +66,108 @@
     return Kind::unsafe;
 }
 
-class Making {
+class OptionsBuilder {
 public:
-    Making(const settings::Values& values, std::uint64_t seed)
-        : values_(values), main_(values.row("gateway")), seed_(seed) {}
+    OptionsBuilder(const settings::Values& values, std::uint64_t seed)
+        : values_(values), gateway_row_(values.row("gateway")), seed_(seed) {}
 
-    std::variant<GatewayOptions, settings::Faults> make() {
-        make_runtime();
-        if (main_.get(keys::cluster) == keys::Cluster::none) {
-            make_routes();
+    std::variant<GatewayOptions, settings::Faults> build() {
+        build_runtime();
+        if (gateway_row_.get(keys::cluster) == keys::Cluster::none) {
+            build_routes();
         } else {
-            make_cluster();
+            build_cluster();
         }
         if (!faults_.empty()) return std::move(faults_);
         return std::move(options_);
     }
 
 private:
-    void fault(const Row& row, std::string_view key, const std::string& what, const std::string& mend) {
-        add_fault(faults_, row, key, what, mend);
+    void fault(const Row& row, std::string_view key, const std::string& what, const std::string& remedy) {
+        add_fault(faults_, row, key, what, remedy);
     }
 
-    void make_runtime() {
-        ingress::RuntimeOptions& its = options_.runtime;
-        its.seed = seed_;
-        its.zone = main_.get(keys::zone).value_or("");
-        its.clients.most = its.clients.asked = count_of(main_, keys::max_clients);
-        its.clients.request = main_.get(keys::request_timeout);
-        its.clients.idle = main_.get(keys::idle_timeout);
-        its.servers_most = count_of(main_, keys::max_server_connections);
-        its.body = static_cast<std::size_t>(main_.get(keys::max_body).count);
-        Settings& pool = its.settings;
-        pool.max_attempts = static_cast<int>(main_.get(keys::attempts));
-        pool.connect_timeout = main_.get(keys::connect_timeout);
-        pool.idle_close = main_.get(keys::server_idle);
+    void build_runtime() {
+        ingress::RuntimeOptions& options = options_.runtime;
+        options.seed = seed_;
+        options.zone = gateway_row_.get(keys::zone).value_or("");
+        options.clients.most = options.clients.asked = count_of(gateway_row_, keys::max_clients);
+        options.clients.request = gateway_row_.get(keys::request_timeout);
+        options.clients.idle = gateway_row_.get(keys::idle_timeout);
+        options.servers_most = count_of(gateway_row_, keys::max_server_connections);
+        options.body = static_cast<std::size_t>(gateway_row_.get(keys::max_body).count);
+        Settings& pool = options.settings;
+        pool.max_attempts = static_cast<int>(gateway_row_.get(keys::attempts));
+        pool.connect_timeout = gateway_row_.get(keys::connect_timeout);
+        pool.idle_close = gateway_row_.get(keys::server_idle);
         pool.retry_after = true;
-        pool.max_retry_after = main_.get(keys::max_retry_after);
+        pool.max_retry_after = gateway_row_.get(keys::max_retry_after);
         pool.may_cancel = true;
-        pool.fair_share = main_.get(keys::in_flight);
-        pool.ramp_time = main_.get(keys::slow_start);
-        pool.cold_share = pool.ramp_time > Micros{0} ? main_.get(keys::cold_share) : 1;
+        pool.fair_share = gateway_row_.get(keys::in_flight);
+        pool.ramp_time = gateway_row_.get(keys::slow_start);
+        pool.cold_share = pool.ramp_time > Micros{0} ? gateway_row_.get(keys::cold_share) : 1;
     }
 
-    // ------------------------------------------------------------------------------------------ the file's
+    // Routes of the file
 
-    void make_routes() {
+    void build_routes() {
         loop::tcp::endpoint endpoint;
-        set_endpoint(faults_, endpoint, *main_.get(keys::listen), main_, "listen");
+        set_endpoint(faults_, endpoint, *gateway_row_.get(keys::listen), gateway_row_, "listen");
         options_.runtime.address = endpoint.address().to_string();
-        options_.runtime.moved[rows_port] = endpoint.port();
+        options_.runtime.moved[file_routes_port] = endpoint.port();
         std::map<std::string, ingress::PoolChange> pools;
-        for (const Row& row : values_.rows("route_pool")) pools[row.label()] = pool_of(row);
+        for (const Row& row : values_.rows("route_pool")) pools[row.label()] = build_pool(row);
         routes::TableSpec spec;
         routes::Listener& listener = spec.listeners.emplace_back();
         listener.name = "listen";
         for (const Row& row : values_.rows("route")) add_route(row, pools, listener);
         if (!faults_.empty()) return;
         auto built = routes::Table::build(std::move(spec));
-        if (const auto* wrong = std::get_if<std::string>(&built))
-            return fault(main_, "listen", *wrong, "mend the expression");
+        if (const auto* description = std::get_if<std::string>(&built))
+            return fault(gateway_row_, "listen", *description, "fix the expression");
         auto ports = std::make_shared<ingress::Ports>();
-        (*ports)[rows_port].table = std::get<std::shared_ptr<const routes::Table>>(std::move(built));
+        (*ports)[file_routes_port].table = std::get<std::shared_ptr<const routes::Table>>(std::move(built));
         options_.routes.ports = std::move(ports);
         for (auto& [name, pool] : pools) {
             if (!pool.classes.empty()) options_.routes.pools.push_back(std::move(pool));
         }
     }
 
-    ingress::PoolChange pool_of(const Row& row) {
-        ingress::PoolChange out;
-        out.key = row.label();
+    ingress::PoolChange build_pool(const Row& row) {
+        ingress::PoolChange result;
+        result.key = row.label();
         const auto draining = row.get(keys::draining);
         std::set<std::string> seen;
         for (const std::string& text : row.get(keys::servers)) {
             const auto blank = text.find(' ');
             ingress::Server server;
             server.name = server.address = text.substr(0, blank);
-            if (blank != std::string::npos) server.zone = trimmed(text.substr(blank));
-            if (!address_is_good(row, "servers", server.address)) continue;
+            if (blank != std::string::npos) server.zone = trim(text.substr(blank));
+            if (!check_address(row, "servers", server.address)) continue;
             if (!seen.insert(server.address).second) {
-                fault(row, "servers", "server " + server.address + " stands there twice", "leave one out");
+                fault(row, "servers", "server " + server.address + " stands there twice",
+                      "remove one of them");
                 continue;
             }
             server.id = ingress::id_of(server.address);
             server.draining = std::find(draining.begin(), draining.end(), server.address) != draining.end();
-            out.servers.push_back(std::move(server));
+            result.servers.push_back(std::move(server));
         }
-        for (const std::string& each : draining) {
-            if (!seen.contains(each))
-                fault(row, "draining", "no such server: " + each, "write it as in servers, without its zone");
+        for (const std::string& address : draining) {
+            if (!seen.contains(address))
+                fault(row, "draining", "no such server: " + address,
+                      "write it as in servers, without the zone");
         }
-        return out;
+        return result;
     }
 
-    bool address_is_good(const Row& row, std::string_view key, const std::string& text) {
+    bool check_address(const Row& row, std::string_view key, const std::string& text) {
         try {
             if (loop::text_of(loop::parse_endpoint(text)) == text && !text.ends_with(":0")) return true;
         } catch (const std::invalid_argument&) {
         }
-        fault(row, key, "not an IPv4 address with a port: " + text, "names are not looked up: 10.0.0.1:8080");
+        fault(row, key, "not an IPv4 address with a port: " + text,
+              "host names are not resolved: write it like 10.0.0.1:8080");
         return false;
     }
 
@@ -178,11 +183,11 @@
             route.hosts.push_back(std::move(host));
         }
         auto rule = std::make_shared<routes::Rule>();
-        rule->matches.push_back(match_of(row));
-        rule->call.kind = kind_of(row.get(keys::effect));
-        rule->call.deadline = row.get(keys::timeout).value_or(main_.get(keys::deadline));
+        rule->matches.push_back(build_match(row));
+        rule->call.kind = call_kind(row.get(keys::effect));
+        rule->call.deadline = row.get(keys::timeout).value_or(gateway_row_.get(keys::deadline));
         rule->call.aim =
-            std::min(row.get(keys::route_aim).value_or(main_.get(keys::aim)), rule->call.deadline);
+            std::min(row.get(keys::route_aim).value_or(gateway_row_.get(keys::aim)), rule->call.deadline);
         rule->call.window = std::chrono::seconds(10);
         rule->request_timeout = row.get(keys::timeout).value_or(Micros{});
         rule->backend_timeout = row.get(keys::server_timeout).value_or(Micros{});
@@ -200,11 +205,11 @@
         routes::Backend backend;
         backend.pool = text.substr(0, blank);
         if (blank != std::string::npos) {
-            const auto weight = number_of(trimmed(text.substr(blank)), 1'000'000);
+            const auto weight = parse_number(trim(text.substr(blank)), 1'000'000);
             if (!weight) return fault(row, "pools", "no weight: " + text, "write it like \"name 3\"");
             backend.weight = *weight;
         }
-        // Each pool has the classes of all routes that go there.
+        // A pool has the classes of all routes that use it.
         using Kind = routes::CallClass::Kind;
         const auto add = [&](Kind kind) {
             routes::CallClass call = rule.call;
@@ -219,69 +224,72 @@
         rule.backends.push_back(std::move(backend));
     }
 
-    routes::Match match_of(const Row& row) {
-        routes::Match out;
+    routes::Match build_match(const Row& row) {
+        routes::Match result;
         std::string path = row.get(keys::path).value_or("/");
         if (path.starts_with("= ") || path.starts_with("~ ")) {
-            out.path.kind = path.front() == '=' ? routes::PathKind::exact : routes::PathKind::regex;
-            path = trimmed(path.substr(2));
+            result.path.kind = path.front() == '=' ? routes::PathKind::exact : routes::PathKind::regex;
+            path = trim(path.substr(2));
         }
-        if (out.path.kind == routes::PathKind::regex) {
+        if (result.path.kind == routes::PathKind::regex) {
             check_expression(row, "path", path);
         } else if (path.empty() || path.front() != '/' || !routes::split_target(path).why.empty() ||
                    path.find_first_of("?# ") != std::string::npos) {
-            fault(row, "path", "no path: " + path, "begin it with '/', without '?', '#' and blanks");
+            fault(row, "path", "no path: " + path, "start it with '/', without '?', '#' and spaces");
         }
-        out.path.value = path;
-        out.method = row.get(keys::method).value_or("");
-        out.headers = fields_of(row, "headers", row.get(keys::headers), ':');
-        out.queries = fields_of(row, "queries", row.get(keys::queries), '=');
-        return out;
+        result.path.value = path;
+        result.method = row.get(keys::method).value_or("");
+        result.headers = build_field_matches(row, "headers", row.get(keys::headers), ':');
+        result.queries = build_field_matches(row, "queries", row.get(keys::queries), '=');
+        return result;
     }
 
-    std::vector<routes::FieldMatch> fields_of(const Row& row, const char* key,
-                                              const std::vector<std::string>& texts, char mark) {
-        std::vector<routes::FieldMatch> out;
+    std::vector<routes::FieldMatch> build_field_matches(const Row& row, const char* key,
+                                                        const std::vector<std::string>& texts,
+                                                        char separator) {
+        std::vector<routes::FieldMatch> result;
         for (const std::string& text : texts) {
             routes::FieldMatch match;
-            match.regex = text.find('~') < text.find(mark);
-            if (!split(text, match.regex ? '~' : mark, match.name, match.value)) {
+            match.regex = text.find('~') < text.find(separator);
+            if (!split_pair(text, match.regex ? '~' : separator, match.name, match.value)) {
                 fault(row, key, "neither a value nor an expression: " + text,
-                      std::string("write it like \"name") + mark + " value\" or \"name ~ expression\"");
+                      std::string("write it like \"name") + separator + " value\" or \"name ~ expression\"");
                 continue;
             }
             if (match.regex) check_expression(row, key, match.value);
-            out.push_back(std::move(match));
+            result.push_back(std::move(match));
         }
-        return out;
+        return result;
     }
 
     void check_expression(const Row& row, const char* key, const std::string& text) {
-        if (const std::string wrong = routes::regex_fault(text); !wrong.empty())
-            fault(row, key, "no regular expression: " + text + " (" + wrong + ")", "use RE2's syntax");
+        if (const std::string description = routes::regex_fault(text); !description.empty())
+            fault(row, key, "no regular expression: " + text + " (" + description + ")", "use RE2's syntax");
     }
 
     void set_filters(const Row& row, routes::Rule& rule) {
         for (const std::string& text : row.get(keys::set_headers)) {
             std::string name, value;
-            if (split(text, ':', name, value)) {
+            if (split_pair(text, ':', name, value)) {
                 rule.request.set.emplace_back(name, value);
             } else {
-                fault(row, "set_headers", "no header: " + text, "write it like \"Name: value\"");
+                fault(row, "set_headers", "invalid header: " + text, "write it like \"Name: value\"");
             }
         }
         const bool prefix = rule.matches.front().path.kind == routes::PathKind::prefix;
         if (const auto path = row.get(keys::rewrite)) {
             if (path->empty() || path->front() != '/')
-                fault(row, "rewrite", "no path: " + *path, "begin it with '/'");
+                fault(row, "rewrite", "no path: " + *path, "start it with '/'");
             rule.rewrite.emplace().path = routes::PathEdit{prefix, *path};
         }
         if (const auto text = row.get(keys::redirect)) {
-            const auto status = number_of(text->substr(0, text->find(' ')), 399);
-            const std::string to = trimmed(text->substr(std::min(text->find(' '), text->size())));
+            const auto status = parse_number(text->substr(0, text->find(' ')), 399);
+            const std::string to = trim(text->substr(std::min(text->find(' '), text->size())));
             const auto scheme = to.find("://");
-            static constexpr std::array<std::uint32_t, 5> known = {301, 302, 303, 307, 308};
-            if (!status || std::find(known.begin(), known.end(), *status) == known.end() ||
+            static constexpr std::array<std::uint32_t, 5> redirect_statuses = {301, 302, 303, 307, 308};
+            if (!status ||
+                std::find(redirect_statuses.begin(), redirect_statuses.end(), *status) ==
+                    redirect_statuses.end() ||
                 scheme == std::string::npos)
                 return fault(row, "redirect", "no redirect: " + *text,
                              "write it like \"302 https://host/path\"");
@@ -291,8 +299,8 @@
             const auto slash = to.find('/', scheme + 3);
             const std::string host = to.substr(scheme + 3, slash - scheme - 3);
             if (host.find(':') != std::string::npos) {
-                const auto port = number_of(host.substr(host.find(':') + 1), 65535);
-                if (!port || *port == 0) return fault(row, "redirect", "no port: " + host, "1 to 65535");
+                const auto port = parse_number(host.substr(host.find(':') + 1), 65535);
+                if (!port || *port == 0) return fault(row, "redirect", "invalid port: " + host, "1 to 65535");
                 redirect.port = static_cast<std::uint16_t>(*port);
             }
             if (!host.empty()) redirect.host = host.substr(0, host.find(':'));
@@ -300,66 +308,66 @@
         }
     }
 
-    // ---------------------------------------------------------------------------------------- the cluster's
+    // Routes of a Kubernetes cluster
 
-    void make_cluster() {
-        ingress::ClusterOptions& its = options_.cluster.emplace();
-        options_.runtime.address = main_.get(keys::bind_address);
+    void build_cluster() {
+        ingress::ClusterOptions& options = options_.cluster.emplace();
+        options_.runtime.address = gateway_row_.get(keys::bind_address);
         try {
             (void)loop::parse_endpoint(options_.runtime.address + ":1");
         } catch (const std::invalid_argument&) {
-            fault(main_, "bind_address", "not an IPv4 address: " + options_.runtime.address,
-                  "give one, or 0.0.0.0");
+            fault(gateway_row_, "bind_address", "not an IPv4 address: " + options_.runtime.address,
+                  "write an IPv4 address, or 0.0.0.0");
         }
-        for (const std::string& text : main_.get(keys::ports)) {
+        for (const std::string& text : gateway_row_.get(keys::ports)) {
             const auto equals = std::min(text.find('='), text.size());
-            const auto from = number_of(text.substr(0, equals), 65535);
-            const auto to = number_of(text.substr(std::min(equals + 1, text.size())), 65535);
+            const auto from = parse_number(text.substr(0, equals), 65535);
+            const auto to = parse_number(text.substr(std::min(equals + 1, text.size())), 65535);
             if (!from || !to || *from == 0) {
-                fault(main_, "ports", "no two ports: " + text, "write them like 80=8080");
+                fault(gateway_row_, "ports", "not a pair of ports: " + text, "write it like 80=8080");
                 continue;
             }
             options_.runtime.moved[static_cast<std::uint16_t>(*from)] = static_cast<std::uint16_t>(*to);
         }
-        read_server(its);
-        its.seed = seed_;
-        its.apply_every = main_.get(keys::apply_every);
-        its.guard.hold = main_.get(keys::guard_hold);
-        its.guard.most = main_.get(keys::guard_share);
-        its.plan.controller = main_.get(keys::controller_name);
-        its.plan.aim = main_.get(keys::aim);
-        its.plan.deadline = main_.get(keys::deadline);
-        its.plan.addresses = main_.get(keys::public_addresses);
-        its.plan.certificate_fault = tls::Context::fault_of;
-        its.write_status = main_.get(keys::write_status);
-        its.writer.per_s = static_cast<double>(main_.get(keys::status_writes));
-        its.writer.burst = 2 * count_of(main_, keys::status_writes);
-        its.lease.space = main_.get(keys::lease_namespace).value_or(its.server.space);
-        its.lease.name = main_.get(keys::lease_name);
-        its.lease.identity = main_.get(keys::identity).value_or(drawn_identity());
+        read_server(options);
+        options.seed = seed_;
+        options.apply_every = gateway_row_.get(keys::apply_every);
+        options.guard.hold = gateway_row_.get(keys::guard_hold);
+        options.guard.most = gateway_row_.get(keys::guard_share);
+        options.plan.controller = gateway_row_.get(keys::controller_name);
+        options.plan.aim = gateway_row_.get(keys::aim);
+        options.plan.deadline = gateway_row_.get(keys::deadline);
+        options.plan.addresses = gateway_row_.get(keys::public_addresses);
+        options.plan.certificate_fault = tls::Context::fault_of;
+        options.write_status = gateway_row_.get(keys::write_status);
+        options.writer.per_s = static_cast<double>(gateway_row_.get(keys::status_writes));
+        options.writer.burst = 2 * count_of(gateway_row_, keys::status_writes);
+        options.lease.space = gateway_row_.get(keys::lease_namespace).value_or(options.server.space);
+        options.lease.name = gateway_row_.get(keys::lease_name);
+        options.lease.identity = gateway_row_.get(keys::identity).value_or(generate_identity());
     }
 
-    void read_server(ingress::ClusterOptions& its) {
-        const bool inside = main_.get(keys::cluster) == keys::Cluster::in_cluster;
+    void read_server(ingress::ClusterOptions& options) {
+        const bool is_in_cluster = gateway_row_.get(keys::cluster) == keys::Cluster::in_cluster;
         try {
-            if (!inside) {
-                its.server = kube::from_kubeconfig(main_.get(keys::kubeconfig)->text);
+            if (!is_in_cluster) {
+                options.server = kube::from_kubeconfig(gateway_row_.get(keys::kubeconfig)->text);
             } else {
                 const char* const host = std::getenv("KUBERNETES_SERVICE_HOST");
                 const char* const port = std::getenv("KUBERNETES_SERVICE_PORT");
-                its.server = kube::in_cluster(host ? host : "", port ? port : "");
+                options.server = kube::in_cluster(host ? host : "", port ? port : "");
             }
-            if (its.server.tls)
+            if (options.server.tls)
                 (void)tls::Context::for_servers(
-                    {its.server.authorities, its.server.certificate, its.server.key});
+                    {options.server.authorities, options.server.certificate, options.server.key});
         } catch (const std::runtime_error& error) {
-            fault(main_, inside ? "cluster" : "kubeconfig", error.what(),
-                  inside ? "run it in a pod with a service account, or use a kubeconfig"
-                         : "mend the file, or name another");
+            fault(gateway_row_, is_in_cluster ? "cluster" : "kubeconfig", error.what(),
+                  is_in_cluster ? "run the program in a pod with a service account, or use a kubeconfig"
+                                : "fix the file, or name another");
         }
     }
 
-    static std::string drawn_identity() {
+    static std::string generate_identity() {
         std::array<char, 256> name{};
         if (::gethostname(name.data(), name.size() - 1) != 0) name[0] = '\0';
         std::random_device device;
@@ -367,7 +375,7 @@
     }
 
     const settings::Values& values_;
-    const Row& main_;
+    const Row& gateway_row_;
     const std::uint64_t seed_;
     GatewayOptions options_;
     settings::Faults faults_;
@@ -376,16 +384,16 @@
 class Gateway final : public engine::Side {
 public:
     explicit Gateway(const engine::SideWorld& world) : log_(world.log), seed_(world.seed) {
-        auto made = gateway_options(world.operators, seed_);
-        if (const auto* faults = std::get_if<settings::Faults>(&made))
+        auto options_or_faults = gateway_options(world.operators, seed_);
+        if (const auto* faults = std::get_if<settings::Faults>(&options_or_faults))
             throw std::invalid_argument(faults->text("operator's file"));
-        auto& options = std::get<GatewayOptions>(made);
+        auto& options = std::get<GatewayOptions>(options_or_faults);
         runtime_.emplace(world.executor, world.core, world.clock, log_, options.runtime,
                          [this](std::map<std::uint16_t, std::string> ports) {
                              if (cluster_) cluster_->set_ports(std::move(ports));
                          });
         if (!options.cluster) {
-            remember(options.routes);
+            save_pool_keys(options.routes);
             runtime_->apply(std::move(options.routes));
             return;
         }
@@ -394,13 +402,13 @@
     }
 
     bool change(const settings::Values& operators) override {
-        auto made = gateway_options(operators, seed_);
-        if (const auto* faults = std::get_if<settings::Faults>(&made)) {
+        auto options_or_faults = gateway_options(operators, seed_);
+        if (const auto* faults = std::get_if<settings::Faults>(&options_or_faults)) {
             const auto& first = faults->first().front();
             log_.tell(log::events::gateway_kept, settings::line_of("operator's file", first));
             return false;
         }
-        auto& options = std::get<GatewayOptions>(made);
+        auto& options = std::get<GatewayOptions>(options_or_faults);
         runtime_->set_options(options.runtime);
         if (cluster_ || options.cluster) return true;
         for (const std::string& key : pools_) {
@@ -408,7 +416,7 @@
                                            [&](const auto& pool) { return pool.key == key; });
             if (!stays) options.routes.gone.push_back(key);
         }
-        remember(options.routes);
+        save_pool_keys(options.routes);
         runtime_->apply(std::move(options.routes));
         return true;
     }
@@ -424,14 +432,14 @@
     Micros longest_deadline() const override { return runtime_->longest_deadline(); }
 
 private:
-    void remember(const ingress::Change& routes) {
+    void save_pool_keys(const ingress::Change& routes) {
         pools_.clear();
         for (const auto& pool : routes.pools) pools_.push_back(pool.key);
     }
 
     core::Log& log_;
     const std::uint64_t seed_;
-    std::vector<std::string> pools_;  // of the file
+    std::vector<std::string> pools_;  // keys of the pools of the file that are in use
     std::optional<ingress::Runtime> runtime_;
     std::optional<ingress::Cluster> cluster_;
 };
@@ -440,7 +448,7 @@
 
 std::variant<GatewayOptions, settings::Faults> gateway_options(const settings::Values& values,
                                                                std::uint64_t seed) {
-    return Making(values, seed).make();
+    return OptionsBuilder(values, seed).build();
 }
 
 engine::SideMaker gateway() {
--- a/src/sides/gateway.h
+++ b/src/sides/gateway.h
@@ -1,6 +1,7 @@
-// From the operator's file to the routes' side: listeners, and where routes come from.
+// Builds the gateway extension of the engine from the operator's settings: its listeners and the source of
+// its routes.
 //
-// Errors: faults, each with its place in the operator's file; nothing is thrown.
+// Errors: gateway_options() returns faults, each with its position in the operator's file. It does not throw.
 #pragma once
 
 #include <optional>
@@ -16,15 +17,16 @@
 
 struct GatewayOptions {
     ingress::RuntimeOptions runtime;
-    std::optional<ingress::ClusterOptions> cluster;  // else the routes are those of the file:
-    ingress::Change routes;
+    std::optional<ingress::ClusterOptions> cluster;  // set if routes come from a Kubernetes cluster
+    ingress::Change routes;                          // routes of the file; used if `cluster` is not set
 };
 
-// To be asked for only where the file has [gateway]. Reads the files that are named there.
+// Requires that the file has [gateway]. Reads the files named there.
 [[nodiscard]] std::variant<GatewayOptions, settings::Faults> gateway_options(const settings::Values& values,
                                                                              std::uint64_t seed);
 
-// What turns it on in an engine.
+// Returns the factory that adds the gateway to an engine. The factory throws std::invalid_argument if there
+// are faults.
 [[nodiscard]] engine::SideMaker gateway();
 
 }  // namespace flaxdoor::sides
--- a/src/sides/postgres.cpp
+++ b/src/sides/postgres.cpp
@@ -14,9 +14,10 @@
 namespace keys = settings::postgres;
 using settings::Row;
 
-constexpr std::size_t password_most = 1000;
+constexpr std::size_t max_password_bytes = 1000;
 
-// Names are chosen by the operator, and must stand for the same server after a reload: FNV-1a, 64 bits.
+// Derives the id of a server from the name that the operator chose, so that a name keeps its id over a
+// reload. The hash is 64-bit FNV-1a.
 UpstreamId id_of(std::string_view name) {
     std::uint64_t hash = 14695981039346656037ull;
     for (const char c : name) hash = (hash ^ static_cast<unsigned char>(c)) * 1099511628211ull;
@@ -30,52 +31,56 @@
     return salt;
 }
 
-class Making {
+class OptionsBuilder {
 public:
-    Making(const settings::Values& values, std::uint64_t seed) : values_(values) { options_.seed = seed; }
+    OptionsBuilder(const settings::Values& values, std::uint64_t seed) : values_(values) {
+        options_.seed = seed;
+    }
 
-    std::variant<pg::ServiceOptions, settings::Faults> make() {
-        const Row& main = values_.row("postgres");
-        const auto address = main.get(keys::listen);
-        set_endpoint(faults_, options_.listen, address, main, "listen");
-        options_.logins_at_once = count_of(main, keys::logins_at_once);
-        options_.servers_most = count_of(main, keys::max_server_connections);
-        make_front(main);
+    std::variant<pg::ServiceOptions, settings::Faults> build() {
+        const Row& postgres_row = values_.row("postgres");
+        const auto address = postgres_row.get(keys::listen);
+        set_endpoint(faults_, options_.listen, address, postgres_row, "listen");
+        options_.logins_at_once = count_of(postgres_row, keys::logins_at_once);
+        options_.servers_most = count_of(postgres_row, keys::max_server_connections);
+        build_front(postgres_row);
         for (const Row& row : values_.rows("postgres_user")) add_user(row);
-        for (const Row& row : values_.rows("postgres_database")) add_database(main, row);
+        for (const Row& row : values_.rows("postgres_database")) add_database(postgres_row, row);
         if (!faults_.empty()) return std::move(faults_);
         return std::move(options_);
     }
 
 private:
-    void fault(const Row& row, std::string_view key, const std::string& what, const std::string& mend) {
-        add_fault(faults_, row, key, what, mend);
+    void fault(const Row& row, std::string_view key, const std::string& what, const std::string& remedy) {
+        add_fault(faults_, row, key, what, remedy);
     }
 
-    void make_front(const Row& main) {
+    void build_front(const Row& postgres_row) {
         pg::FrontOptions& front = options_.front;
-        front.limits.clients = count_of(main, keys::max_clients);
-        front.limits.strangers = count_of(main, keys::max_strangers);
-        front.limits.login = main.get(keys::login_timeout);
-        front.limits.message = main.get(keys::message_timeout);
-        front.limits.idle_transaction = main.get(keys::idle_transaction_timeout);
-        front.limits.message_most = main.get(keys::max_message).count;
-        for (const auto& name : main.get(keys::ignore_settings)) front.ignored_settings.insert(name);
-        for (const auto& name : main.get(keys::safe_applications)) front.safe_applications.insert(name);
-        front.client_says_safe = main.get(keys::client_says_safe);
-        some_are_safe_ = front.client_says_safe || !front.safe_applications.empty();
+        front.limits.clients = count_of(postgres_row, keys::max_clients);
+        front.limits.strangers = count_of(postgres_row, keys::max_strangers);
+        front.limits.login = postgres_row.get(keys::login_timeout);
+        front.limits.message = postgres_row.get(keys::message_timeout);
+        front.limits.idle_transaction = postgres_row.get(keys::idle_transaction_timeout);
+        front.limits.message_most = postgres_row.get(keys::max_message).count;
+        for (const auto& name : postgres_row.get(keys::ignore_settings)) front.ignored_settings.insert(name);
+        for (const auto& name : postgres_row.get(keys::safe_applications))
+            front.safe_applications.insert(name);
+        front.client_says_safe = postgres_row.get(keys::client_says_safe);
+        has_safe_units_ = front.client_says_safe || !front.safe_applications.empty();
         for (const auto& [table, key] : {std::pair("postgres_user", keys::user_effect),
                                          std::pair("postgres_database", keys::database_effect)}) {
-            for (const Row& row : values_.rows(table)) some_are_safe_ |= row.get(key) == keys::Effect::safe;
+            for (const Row& row : values_.rows(table)) has_safe_units_ |= row.get(key) == keys::Effect::safe;
         }
-        if (main.get(keys::tls) == keys::Tls::off) return;
-        front.tls_required = main.get(keys::tls) == keys::Tls::require;
-        const std::string certificate = main.get(keys::certificate)->text;
+        if (postgres_row.get(keys::tls) == keys::Tls::off) return;
+        front.tls_required = postgres_row.get(keys::tls) == keys::Tls::require;
+        const std::string certificate = postgres_row.get(keys::certificate)->text;
         try {
-            front.context = tls::Context::for_clients(certificate, main.get(keys::certificate_key)->text);
+            front.context =
+                tls::Context::for_clients(certificate, postgres_row.get(keys::certificate_key)->text);
         } catch (const tls::Error& error) {
-            fault(main, error.file == certificate ? "certificate" : "certificate_key", error.what(),
-                  "a file in PEM that this program may read");
+            fault(postgres_row, error.file == certificate ? "certificate" : "certificate_key", error.what(),
+                  "name a PEM file that this program may read");
         }
     }
 
@@ -86,17 +91,17 @@
         user.kind = row.get(keys::auth) == keys::Auth::trust ? pg::Authentication::Kind::trust
                                                              : pg::Authentication::Kind::scram;
         if (const auto file = row.get(keys::password_file)) {
-            std::ifstream in(file->text);
+            std::ifstream stream(file->text);
             std::string password;
-            if (!in || !std::getline(in, password)) {
+            if (!stream || !std::getline(stream, password)) {
                 fault(row, "password_file", "no password can be read from " + file->text,
-                      "a file whose first line is the password, which this program may read");
+                      "name a file that this program may read, with the password in its first line");
                 return;
             }
             if (!password.empty() && password.back() == '\r') password.pop_back();
-            if (password.empty() || password.size() > password_most) {
-                fault(row, "password_file", "the password has no byte, or too many",
-                      "1 to 1000 bytes in the first line");
+            if (password.empty() || password.size() > max_password_bytes) {
+                fault(row, "password_file", "the password is empty or too long",
+                      "write 1 to 1000 bytes in the first line");
                 return;
             }
             if (user.kind == pg::Authentication::Kind::scram)
@@ -106,11 +111,11 @@
         options_.front.users[row.label()] = std::move(user);
     }
 
-    void add_database(const Row& main, const Row& row) {
+    void add_database(const Row& postgres_row, const Row& row) {
         pg::DatabaseOptions database;
         database.name = row.label();
-        database.settings = pool_settings(main, row);
-        database.back = back_options(main, row);
+        database.settings = pool_settings(postgres_row, row);
+        database.back = back_options(postgres_row, row);
         pg::FrontDatabase& front = database.front;
         front.session.mode =
             row.get(keys::mode) == keys::Mode::session ? pg::Mode::session : pg::Mode::transaction;
@@ -147,16 +152,17 @@
         }
     }
 
-    Settings pool_settings(const Row& main, const Row& row) {
+    Settings pool_settings(const Row& postgres_row, const Row& row) {
         Settings settings;
-        settings.zone = static_cast<int>(main.get(keys::zone));
+        settings.zone = static_cast<int>(postgres_row.get(keys::zone));
         settings.zones = settings.zone + 1;
         settings.max_attempts = static_cast<int>(row.get(keys::attempts));
         settings.connect_timeout = row.get(keys::connect_timeout);
         settings.retry_after = true;
         settings.max_retry_after = std::chrono::minutes(1);
         settings.may_cancel = true;
-        // The operator has said how much a server takes at once.
+        // The operator sets how many connections a server accepts, so the concurrency limit need not be
+        // learned.
         settings.fair_share = static_cast<double>(row.get(keys::pool_size));
         ClassSettings unit;
         unit.name = "unsafe";
@@ -165,18 +171,18 @@
         unit.effect = Effect::unsafe;
         unit.streams = true;
         settings.classes.push_back(unit);
-        // Only where it may be used: of a class that nothing is known of the module fears the worst, and puts
-        // servers out for longer.
-        if (!some_are_safe_) return settings;
+        // The class "safe" is added only if it can be used: the decision module assumes the worst of a class
+        // without any results and ejects servers for longer.
+        if (!has_safe_units_) return settings;
         unit.name = "safe";
         unit.effect = Effect::safe;
         settings.classes.push_back(unit);
         return settings;
     }
 
-    pg::BackOptions back_options(const Row& main, const Row& row) {
+    pg::BackOptions back_options(const Row& postgres_row, const Row& row) {
         pg::BackOptions back;
-        back.database = row.get(keys::database_there).value_or(row.label());
+        back.database = row.get(keys::server_side_database).value_or(row.label());
         switch (row.get(keys::role)) {
             case keys::Role::any: back.role = pg::Role::any; break;
             case keys::Role::primary: back.role = pg::Role::primary; break;
@@ -188,11 +194,11 @@
         back.pool.wait = row.get(keys::line_timeout);
         back.pool.idle = row.get(keys::idle_timeout);
         back.pool.age = row.get(keys::max_age);
-        back.login_limit = std::min(main.get(keys::login_timeout), row.get(keys::connect_timeout));
+        back.login_limit = std::min(postgres_row.get(keys::login_timeout), row.get(keys::connect_timeout));
         back.cancel_limit = row.get(keys::cancel_timeout);
         back.drain_limit = row.get(keys::drain_timeout);
         back.prepared_most = count_of(row, keys::prepared_statements);
-        back.message_most = main.get(keys::max_message).count;
+        back.message_most = postgres_row.get(keys::max_message).count;
         if (row.get(keys::server_tls) == keys::ServerTls::off) return back;
         const bool verify = row.get(keys::server_tls) == keys::ServerTls::verify_full;
         back.tls = verify ? pg::ServerOptions::Tls::verify_full : pg::ServerOptions::Tls::prefer;
@@ -200,7 +206,7 @@
         try {
             back.context = tls::Context::for_servers(authorities ? authorities->text : "");
         } catch (const tls::Error& error) {
-            fault(row, "authorities", error.what(), "a file in PEM that this program may read");
+            fault(row, "authorities", error.what(), "name a PEM file that this program may read");
         }
         return back;
     }
@@ -208,14 +214,14 @@
     const settings::Values& values_;
     pg::ServiceOptions options_;
     settings::Faults faults_;
-    bool some_are_safe_ = false;
+    bool has_safe_units_ = false;
 };
 
 }  // namespace
 
 std::variant<pg::ServiceOptions, settings::Faults> postgres_options(const settings::Values& values,
                                                                     std::uint64_t seed) {
-    return Making(values, seed).make();
+    return OptionsBuilder(values, seed).build();
 }
 
 namespace {
--- a/src/sides/postgres.h
+++ b/src/sides/postgres.h
@@ -1,6 +1,6 @@
-// From the operator's file to what PostgreSQL's side is made of. Reads the files that are named there.
+// Builds the PostgreSQL extension of the engine from the operator's settings.
 //
-// Errors: faults, each with its place in the operator's file; nothing is thrown.
+// Errors: postgres_options() returns faults, each with its position in the operator's file. It does not throw.
 #pragma once
 
 #include <cstdint>
@@ -13,11 +13,12 @@
 
 namespace flaxdoor::sides {
 
-// To be asked for only where the file has [postgres].
+// Requires that the file has [postgres]. Reads the files named there.
 [[nodiscard]] std::variant<pg::ServiceOptions, settings::Faults> postgres_options(
     const settings::Values& values, std::uint64_t seed);
 
-// What turns it on in an engine.
+// Returns the factory that adds PostgreSQL to an engine. The factory throws std::invalid_argument if there
+// are faults.
 [[nodiscard]] engine::SideMaker postgres();
 
 }  // namespace flaxdoor::sides
--- a/src/sides/rows.h
+++ b/src/sides/rows.h
@@ -1,4 +1,4 @@
-// What all sides need of a row of the operator's file.
+// Helpers to read rows of the operator's settings.
 #pragma once
 
 #include <string>
@@ -10,21 +10,23 @@
 
 namespace flaxdoor::sides {
 
-// At the key where the file has it, else at its row.
+// Adds a fault at the position of the key, or of the row if the file does not set the key.
 inline void add_fault(settings::Faults& faults, const settings::Row& row, std::string_view key,
-                      const std::string& what, const std::string& mend) {
+                      const std::string& what, const std::string& remedy) {
     const settings::Row::Slot& slot = row.slots()[row.table().index_of(key)];
-    faults.add({slot.given ? slot.key : row.place(), what, row.table().name + "." + std::string(key), mend});
+    faults.add(
+        {slot.given ? slot.key : row.place(), what, row.table().name + "." + std::string(key), remedy});
 }
 
-// Names are not looked up.
+// Sets `endpoint` to an address of the settings, or adds a fault if the host is not an IPv4 address. Host
+// names are not resolved.
 inline void set_endpoint(settings::Faults& faults, loop::tcp::endpoint& endpoint,
                          const settings::Address& address, const settings::Row& row, std::string_view key) {
     try {
         endpoint = loop::endpoint_of(address.host, address.port);
     } catch (const std::invalid_argument&) {
         add_fault(faults, row, key, "not an IPv4 address: " + address.host,
-                  "names are not looked up: give its address");
+                  "host names are not resolved: write its address");
     }
 }
 
--- a/tests/settings/cli_test.cpp
+++ b/tests/settings/cli_test.cpp
@@ -1,4 +1,4 @@
-// The program itself: what it prints where, and how it ends.
+// Runs the program `flaxdoor` and checks its output streams and exit status.
 #include <gtest/gtest.h>
 
 #include <nlohmann/json.hpp>
@@ -16,15 +16,15 @@
     std::string file(const std::string& name, const std::string& text) const {
         return folder_.write(name, text);
     }
-    Ended run(const std::string& words) const {
-        return flaxdoor::test::run_program(PROGRAM, words, folder_.path());
+    Ended run(const std::string& arguments) const {
+        return flaxdoor::test::run_program(PROGRAM, arguments, folder_.path());
     }
 
 private:
     const flaxdoor::store::test::FolderHere folder_;
 };
 
-TEST_F(Program, AFileInOrder) {
+TEST_F(Program, AcceptsAValidFile) {
     const std::string path = file("fine.toml", "[http]\nidle_timeout = \"9s\"\nclient_share = 0.4\n");
     const Ended ended = run("check " + path);
     EXPECT_EQ(ended.status, 0);
@@ -35,7 +35,7 @@
     EXPECT_EQ(run("check " SOURCE_ROOT "/deploy/examples/core.toml").status, 0);
 }
 
-TEST_F(Program, FaultsGoToStandardError) {
+TEST_F(Program, PrintsFaultsToStandardError) {
     const std::string path = file("bad.toml", "[http]\nidle_timeot = \"9s\"\nsend_timeout = 4\n");
     const Ended ended = run("check " + path);
     EXPECT_EQ(ended.status, 1);
@@ -46,13 +46,13 @@
                   "write \"4s\"\n");
 }
 
-TEST_F(Program, AFileThatIsNotThere) {
+TEST_F(Program, ReportsAMissingFile) {
     const Ended ended = run("check /nowhere/at_all.toml");
     EXPECT_EQ(ended.status, 1);
     EXPECT_EQ(ended.err, "/nowhere/at_all.toml: cannot be read: No such file or directory\n");
 }
 
-TEST_F(Program, FaultsAsJson) {
+TEST_F(Program, PrintsFaultsAsJson) {
     const std::string path = file("bad.toml", "[http]\nidle_timeot = \"9s\"\n");
     const Ended ended = run("check --json " + path);
     EXPECT_EQ(ended.status, 1);
@@ -65,13 +65,13 @@
     EXPECT_EQ(fine.status, 0);
     EXPECT_EQ(nlohmann::json::parse(fine.out).at("ok"), true);
     EXPECT_EQ(nlohmann::json::parse(fine.out).at("settings"), 0);
-    // Bytes that are not UTF-8 are no JSON: what is said of them must be all the same.
+    // JSON has to be UTF-8. The output must be valid JSON even if the file is not UTF-8.
     const Ended bytes = run("check --json " + file("bytes.toml", "[http]\nidle_timeout = \"\xff\"\n"));
     EXPECT_EQ(bytes.status, 1);
     EXPECT_TRUE(nlohmann::json::accept(bytes.out)) << bytes.out;
 }
 
-TEST_F(Program, CommandsThatAreNotUnderstood) {
+TEST_F(Program, RejectsInvalidCommands) {
     for (const char* words : {"", "chek x", "check", "check a b", "check --jsn a",
                               "settings --page --example", "settings x", "version x"}) {
         const Ended ended = run(words);
@@ -93,7 +93,7 @@
     EXPECT_EQ(run("version").out.rfind("flaxdoor ", 0), 0u);
 }
 
-TEST_F(Program, AFullDiskIsSaid) {
+TEST_F(Program, FailsOnAFullDisk) {
     if (!std::filesystem::exists("/dev/full")) GTEST_SKIP();
     const int status = std::system("'" PROGRAM "' settings >/dev/full 2>/dev/null");
     EXPECT_EQ(WEXITSTATUS(status), 1);
--- a/tests/settings/corpus_test.cpp
+++ b/tests/settings/corpus_test.cpp
@@ -1,4 +1,4 @@
-// Files of a corpus, and the same files broken at random.
+// Reads a corpus of valid and invalid files, and random mutations of these files.
 #include <algorithm>
 #include <random>
 
@@ -13,8 +13,8 @@
 
 const std::filesystem::path corpus(CORPUS);
 
-// Beside each broken file stand its faults, as a program prints them.
-TEST(Corpus, BrokenFilesHaveTheirFaults) {
+// The .expected file next to each broken file holds its faults as the program prints them.
+TEST(Corpus, BrokenFilesGiveTheExpectedFaults) {
     const auto files = files_in(corpus / "broken");
     EXPECT_GE(files.size(), 15u);
     for (const auto& path : files) {
@@ -37,14 +37,14 @@
     explicit Mutator(std::uint64_t seed) : random_(seed) {}
 
     std::string mutate(std::string text) {
-        for (auto times = below(4) + 1; times > 0; --times) once(text);
+        for (auto times = below(4) + 1; times > 0; --times) mutate_once(text);
         return text;
     }
 
 private:
     std::size_t below(std::size_t bound) { return bound == 0 ? 0 : random_() % bound; }
 
-    void once(std::string& text) {
+    void mutate_once(std::string& text) {
         static const std::vector<std::string> pieces = {
             "\"",   "'",      "\"\"\"", "'''",   "[",          "]",     "[[",       "]]",      "{",
             "}",    "=",      ".",      ",",     "#",          "\n",    "\r\n",     "\\",      "\\u",
@@ -80,7 +80,7 @@
     std::mt19937_64 random_;
 };
 
-void expect_sound(const std::string& text, const Schema& schema) {
+void expect_accepted_or_valid_faults(const std::string& text, const Schema& schema) {
     const Reading reading = read_text(text, schema);
     const auto* faults = std::get_if<Faults>(&reading);
     if (!faults) return;
@@ -100,7 +100,7 @@
     }
 }
 
-TEST(Corpus, FilesBrokenAtRandomAreAcceptedOrHaveFaultsWithPositions) {
+TEST(Corpus, MutatedFilesAreAcceptedOrGiveFaultsWithPositions) {
     std::vector<std::string> texts;
     for (const auto& folder :
          {corpus / "good", corpus / "broken", std::filesystem::path(SOURCE_ROOT) / "deploy/examples"}) {
@@ -118,12 +118,12 @@
         for (int i = 0; i < flaxdoor::test::share_of(8000, 1000); ++i) {
             const std::string text = mutator.mutate(texts[static_cast<std::size_t>(i) % texts.size()]);
             SCOPED_TRACE("number " + std::to_string(i) + ":\n" + text);
-            ASSERT_NO_FATAL_FAILURE(expect_sound(text, product));
-            ASSERT_NO_FATAL_FAILURE(expect_sound(text, samples));
+            ASSERT_NO_FATAL_FAILURE(expect_accepted_or_valid_faults(text, product));
+            ASSERT_NO_FATAL_FAILURE(expect_accepted_or_valid_faults(text, samples));
             accepted += std::holds_alternative<Values>(read_text(text, product)) ? 1 : 0;
         }
     }
-    EXPECT_GT(accepted, 100u) << "the mutations are too rough to reach what comes after the syntax";
+    EXPECT_GT(accepted, 100u) << "too few mutated files are valid TOML to test the checks of values";
 }
 
 }  // namespace
--- a/tests/settings/product_test.cpp
+++ b/tests/settings/product_test.cpp
@@ -1,4 +1,5 @@
-// The product's own list of settings: what it says, each setting at its edges, and the files that show it.
+// The settings of the product: their defaults, the bounds of each setting, the settings page and the example
+// files.
 #include "settings/product.h"
 
 #include <algorithm>
@@ -24,8 +25,8 @@
 
 const std::filesystem::path root(SOURCE_ROOT);
 
-// Without a file the balancer does what it did before there was one.
-TEST(Product, DefaultsAreAsTheProgramWasBefore) {
+// Without a settings file the balancer keeps the behaviour that it had before settings files existed.
+TEST(Product, DefaultsKeepTheBehaviourWithoutAFile) {
     const Values values(product_schema());
     EXPECT_EQ(values.get(http::request_timeout), 2s);
     EXPECT_EQ(values.get(http::idle_timeout), 300s);
@@ -56,16 +57,16 @@
     EXPECT_EQ(faults_of("[http]\nkeepalive_share = 0.6\nclient_share = 0.6\n", product_schema()), "");
 }
 
-std::string with(const Setting& setting, const std::string& value) {
+std::string file_with(const Setting& setting, const std::string& value) {
     const Schema schema = product_schema();
     const Table& table = *schema.find(setting.table);
     std::string text = table.kind == Kind::many ? "[[" + table.name + "]]\n" : "[" + table.name + "]\n";
     return text + setting.name + " = " + value + "\n";
 }
 
-// The fault of that setting, be there others or not.
+// Returns the fault of this setting. Other settings may have faults, too.
 std::string fault_of(const Setting& setting, const std::string& value) {
-    const Reading reading = read_text(with(setting, value), product_schema());
+    const Reading reading = read_text(file_with(setting, value), product_schema());
     if (const auto* faults = std::get_if<Faults>(&reading)) {
         for (const Fault& fault : faults->first()) {
             if (fault.key == setting.text()) return line_of("F", fault);
@@ -74,17 +75,17 @@
     return {};
 }
 
-std::string place_of(const Setting& setting) {
+std::string value_position(const Setting& setting) {
     return "F:2:" + std::to_string(setting.name.size() + 4) + ": ";
 }
 
-void expect_fault(const Setting& setting, const std::string& value, const std::string& part) {
+void expect_fault(const Setting& setting, const std::string& value, const std::string& expected_part) {
     const std::string fault = fault_of(setting, value);
-    EXPECT_EQ(fault.rfind(place_of(setting), 0), 0u) << with(setting, value) << fault;
-    EXPECT_NE(fault.find(part), std::string::npos) << with(setting, value) << fault;
+    EXPECT_EQ(fault.rfind(value_position(setting), 0), 0u) << file_with(setting, value) << fault;
+    EXPECT_NE(fault.find(expected_part), std::string::npos) << file_with(setting, value) << fault;
 }
 
-// Bounds are written out in the smallest unit here, not as the product shows them.
+// Bounds are written in the smallest unit here, independently of how the product formats them.
 void expect_bounds(const Setting& setting, std::int64_t least, std::int64_t most, const std::string& unit) {
     const auto text = [&](std::int64_t number) {
         return unit.empty() ? std::to_string(number) : "\"" + std::to_string(number) + unit + "\"";
@@ -100,7 +101,7 @@
     expect_fault(setting, "\"-1" + unit + "\"", "cannot be negative");
 }
 
-TEST(Product, EverySettingAtItsEdges) {
+TEST(Product, EverySettingEnforcesItsBounds) {
     const Schema schema = product_schema();
     for (const Table& table : schema.tables()) {
         for (const Setting& setting : table.settings) {
@@ -133,7 +134,7 @@
                 case Type::choice:
                     expect_fault(setting, "\"none_such_word\"", "is not ");
                     for (const std::string& word : setting.words) {
-                        // Alone it may lack what goes with it.
+                        // The word alone may be rejected for lack of other keys, but not as an unknown word.
                         EXPECT_EQ(fault_of(setting, "\"" + word + "\"").find("is not "), std::string::npos);
                     }
                     break;
@@ -147,68 +148,69 @@
     }
 }
 
-// Every slip of one letter in every key is noticed, and the key is named that was meant: unless the slip is
+// Every typing error of one letter in every key is reported with the correct key, unless the result is
 // another key.
-TEST(Product, EveryKeyWithOneSlip) {
+TEST(Product, SuggestsTheCorrectKeyForTypingErrors) {
     const Schema schema = product_schema();
     for (const Table& table : schema.tables()) {
         for (const Setting& setting : table.settings) {
-            std::vector<std::string> slips;
+            std::vector<std::string> misspellings;
             for (std::size_t i = 0; i < setting.name.size(); ++i) {
                 std::string left_out = setting.name, changed = setting.name, added = setting.name;
                 left_out.erase(i, 1);
                 changed[i] = changed[i] == 'q' ? 'x' : 'q';
                 added.insert(i, 1, 'q');
-                slips.insert(slips.end(), {left_out, changed, added});
+                misspellings.insert(misspellings.end(), {left_out, changed, added});
                 if (i == 0 || setting.name[i] == setting.name[i - 1]) continue;
                 std::string swapped = setting.name;
                 std::swap(swapped[i], swapped[i - 1]);
-                slips.push_back(swapped);
+                misspellings.push_back(swapped);
             }
-            for (const std::string& slip : slips) {
-                if (table.find(slip)) continue;
+            for (const std::string& misspelling : misspellings) {
+                if (table.find(misspelling)) continue;
                 Setting other = setting;
-                other.name = slip;
-                const Reading reading = read_text(with(other, "1"), schema);
-                ASSERT_TRUE(std::holds_alternative<Faults>(reading)) << slip;
+                other.name = misspelling;
+                const Reading reading = read_text(file_with(other, "1"), schema);
+                ASSERT_TRUE(std::holds_alternative<Faults>(reading)) << misspelling;
                 const auto& faults = std::get<Faults>(reading).first();
                 const auto found = std::find_if(faults.begin(), faults.end(), [](const Fault& fault) {
                     return fault.what == "unknown key" && fault.at == Position{2, 1};
                 });
-                ASSERT_NE(found, faults.end()) << slip;
-                EXPECT_EQ(found->mend, "did you mean " + setting.name + "?") << slip;
+                ASSERT_NE(found, faults.end()) << misspelling;
+                EXPECT_EQ(found->mend, "did you mean " + setting.name + "?") << misspelling;
             }
         }
     }
 }
 
-TEST(Product, DefaultsWrittenOutAreReadBackAsTheDefaults) {
+TEST(Product, ExampleFileGivesTheDefaults) {
     const Values written = read(example(product_schema()), product_schema());
     EXPECT_TRUE(changes(Values(product_schema()), written).empty());
     const Schema samples = samples::schema();
     EXPECT_TRUE(changes(Values(samples), read(example(samples), samples)).empty());
 }
 
-TEST(Product, ThePageIsAsTheProgramsTakeIt) {
+TEST(Product, ThePageMatchesTheCode) {
     EXPECT_EQ(content_of(root / "docs/operators/settings.md"), page(product_schema()))
-        << "make it anew: flaxdoor settings --page >docs/operators/settings.md";
+        << "regenerate it: flaxdoor settings --page >docs/operators/settings.md";
 }
 
-// What a page made from the list cannot show by itself: that it has every key.
+// The page is generated from the schema; this test checks independently that the page and the examples have
+// every key.
 TEST(Product, ThePageAndTheExamplesHaveEveryKey) {
-    std::map<std::string, std::string> shown;  // a table's part of the page
+    std::map<std::string, std::string> sections;  // the page's section of each table
     std::string heading;
     std::istringstream lines(content_of(root / "docs/operators/settings.md"));
     for (std::string line; std::getline(lines, line);) {
         if (line.rfind("## ", 0) == 0) heading = line.substr(3);
-        shown[heading] += line + "\n";
+        sections[heading] += line + "\n";
     }
     std::set<std::string> in_examples;
     std::string table;
     for (const auto& path : files_in(root / "deploy/examples")) {
         std::istringstream content(content_of(path));
         for (std::string line; std::getline(content, line);) {
-            // A key that stands there as a comment counts, without a blank behind the #.
+            // A commented-out key counts; it has no space after the #.
             if (!line.empty() && line[0] == '#') line.erase(0, 1);
             if (!line.empty() && line[0] == '[') table = line.substr(0, line.find_last_of(']') + 1);
             const auto equals = line.find(" = ");
@@ -222,7 +224,8 @@
     for (const Table& each : schema.tables()) {
         const std::string header = each.kind == Kind::many ? "[[" + each.name + "]]" : "[" + each.name + "]";
         for (const Setting& setting : each.settings) {
-            EXPECT_NE(shown[header].find("| `" + setting.name + "` | "), std::string::npos) << setting.text();
+            EXPECT_NE(sections[header].find("| `" + setting.name + "` | "), std::string::npos)
+                << setting.text();
             EXPECT_TRUE(in_examples.count(header + setting.name)) << "in no example: " << setting.text();
             known.insert(header + setting.name);
         }
--- a/tests/settings/reader_test.cpp
+++ b/tests/settings/reader_test.cpp
@@ -1,4 +1,4 @@
-// One file to values or to all of its faults, with every type of setting.
+// Reads files into values or into all of their faults, with every type of setting.
 #include "settings/reader.h"
 
 #include <sys/stat.h>
@@ -13,7 +13,7 @@
 using namespace std::chrono_literals;
 using namespace samples;
 
-TEST(Reader, NothingGivesTheDefaults) {
+TEST(Reader, AnEmptyFileGivesTheDefaults) {
     const Values values = read("", schema());
     EXPECT_TRUE(values.get(on));
     EXPECT_EQ(values.get(least), 1);
@@ -62,14 +62,14 @@
     EXPECT_EQ(values.count_given(), 11u);
 }
 
-TEST(Reader, OtherWaysToWriteATable) {
+TEST(Reader, AcceptsEveryTomlFormOfATable) {
     EXPECT_EQ(read("all.pause = \"1s\"\nall.least = 2", schema()).get(pause), 1s);
     EXPECT_EQ(read("all = { pause = \"1s\" }", schema()).get(pause), 1s);
     EXPECT_EQ(read("\xef\xbb\xbf[all]\r\npause = \"1s\"\r\n", schema()).get(pause), 1s);
 }
 
-// Each line of the table: a line of a file below [all], and the fault at 2:COLUMN that it must bring.
-TEST(Reader, EveryWrongValueHasItsFaultAndMend) {
+// Each entry has a line below [all] and the fault that it must give, which starts with the column.
+TEST(Reader, EveryInvalidValueGivesItsFaultAndRemedy) {
     const std::string span = "wanted a duration such as \"250ms\", found ";
     const std::pair<std::string, std::string> wrong[] = {
         {"on = 1", "6: wanted true or false, found a whole number (all.on); write true"},
@@ -107,7 +107,7 @@
         {"label = 5", "9: wanted a text, found a whole number (all.label); write it in quotes"},
         {"label = \"\"", "9: the text is empty (all.label)"},
         {"label = \"123456\"", "9: the text has 6 bytes, out of range 1..5 bytes (all.label)"},
-        {"label = \"a\\u001b\"", "9: the text holds a control character (all.label); leave it out"},
+        {"label = \"a\\u001b\"", "9: the text contains a control character (all.label); leave it out"},
         {"colour = \"gren\"",
          "10: \"gren\" is not \"red\", \"green\" or \"dark_blue\" (all.colour); write \"green\""},
         {"colour = \"Xyzzy\"", "10: \"Xyzzy\" is not \"red\", \"green\" or \"dark_blue\" (all.colour)"},
@@ -117,20 +117,19 @@
         {"peer = \"::1:80\"", "8: \"::1:80\" is not HOST:PORT (all.peer); write \"[::1]:80\""},
         {"peer = 80", "8: wanted an address HOST:PORT, found a whole number (all.peer)"},
         {"file = \"\"", "8: the text is empty (all.file)"},
-        {"file = \"a\\u0000b\"", "8: the text holds a control character (all.file); leave it out"},
+        {"file = \"a\\u0000b\"", "8: the text contains a control character (all.file); leave it out"},
         {"file = false", "8: wanted a path, found true or false (all.file)"},
         {"names = \"x\"", "9: wanted a list of texts, found a text (all.names); write it as [\"x\"]"},
         {"names = []", "9: 0 entries are out of range 1..3 entries (all.names)"},
         {"names = [\"a\",\"b\",\"c\",\"d\"]", "9: 4 entries are out of range 1..3 entries (all.names)"},
         {"names = [\"a\",1]", "9: entry 2 is a whole number, wanted a text (all.names)"},
         {"names = [\"a\",\"\"]", "9: entry 2 is empty (all.names)"},
-        {"names = [\"a\",\"a\"]", "9: \"a\" is there twice (all.names); leave one of them out"},
+        {"names = [\"a\",\"a\"]", "9: \"a\" is listed twice (all.names); remove one of them"},
         {"limit = \"25h\"", "9: \"25h\" is out of range 0s..24h (all.limit); write at most \"24h\""},
         {"paus = \"1s\"", "1: unknown key (all.paus); did you mean pause?"},
         {"PAUSE = \"1s\"", "1: unknown key (all.pause); did you mean pause?"},
         {"server = \"a:1\"", "1: unknown key (all.server); it belongs below [store]"},
-        {"wholly_else = 1",
-         "1: unknown key (all.wholly_else); `flaxdoor settings` lists the keys that there are"},
+        {"wholly_else = 1", "1: unknown key (all.wholly_else); `flaxdoor settings` lists all keys"},
         {"[all.pause]", "1: " + span + "a table (all.pause)"},
         {"least = 11", "1: least must not exceed most (all.least); raise most"},
         {"most = 0", "1: least must not exceed most (all.most); raise most"}};
@@ -142,19 +141,18 @@
     }
 }
 
-TEST(Reader, AllFaultsAtOnceInTheOrderOfTheFile) {
+TEST(Reader, ReportsAllFaultsInTheOrderOfTheFile) {
     EXPECT_EQ(
         faults_of("zone = 1\n[all]\nroom = 1\n  least = 200\nmost = 5\n[al]\nx = 1\n[store]\n", schema()),
-        "F:1:1: unknown key outside of any table (zone); `flaxdoor settings` lists the tables that there "
-        "are\n"
+        "F:1:1: unknown key outside of any table (zone); `flaxdoor settings` lists all tables\n"
         "F:3:8: wanted a size such as \"64KiB\", found a whole number (all.room); write \"1MiB\"\n"
         "F:4:11: 200 is out of range -5..100 (all.least); write at most 100\n"
         "F:6:2: unknown table (al); did you mean [all]?\n"
-        "F:8:2: [store] lacks server (store.server); it has no default; give it\n");
+        "F:8:2: [store] lacks server (store.server); it has no default and must be set\n");
 }
 
-// A check between keys that are at fault already would only repeat the first fault in other words.
-TEST(Reader, ChecksWaitForTheirKeys) {
+// A check between keys is skipped if one of the keys is invalid, because it would only repeat that fault.
+TEST(Reader, SkipsChecksOfInvalidKeys) {
     EXPECT_EQ(faults_of("[all]\nleast = 50\nmost = \"40\"\n", schema()),
               "F:3:8: wanted a whole number, found a text (all.most); write it without quotes\n");
     EXPECT_EQ(faults_of("[all]\nmost = 40\nleast = 50\n", schema()),
@@ -176,12 +174,12 @@
               "F:1:1: unknown key outside of any table (pause); it belongs below [all]\n");
 }
 
-TEST(Reader, WhatIsNoTomlStopsAtTheFirstFaultAndSaysSo) {
-    const std::string stop = "reading stopped there: what comes after it is not checked yet\n";
+TEST(Reader, SyntaxErrorsStopReadingAtTheFirstFault) {
+    const std::string stop = "reading stopped there: what follows is not checked yet\n";
     EXPECT_EQ(faults_of("[all]\nleast = 1\nleast = 2\n", schema()),
               "F:3:9: not TOML: Error while parsing key-value pair: cannot redefine existing integer "
-              "'least'; leave "
-              "one of the two out; " +
+              "'least'; remove "
+              "one of the two; " +
                   stop);
     for (const char* text : {"[all]\n[all]\n", "[all]\npause = 10s\n", "[all\n", "[all]\npause = \"1s\n", "=",
                              "a", "[all]\nlabel = \"\xff\"\n", "[all]\nlabel = \"\xc0\x80\"\n", "\xfe\xff"}) {
@@ -193,8 +191,8 @@
     EXPECT_EQ(faults_of("[all]\nlabel = \"\xff\"\n", schema()).substr(0, 6), "F:2:9:");
 }
 
-// Letters from U+00A0 on where only a value, a key or white space may stand: the parser of TOML looks whether
-// they are white space.
+// Letters from U+00A0 on where only a value, a key or white space is allowed. The TOML parser tests whether
+// such a letter is white space, which is undefined behaviour in toml++ without the workaround in reader.cpp.
 TEST(Reader, LettersOutsideQuotes) {
     const std::pair<const char*, const char*> outside[] = {{"\xc3\xa9 = 1", "F:1:1:"},
                                                            {"[\xc3\xa9]", "F:1:2:"},
@@ -210,10 +208,10 @@
     }
     EXPECT_EQ(read("[all]\nlabel = \"\"\"a\\\n  \xc3\xa9\"\"\"", schema()).get(label), "a\xc3\xa9");
     EXPECT_EQ(faults_of("[all]\n'l\xc3\xa9' = 1", schema()),
-              "F:2:1: unknown key (all.\"l\xc3\xa9\"); `flaxdoor settings` lists the keys that there are\n");
+              "F:2:1: unknown key (all.\"l\xc3\xa9\"); `flaxdoor settings` lists all keys\n");
 }
 
-TEST(Reader, KeysHaveFewParts) {
+TEST(Reader, PartsOfKeysAreBounded) {
     EXPECT_EQ(faults_of("[all]\n'a'.b.\"c.d.e\" . d.e.f.g.h.i = 1", schema()).substr(0, 7), "F:2:26:");
     std::string deep = "a";
     for (int i = 0; i < 500000; ++i) deep += ".a";
@@ -221,13 +219,13 @@
                                     "x = [ # a.b\n'''\n''', \"\"\"a\\\"\"\"\"\", { " + deep + " = 1 }]"}) {
         EXPECT_NE(faults_of(text, schema()).find("a key of more than 8 parts"), std::string::npos);
     }
-    // Points in texts and comments are none in keys.
-    const std::string points(20, '.');
-    EXPECT_EQ(faults_of("[all] # " + points + "\nfile = \"" + points + "\\\"" + points + "\"\nlabel='.....'",
-                        schema()),
-              "");
-    EXPECT_EQ(faults_of("[all]\nfile = \"\"\"" + points + "\"" + points + "\"\"\"\"\"", schema()), "");
-    EXPECT_EQ(faults_of("[all]\nfile = '''" + points + "'" + points + "''' # '" + points, schema()), "");
+    // Dots in texts and comments do not count.
+    const std::string dots(20, '.');
+    EXPECT_EQ(
+        faults_of("[all] # " + dots + "\nfile = \"" + dots + "\\\"" + dots + "\"\nlabel='.....'", schema()),
+        "");
+    EXPECT_EQ(faults_of("[all]\nfile = \"\"\"" + dots + "\"" + dots + "\"\"\"\"\"", schema()), "");
+    EXPECT_EQ(faults_of("[all]\nfile = '''" + dots + "'" + dots + "''' # '" + dots, schema()), "");
 }
 
 TEST(Reader, NestingIsBounded) {
@@ -240,16 +238,17 @@
 
 TEST(Reader, FilesAreBounded) {
     std::string text = "# \n";
-    text.resize(file_most - 1, '#');
+    text.resize(max_file_bytes - 1, '#');
     text += "\n";
     EXPECT_EQ(faults_of(text, schema()), "");
     EXPECT_EQ(faults_of(text + "\n", schema()),
               "F: larger than 1 MiB; settings of this size are a mistake\n");
 }
 
-TEST(Reader, AHundredFaultsAreToldTheFirstInTheFile) {
+TEST(Reader, ReportsTheFirstHundredFaultsOfTheFile) {
     std::string text = "[all]\n";
-    // In the file's order their names go down, so that a table sorted by name has the last first.
+    // The names descend in the order of the file, so that the order by name differs from the order by
+    // position.
     for (int i = 250; i > 0; --i) text += "odd_" + std::to_string(1000 + i) + " = 1\n";
     const std::string faults = faults_of(text, schema());
     EXPECT_EQ(std::count(faults.begin(), faults.end(), '\n'), 101);
@@ -258,17 +257,17 @@
     EXPECT_EQ(faults.substr(faults.size() - 17), "\nF: and 150 more\n") << faults;
 }
 
-TEST(Reader, AsManyFaultsAsAFileCanHold) {
+TEST(Reader, CountsAllFaultsOfTheLargestFile) {
     std::string text;
-    for (int i = 0; text.size() < file_most - 20; ++i) text += "k" + std::to_string(i) + "=1\n";
+    for (int i = 0; text.size() < max_file_bytes - 20; ++i) text += "k" + std::to_string(i) + "=1\n";
     const Reading reading = read_text(text, schema());
     const Faults& faults = std::get<Faults>(reading);
     EXPECT_EQ(faults.first().size(), 100u);
     EXPECT_EQ(faults.more() + 100, static_cast<std::size_t>(std::count(text.begin(), text.end(), '\n')));
 }
 
-// A fault is one line, whatever the file has in its keys and values.
-TEST(Reader, NothingOfTheFileBreaksOutOfItsLine) {
+// A fault is one line without control characters, whatever keys and values the file has.
+TEST(Reader, EscapesControlCharactersInFaults) {
     for (const char* text : {"[all]\n\"a\\nb\\u001b[31m\" = 1", "[\"x\\ny\"]\n",
                              "[all]\ncolour = \"\"\"a\nb\"\"\"", "[all]\npause = \"\\u009b1m\""}) {
         const std::string faults = faults_of(text, schema());
@@ -289,7 +288,7 @@
     const std::string fifo = folder / "fifo", big = folder / "big", fine = folder / "fine",
                       link = folder / "link";
     ASSERT_EQ(::mkfifo(fifo.c_str(), 0600), 0);
-    std::ofstream(big) << std::string(file_most + 1, '\n');
+    std::ofstream(big) << std::string(max_file_bytes + 1, '\n');
     std::ofstream(fine) << "[all]\nleast = 3\n";
     std::filesystem::create_symlink(fine, link);
     EXPECT_EQ(line(folder / "none"), "F: cannot be read: No such file or directory\n");
@@ -301,11 +300,11 @@
     std::filesystem::remove_all(folder);
 }
 
-TEST(Reader, AskingForWhatIsNotThereIsAFaultOfTheProgram) {
-    static constexpr Key<bool> stranger{
+TEST(Reader, ReadingAnUnknownOrUnsetKeyThrows) {
+    static constexpr Key<bool> unlisted{
         {.table = "all", .name = "stranger", .fallback = true, .meaning = "Not listed."}};
     const Values values(schema());
-    EXPECT_THROW((void)values.get(stranger), std::logic_error);
+    EXPECT_THROW((void)values.get(unlisted), std::logic_error);
     EXPECT_THROW((void)values.get(server), std::logic_error);  // [store] was not given
     EXPECT_THROW((void)values.row("all").get(links), std::logic_error);
     EXPECT_THROW((void)values.rows("all"), std::logic_error);
@@ -313,7 +312,7 @@
     EXPECT_THROW((void)values.given("none"), std::logic_error);
 }
 
-TEST(Reader, ListsThatContradictThemselvesAreTurnedDown) {
+TEST(Reader, ContradictorySchemasThrow) {
     const Table all{.name = "all", .meaning = "It.", .settings = {on}};
     EXPECT_NO_THROW(Schema({all}));
     EXPECT_THROW(Schema({all, all}), std::logic_error);
@@ -326,15 +325,15 @@
     EXPECT_THROW(Schema(std::vector<Table>{{.name = "All", .meaning = "It."}}), std::logic_error);
     EXPECT_THROW(
         Schema(std::vector<Table>{
-            {.name = "all", .meaning = "It.", .settings = {on}, .checks = {{{"of"}, "", in_order}}}}),
+            {.name = "all", .meaning = "It.", .settings = {on}, .checks = {{{"of"}, "", check_order}}}}),
         std::logic_error);
     Table route{.name = "route", .kind = Kind::many, .meaning = "It.", .settings = {name, share}};
     for (const char* unique : {"", "share", "none"}) {
         route.unique = unique;
         EXPECT_THROW(Schema({route}), std::logic_error) << unique;
     }
-    EXPECT_THROW(Schema({all}, {{{"all.of"}, "", shares_fit}}), std::logic_error);
-    EXPECT_THROW(Schema({all}, {{{"all"}, "", shares_fit}}), std::logic_error);
+    EXPECT_THROW(Schema({all}, {{{"all.of"}, "", check_shares}}), std::logic_error);
+    EXPECT_THROW(Schema({all}, {{{"all"}, "", check_shares}}), std::logic_error);
 }
 
 }  // namespace
--- a/tests/settings/reload_test.cpp
+++ b/tests/settings/reload_test.cpp
@@ -1,4 +1,4 @@
-// What a new file changes under way, and what it leaves for a restart.
+// Which changes of a settings file are applied at a reload, and which wait for a restart.
 #include "settings/reload.h"
 
 #include "samples.h"
@@ -20,49 +20,50 @@
 
 struct Case {
     const char* name;
-    Takes presence;           // when rows and optional tables come and go
-    std::string was, wanted;  // files
-    std::string taken, held;  // changes
-    std::string left;         // a file that says what holds afterwards
+    Takes presence;                 // when rows and optional tables are added or removed
+    std::string was, wanted;        // files
+    std::string applied, deferred;  // changes
+    std::string result;             // a file with the values in effect after the reload
 };
 
 const Case cases[] = {
-    {"TheSameWrittenOtherwise", Takes::reload, "[all]\npause = \"1s\"\n",
+    {"EqualValuesInOtherSpelling", Takes::reload, "[all]\npause = \"1s\"\n",
      "all = {pause = \"1000ms\", least = 1}\n", "", "", "[all]\npause = \"1s\"\n"},
-    {"WhatNeedsARestartStays", Takes::reload, "[all]\nleast = 2\nmost = 20\n",
+    {"RestartSettingsKeepTheirValues", Takes::reload, "[all]\nleast = 2\nmost = 20\n",
      "[all]\nleast = 3\nmost = 30\npause = \"1s\"\nlimit = \"9s\"\n",
      "all.most: 20 to 30\nall.pause: \"3s\" to \"1s\"\n", "all.least: 2 to 3\nall.limit: now \"9s\"\n",
      "[all]\nleast = 2\nmost = 30\npause = \"1s\"\n"},
-    {"RowsAreToldApartByTheirNames", Takes::reload, a + "share = 1\nprefix = \"/a\"\n" + b,
+    {"RowsAreMatchedByName", Takes::reload, a + "share = 1\nprefix = \"/a\"\n" + b,
      c + a + "share = 5\nprefix = \"/x\"\n",
      "route[\"c\"]: now a new row\nroute[\"a\"].share: 1 to 5\nroute[\"b\"]: no longer a row\n",
      "route[\"a\"].prefix: \"/a\" to \"/x\"\n", c + a + "share = 5\nprefix = \"/a\"\n"},
-    {"RowsThatTakeARestartNeitherComeNorGo", Takes::restart, a + b, c + b + "share = 7\n",
+    {"RestartRowsAreNeitherAddedNorRemoved", Takes::restart, a + b, c + b + "share = 7\n",
      "route[\"b\"].share: 1 to 7\n", "route[\"c\"]: now a new row\nroute[\"a\"]: no longer a row\n",
      b + "share = 7\n" + a},
-    {"ASubsystemIsTurnedOnWithItsValues", Takes::reload, "", store, "store: now given\n", "", store},
-    {"ASubsystemIsTurnedOff", Takes::reload, store, "", "store: no longer given\n", "", ""},
-    {"ASubsystemThatStaysOff", Takes::restart, "", store, "", "store: now given\n", ""},
-    {"ASubsystemThatStaysOn", Takes::restart, store, "", "", "store: no longer given\n", store},
+    {"AnOptionalTableIsAddedWithItsValues", Takes::reload, "", store, "store: now given\n", "", store},
+    {"AnOptionalTableIsRemoved", Takes::reload, store, "", "store: no longer given\n", "", ""},
+    {"ARestartTableIsNotAdded", Takes::restart, "", store, "", "store: now given\n", ""},
+    {"ARestartTableIsNotRemoved", Takes::restart, store, "", "", "store: no longer given\n", store},
 };
 
 void PrintTo(const Case& its, std::ostream* out) { *out << its.name; }
 
 class Reloads : public testing::TestWithParam<Case> {};
 
-TEST_P(Reloads, TakesSomeAndHoldsTheRest) {
+TEST_P(Reloads, AppliesReloadableChangesAndDefersTheRest) {
     const Case& its = GetParam();
     const Schema schema = samples::schema(its.presence);
     const Values wanted = read(its.wanted, schema);
     const auto result = reload(read(its.was, schema), wanted);
     ASSERT_TRUE(std::holds_alternative<Reload>(result)) << std::get<Faults>(result).text("it");
     const Reload& made = std::get<Reload>(result);
-    EXPECT_EQ(lines(made.taken), its.taken);
-    EXPECT_EQ(lines(made.held), its.held);
-    EXPECT_EQ(lines(changes(made.values, read(its.left, schema))), "");
-    EXPECT_EQ(lines(changes(made.values, wanted)), its.held) << "it is still wanted at the next reload";
-    // Rows are in the order that `left` has them in.
-    const auto rows = read(its.left, schema).rows("route");
+    EXPECT_EQ(lines(made.taken), its.applied);
+    EXPECT_EQ(lines(made.held), its.deferred);
+    EXPECT_EQ(lines(changes(made.values, read(its.result, schema))), "");
+    EXPECT_EQ(lines(changes(made.values, wanted)), its.deferred)
+        << "the next reload must find these changes again";
+    // The rows have the order of `result`.
+    const auto rows = read(its.result, schema).rows("route");
     ASSERT_EQ(made.values.rows("route").size(), rows.size());
     for (std::size_t i = 0; i < rows.size(); ++i)
         EXPECT_EQ(made.values.rows("route")[i].label(), rows[i].label());
@@ -71,8 +72,8 @@
 INSTANTIATE_TEST_SUITE_P(Reload, Reloads, testing::ValuesIn(cases),
                          [](const auto& info) { return std::string(info.param.name); });
 
-// Each file is right in itself, but least stays at 50 until a restart, and most would go below it.
-TEST(Reload, ValuesThatDoNotGoWithThoseThatStay) {
+// Each file is valid by itself, but `least` stays at 50 until a restart and `most` would be lower.
+TEST(Reload, RejectsValuesThatContradictDeferredOnes) {
     const auto result =
         reload(read("[all]\nleast = 50\nmost = 60\n", schema()), read("[all]\nmost = 10\n", schema()));
     ASSERT_TRUE(std::holds_alternative<Faults>(result));
@@ -80,8 +81,8 @@
               "F:2:1: least must not exceed most (all.most); raise most\n");
 }
 
-// The values outlive the schema objects that they were read with.
-TEST(Reload, ValuesOfTwoSchemasOfTheSameList) {
+// The values outlive the Schema objects that they were read with.
+TEST(Reload, AcceptsValuesOfTwoEqualSchemas) {
     std::optional<Values> was = read(a, schema(Takes::restart));
     std::optional<Values> wanted = read("", schema(Takes::restart));
     const auto result = reload(*was, *wanted);
--- a/tests/settings/rows_test.cpp
+++ b/tests/settings/rows_test.cpp
@@ -1,4 +1,4 @@
-// Tables with rows, and tables that turn a subsystem on.
+// Tables with rows, and optional tables, which enable a subsystem.
 #include "samples.h"
 
 namespace flaxdoor::settings {
@@ -22,38 +22,38 @@
     EXPECT_EQ(read("route = [{name = \"x\"}]", schema()).rows("route").front().label(), "x");
 }
 
-struct Wrong {
+struct InvalidRows {
     const char* what;
     std::string text, faults;
 };
 
-TEST(Rows, WhatIsWrongWithThem) {
+TEST(Rows, RejectsInvalidRows) {
     const std::string four =
         "[[route]]\nname = \"a\"\n[[route]]\nname = \"b\"\n[[route]]\nname = \"c\"\n[[route]]\nname = "
         "\"d\"\n";
     const std::string shares = "[[route]]\nname = \"a\"\nshare = 1001\n";
-    const Wrong all[] = {
-        {"no name, and one's name again",
+    const InvalidRows all[] = {
+        {"a missing name and a duplicate name",
          "[[route]]\nname = \"a\"\n[[route]]\nshare = 2\n[[route]]\n  name = \"a\"\n",
-         "F:3:1: [[route]] lacks name (route.name); it has no default; give it\n"
+         "F:3:1: [[route]] lacks name (route.name); it has no default and must be set\n"
          "F:6:10: \"a\" is already in line 2 (route.name); each [[route]] needs its own\n"},
-        {"one table", "[route]\nname = \"a\"",
+        {"a single table", "[route]\nname = \"a\"",
          "F:1:2: wanted [[route]], found a table (route); write [[route]]\n"},
         {"a number", "route = 1",
          "F:1:1: wanted [[route]], found a whole number (route); its keys go below a line [[route]]\n"},
-        {"a list with a number and a slip", "route = [1, {name = \"a\", shar = 2}]",
+        {"a list with a number and a misspelled key", "route = [1, {name = \"a\", shar = 2}]",
          "F:1:10: wanted [[route]], found a whole number (route); its keys go below a line [[route]]\n"
          "F:1:26: unknown key (route.shar); did you mean share?\n"},
-        {"as many as there may be", four, ""},
-        {"more than that", four + "[[route]]\nname = \"x\"\n[[route]]\nname = \"y\"\n",
+        {"the greatest number of rows", four, ""},
+        {"too many rows", four + "[[route]]\nname = \"x\"\n[[route]]\nname = \"y\"\n",
          "F:9:1: more than 4 rows (route)\n"},
-        {"a check between tables blames the first key that is given", shares,
+        {"a check between tables reports the first key that is set", shares,
          "F:3:1: the shares exceed a hundred times all.most (route.share); lower a share\n"},
-        {"that check with the other table", shares + "[all]\nmost = 20\n", ""},
-        {"and with a fault there", shares + "[all]\nmost = 200\n",
+        {"the same check satisfied by the other table", shares + "[all]\nmost = 20\n", ""},
+        {"the same check with a fault in the other table", shares + "[all]\nmost = 200\n",
          "F:5:8: 200 is out of range -5..100 (all.most); write at most 100\n"},
     };
-    for (const Wrong& each : all) EXPECT_EQ(faults_of(each.text, schema()), each.faults) << each.what;
+    for (const InvalidRows& each : all) EXPECT_EQ(faults_of(each.text, schema()), each.faults) << each.what;
 }
 
 TEST(Rows, AnOptionalTableIsOffUnlessGiven) {
--- a/tests/settings/samples.h
+++ b/tests/settings/samples.h
@@ -1,4 +1,5 @@
-// A schema with every type and every kind of table, apart from the product's, and helpers for the tests.
+// A schema with every type of setting and every kind of table, independent of the product's schema, and test
+// helpers.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -71,12 +72,12 @@
 inline constexpr Key<Path> prefix{
     {.table = "route", .name = "prefix", .fallback = "/", .meaning = "Its path."}};
 
-inline std::optional<Objection> in_order(const Row& row) {
+inline std::optional<Objection> check_order(const Row& row) {
     if (row.get(least) <= row.get(most)) return std::nullopt;
     return Objection{"least must not exceed most", "raise most"};
 }
 
-inline std::optional<Objection> shares_fit(const Values& values) {
+inline std::optional<Objection> check_shares(const Values& values) {
     std::int64_t sum = 0;
     for (const Row& row : values.rows("route")) sum += row.get(share);
     if (sum <= 100 * values.get(most)) return std::nullopt;
@@ -87,7 +88,7 @@
     Table all{.name = "all",
               .meaning = "Every type.",
               .settings = {on, least, most, ratio, pause, room, label, colour, peer, file, names, limit},
-              .checks = {{{"least", "most"}, "`least` must not exceed `most`.", in_order}}};
+              .checks = {{{"least", "most"}, "`least` must not exceed `most`.", check_order}}};
     Table store{.name = "store",
                 .kind = Kind::optional,
                 .meaning = "May be off.",
@@ -100,7 +101,7 @@
                 .presence_takes = presence,
                 .unique = "name",
                 .most_rows = 4};
-    return Schema({all, store, route}, {{{"route.share", "all.most"}, "Shares fit.", shares_fit}});
+    return Schema({all, store, route}, {{{"route.share", "all.most"}, "Shares fit.", check_shares}});
 }
 
 inline Values read(const std::string& text, const Schema& schema) {
@@ -112,7 +113,7 @@
     return std::get<Values>(std::move(reading));
 }
 
-// All faults as lines, with "F" for the file; empty when the text is accepted.
+// Returns all faults as lines, with "F" as the file name; empty if the text is accepted.
 inline std::string faults_of(const std::string& text, const Schema& schema) {
     const Reading reading = read_text(text, schema);
     const auto* faults = std::get_if<Faults>(&reading);
