--- a/src/settings/values.h
+++ b/src/settings/values.h
@@ -40,7 +40,7 @@
         std::optional<Value> value;  // empty if the setting has neither a value in the file nor a default
         bool given = false;          // whether the file sets the key
         Position key, place;         // positions of the key and of its value in the file
-        bool faulty = false;         // whether the value in the file is invalid
+        bool faulty = false;         // whether the value is invalid, or required and missing
     };
     const std::vector<Slot>& slots() const { return slots_; }
     std::vector<Slot>& slots() { return slots_; }
--- a/src/sides/gateway.cpp
+++ b/src/sides/gateway.cpp
@@ -21,8 +21,9 @@
 namespace keys = settings::gateway;
 using settings::Row;
 
-constexpr std::uint16_t file_routes_port =
-    80;  // nominal port of the single listener of the [[route]] rows; the real one is set in `moved`
+// Port number under which the routes of the file have their single listener. RuntimeOptions::moved maps it
+// to the port of `gateway.listen`.
+constexpr std::uint16_t file_routes_port = 80;
 
 std::string trim(std::string text) {
     while (!text.empty() && text.front() == ' ') text.erase(text.begin());
--- a/src/sides/postgres.cpp
+++ b/src/sides/postgres.cpp
@@ -161,8 +161,7 @@
         settings.retry_after = true;
         settings.max_retry_after = std::chrono::minutes(1);
         settings.may_cancel = true;
-        // The operator sets how many connections a server accepts, so the concurrency limit need not be
-        // learned.
+        // The operator states how many connections a server accepts at once.
         settings.fair_share = static_cast<double>(row.get(keys::pool_size));
         ClassSettings unit;
         unit.name = "unsafe";
