--- a/src/coordinator/agent.cpp
+++ b/src/coordinator/agent.cpp
@@ -120,9 +120,9 @@
         if (!result) return;
         using Kind = http::ClientResult::Kind;
         // Closed between two requests: the next one makes another.
-        if (result->kind == Kind::unasked) return drop();
+        if (result->kind == Kind::unsolicited) return drop();
         if (result->kind != Kind::answered)
-            return end(result->kind == Kind::spoilt ? "no answer: " + result->why : "the connection broke");
+            return end(result->kind == Kind::malformed ? "no answer: " + result->why : "the connection broke");
         patience_.cancel();
         if (!result->reusable) drop();
         if (result->answer.status != 200) {
--- a/src/http/back.cpp
+++ b/src/http/back.cpp
@@ -22,10 +22,12 @@
 
 namespace {
 
-constexpr double idle_share = 0.9;  // of the told idle limit, after which a kept connection is closed here
-constexpr std::size_t read_most = 64 * 1024;
-// A server that has spoken unasked is in doubt for so long (BackOptions::rest).
-constexpr Micros doubted_for = std::chrono::seconds(10);
+// Fraction of the upstream's idle limit (BackOptions::idle) after which the pool closes an idle connection, so that the
+// upstream does not close it while a request is on its way.
+constexpr double idle_limit_fraction = 0.9;
+constexpr std::size_t read_buffer_bytes = 64 * 1024;
+// Time for which an upstream is in doubt after it sent unsolicited bytes (BackOptions::rest).
+constexpr Micros in_doubt_duration = std::chrono::seconds(10);
 
 }  // namespace
 
@@ -48,7 +50,7 @@
         upstream.takes_work = takes_work;
         if (upstream.address == address) return;
         upstream.address = address;
-        close_idle(id);  // they lead to where it was
+        close_idle(id);  // these connections lead to the previous address
     }
 
     void remove_upstream(UpstreamId id) {
@@ -61,28 +63,28 @@
         if (found == upstreams_.end()) return;
         const auto idle = std::move(found->second.idle);
         found->second.idle.clear();
-        for (const auto& link : idle) link->close();
+        for (const auto& connection : idle) connection->close();
     }
 
     void send(core::Attempt attempt) {
         const auto found = upstreams_.find(attempt.upstream);
         if (found == upstreams_.end()) return report_unsent(attempt.key, false);
-        if (const Link link = take_idle(found->second)) {
-            attempts_.emplace(attempt.key, link);
-            return link->reuse(attempt);
+        if (const ConnectionPtr connection = take_idle(found->second)) {
+            attempts_.emplace(attempt.key, connection);
+            return connection->reuse(attempt);
         }
-        if (!make_room()) return report_unsent(attempt.key, true);
-        const auto link = std::make_shared<Connection>(*this, attempt.upstream, found->second.address);
-        attempts_.emplace(attempt.key, link);
-        link->connect(attempt);
+        if (!ensure_capacity()) return report_unsent(attempt.key, true);
+        const auto connection = std::make_shared<Connection>(*this, attempt.upstream, found->second.address);
+        attempts_.emplace(attempt.key, connection);
+        connection->connect(attempt);
     }
 
     void cancel(core::AttemptKey key) {
-        if (const Link link = find(key)) link->cancel();
+        if (const ConnectionPtr connection = find_attempt(key)) connection->cancel();
     }
 
     void expire(core::AttemptKey key) {
-        if (const Link link = find(key)) link->expire();
+        if (const ConnectionPtr connection = find_attempt(key)) connection->expire();
     }
 
     void set_options(BackOptions options) { options_ = std::move(options); }
@@ -95,28 +97,28 @@
 
     void stop() {
         for (auto& [id, upstream] : upstreams_) {
-            for (const auto& link : upstream.idle) link->close();
+            for (const auto& connection : upstream.idle) connection->close();
             upstream.idle.clear();
         }
         const auto attempts = std::move(attempts_);
         attempts_.clear();
-        for (const auto& [key, link] : attempts) link->close();
+        for (const auto& [key, connection] : attempts) connection->close();
     }
 
 private:
     class Connection;
-    using Link = std::shared_ptr<Connection>;
+    using ConnectionPtr = std::shared_ptr<Connection>;
     using Timers = core::Timers<std::weak_ptr<Connection>>;
 
     struct Upstream {
         tcp::endpoint address;
         bool takes_work = true;
-        std::vector<Link> idle;  // the one used last stands last
-        Time doubted_until{};    // it has spoken on a connection that carried nothing
+        std::vector<ConnectionPtr> idle;  // ordered by last use, most recent last
+        Time in_doubt_until{};            // set when it sends bytes on an idle connection
     };
 
-    // One connection, which carries one exchange at a time. Its end is always listened for, also while it is
-    // kept.
+    // One connection, which carries one exchange at a time. It always waits for readability, also while idle, so that
+    // the upstream's close is noticed.
     class Connection : public std::enable_shared_from_this<Connection> {
     public:
         Connection(Impl& owner, UpstreamId upstream, tcp::endpoint address)
@@ -131,15 +133,15 @@
         UpstreamId upstream() const { return upstream_; }
         const tcp::endpoint& address() const { return address_; }
         Time since() const { return since_; }
-        bool is_quiet() { return loop::quiet(socket_); }
+        bool has_no_unread_data() { return loop::quiet(socket_); }
 
         void connect(const core::Attempt& attempt) {
             begin(attempt);
             error_code error;
             loop::open(socket_, error);
-            if (error && owner_.give_way()) loop::open(socket_, error);
+            if (error && owner_.evict_oldest_idle()) loop::open(socket_, error);
             if (!error) socket_.non_blocking(true, error);
-            if (error) return end(Outcome::connect_failed, loop::own_want(error));
+            if (error) return end_attempt(Outcome::connect_failed, loop::own_want(error));
             error_code ignored;
             socket_.set_option(tcp::no_delay(true), ignored);
             if (owner_.options_.connect > Micros{0}) arm(since_ + owner_.options_.connect);
@@ -152,41 +154,41 @@
         void reuse(const core::Attempt& attempt) {
             disarm();
             begin(attempt);
-            say();
+            send_request();
         }
 
-        // Of one that is not quiet: what came, and its end.
-        void hear_out() {
+        // Reads the unsolicited bytes or the end of an idle connection, then closes it.
+        void read_and_close() {
             if (!closed_) read();
             close();
         }
 
-        // The connection goes with the attempt: what may still come on it belongs to no other.
-        void cancel() { end(Outcome::cancelled); }
+        // Closes the connection as well: a response that may still come on it belongs to no other attempt.
+        void cancel() { end_attempt(Outcome::cancelled); }
 
-        // Guards against an answer that is there, unread, because this program itself was late. What was
-        // never handed over whole has not run.
+        // Reads first, because the response may have arrived unread while this process was delayed. A request that was
+        // not written completely has not executed, so its attempt says nothing about the upstream.
         void expire() {
             if (connected_) read();
             if (!key_) return;
-            end(connected_ && machine_.whole() ? Outcome::timeout : Outcome::moot);
+            end_attempt(connected_ && machine_.request_written() ? Outcome::timeout : Outcome::moot);
         }
 
-        // Its own timer: a connection that was not made in time, or one that was kept long enough.
-        void time_up() {
+        // The connection's timer: the connect time-out, or the idle time-out of an idle connection.
+        void on_timer() {
             timer_.reset();
             if (closed_) return;
-            if (!key_) return owner_.forget(shared_from_this());
-            // Guards against an upstream blamed for this program's own lateness: it is connected, and that
-            // has only not been heard of yet.
-            if (!loop::writable(socket_)) end(Outcome::connect_failed);
+            if (!key_) return owner_.discard(shared_from_this());
+            // A writable socket is connected, and its completion handler has not run yet because this process was
+            // delayed. The upstream must not be blamed for that.
+            if (!loop::writable(socket_)) end_attempt(Outcome::connect_failed);
         }
 
-        void rest() {
+        void become_idle() {
             since_ = owner_.clock_.now();
             if (owner_.options_.idle <= Micros{0}) return;
-            const auto trusted = static_cast<double>(owner_.options_.idle.count()) * idle_share;
-            arm(since_ + Micros(std::llround(trusted)));
+            const auto idle_limit = static_cast<double>(owner_.options_.idle.count()) * idle_limit_fraction;
+            arm(since_ + Micros(std::llround(idle_limit)));
         }
 
         void close() {
@@ -207,9 +209,9 @@
             payload_ = std::static_pointer_cast<RequestPayload>(attempt.payload);
         }
 
-        // The time left is told as it is now: the connection may have taken long to come up. Said anew with each
-        // attempt, in the one message that all of them share.
-        void say() {
+        // Sends the request with the time that is left now: establishing the connection may have taken long. Each
+        // attempt updates the message, which all attempts of the request share.
+        void send_request() {
             Request& message = payload_->message;
             set_budget(message, expires_ - owner_.clock_.now());
             (void)machine_.begin(to_bytes(message), message.method == "HEAD");
@@ -219,36 +221,36 @@
 
         void connected(const error_code& failed) {
             disarm();
-            if (failed) return end(Outcome::connect_failed, loop::own_want(failed));
-            // Guards against new work for an upstream that was told to drain while the connection came up.
+            if (failed) return end_attempt(Outcome::connect_failed, loop::own_want(failed));
+            // The upstream may have begun to drain while the connection was being established; it must get no new work.
             owner_.core_.heed_lists();
             if (closed_ || !key_) return;
-            if (!owner_.takes_work(upstream_, address_)) return end(Outcome::moot);
+            if (!owner_.takes_work(upstream_, address_)) return end_attempt(Outcome::moot);
             connected_ = true;
             await_read();
-            say();
+            send_request();
         }
 
         void write() {
-            const std::string_view out = machine_.output();
-            if (out.empty() || blocked_) return;
-            if (!owner_.core_.on_attempt_sending(*key_)) return end(Outcome::moot);
-            const loop::Written written = loop::write_some(socket_, out);
+            const std::string_view output = machine_.output();
+            if (output.empty() || write_blocked_) return;
+            if (!owner_.core_.on_attempt_sending(*key_)) return end_attempt(Outcome::moot);
+            const loop::Written written = loop::write_some(socket_, output);
             machine_.wrote(written.bytes);
-            if (written.broken) return take(machine_.reset());
-            if (written.bytes == out.size()) return;
-            blocked_ = true;
+            if (written.broken) return handle_result(machine_.reset());
+            if (written.bytes == output.size()) return;
+            write_blocked_ = true;
             socket_.async_wait(tcp::socket::wait_write, [self = shared_from_this()](error_code error) {
-                self->blocked_ = false;
+                self->write_blocked_ = false;
                 if (!error && !self->closed_ && self->key_) self->write();
             });
         }
 
         void await_read() {
-            if (reading_) return;
-            reading_ = true;
+            if (read_pending_) return;
+            read_pending_ = true;
             socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code error) {
-                self->reading_ = false;
+                self->read_pending_ = false;
                 if (error || self->closed_) return;
                 self->read();
                 if (!self->closed_) self->await_read();
@@ -256,71 +258,71 @@
         }
 
         void read() {
-            std::array<char, read_most> room;
+            std::array<char, read_buffer_bytes> buffer;
             while (!closed_) {
-                const loop::Read got = loop::read_some(socket_, room);
-                switch (got.kind) {
+                const loop::Read received = loop::read_some(socket_, buffer);
+                switch (received.kind) {
                     case loop::Read::Kind::nothing: return;
                     case loop::Read::Kind::bytes:
-                        if (!key_) owner_.doubt(upstream_);
-                        take(machine_.receive(got.bytes));
+                        if (!key_) owner_.mark_in_doubt(upstream_);
+                        handle_result(machine_.receive(received.bytes));
                         break;
-                    case loop::Read::Kind::end: return take(machine_.receive_end());
-                    case loop::Read::Kind::broken: return take(machine_.reset());
+                    case loop::Read::Kind::end: return handle_result(machine_.receive_end());
+                    case loop::Read::Kind::broken: return handle_result(machine_.reset());
                 }
-                if (got.bytes.size() < room.size()) return;
+                if (received.bytes.size() < buffer.size()) return;
             }
         }
 
-        void take(std::optional<ClientResult> result) {
+        void handle_result(std::optional<ClientResult> result) {
             if (!result) return;
             switch (result->kind) {
-                case ClientResult::Kind::answered: return answered(*result);
-                // What has come is no answer. The upstream lives, unlike after a reset.
-                case ClientResult::Kind::spoilt: return end(Outcome::error);
-                case ClientResult::Kind::never_ran: return end(Outcome::connect_failed);
-                case ClientResult::Kind::may_have_run: return end(Outcome::reset);
-                case ClientResult::Kind::unasked: return owner_.forget(shared_from_this());
+                case ClientResult::Kind::answered: return on_response(*result);
+                // The upstream is up, unlike after a reset.
+                case ClientResult::Kind::malformed: return end_attempt(Outcome::error);
+                case ClientResult::Kind::never_executed: return end_attempt(Outcome::connect_failed);
+                case ClientResult::Kind::may_have_executed: return end_attempt(Outcome::reset);
+                case ClientResult::Kind::unsolicited: return owner_.discard(shared_from_this());
             }
         }
 
-        void answered(ClientResult& result) {
+        void on_response(ClientResult& result) {
             const auto self = shared_from_this();
-            core::AttemptResult end;
-            end.key = *key_;
-            end.outcome =
+            core::AttemptResult attempt_result;
+            attempt_result.key = *key_;
+            attempt_result.outcome =
                 owner_.options_.meaning ? owner_.options_.meaning(result.answer) : outcome_of(result.answer);
-            end.whole = machine_.whole();
-            end.latency = owner_.clock_.now() - since_;
-            if (end.outcome == Outcome::ok)
-                end.latency = std::max(end.latency, owner_.options_.latency_floor);
-            end.report = report_of(result.answer, owner_.options_.report_fields);
-            if (end.outcome == Outcome::ok) {
-                end.answer = std::make_unique<ResponsePayload>(std::move(result.answer));
+            attempt_result.whole = machine_.request_written();
+            attempt_result.latency = owner_.clock_.now() - since_;
+            if (attempt_result.outcome == Outcome::ok)
+                attempt_result.latency = std::max(attempt_result.latency, owner_.options_.latency_floor);
+            attempt_result.report = report_of(result.answer, owner_.options_.report_fields);
+            if (attempt_result.outcome == Outcome::ok) {
+                attempt_result.answer = std::make_unique<ResponsePayload>(std::move(result.answer));
             } else if (payload_) {
                 payload_->error_answer = std::move(result.answer);
             }
             payload_.reset();
             key_.reset();
-            owner_.attempts_.erase(end.key);
+            owner_.attempts_.erase(attempt_result.key);
             if (result.reusable) {
-                owner_.keep(self);
+                owner_.return_to_pool(self);
             } else {
                 close();
             }
-            owner_.core_.on_attempt_end(std::move(end));
+            owner_.core_.on_attempt_end(std::move(attempt_result));
         }
 
-        void end(Outcome outcome, bool own_fault = false) {
+        void end_attempt(Outcome outcome, bool own_fault = false) {
             const auto self = shared_from_this();
             core::AttemptResult result;
             result.key = *key_;
             result.outcome = outcome;
             result.own_fault = own_fault;
-            result.whole = connected_ && machine_.whole();
+            result.whole = connected_ && machine_.request_written();
             result.latency = owner_.clock_.now() - since_;
             if (payload_ && owner_.options_.keep_errors)
-                payload_->error_answer.reset();  // of an attempt before
+                payload_->error_answer.reset();  // of an earlier attempt
             payload_.reset();
             owner_.attempts_.erase(result.key);
             close();
@@ -341,18 +343,18 @@
         const tcp::endpoint address_;
         tcp::socket socket_;
         ClientMachine machine_;
-        std::shared_ptr<RequestPayload> payload_;  // until it is said, and further where errors are kept
-        Time expires_{};                           // of the attempt
-        std::optional<core::AttemptKey> key_;      // of the attempt that it carries
+        std::shared_ptr<RequestPayload> payload_;  // until sent; with keep_errors until the attempt ends
+        Time expires_{};                           // deadline of the attempt
+        std::optional<core::AttemptKey> key_;      // of the attempt in progress; empty while idle
         std::optional<Timers::Handle> timer_;
-        Time since_{};  // when the attempt was sent, or when the connection was put by
+        Time since_{};  // start of the attempt, or of the idle time
         bool connected_ = false;
-        bool blocked_ = false;  // the socket takes no more for now
-        bool reading_ = false;
+        bool write_blocked_ = false;  // waiting for the socket to become writable
+        bool read_pending_ = false;
         bool closed_ = false;
     };
 
-    Link find(core::AttemptKey key) const {
+    ConnectionPtr find_attempt(core::AttemptKey key) const {
         const auto found = attempts_.find(key);
         return found == attempts_.end() ? nullptr : found->second;
     }
@@ -369,56 +371,59 @@
         return found != upstreams_.end() && found->second.takes_work && found->second.address == address;
     }
 
-    // Guards against a kept connection that has ended unnoticed so far: what is written to it would be a
-    // reset, and may have run.
-    Link take_idle(Upstream& upstream) {
+    // Takes a connection from the pool; null when there is none to reuse. Skips connections with unread data or an
+    // unread end: a request written to one of them may end in a reset, and may then have executed.
+    ConnectionPtr take_idle(Upstream& upstream) {
         const Time now = clock_.now();
         while (!upstream.idle.empty()) {
-            const auto young = [&](const Link& link) { return now - link->since() < options_.rest; };
-            auto chosen = std::find_if(upstream.idle.begin(), upstream.idle.end(), young);
+            const auto recently_used = [&](const ConnectionPtr& connection) {
+                return now - connection->since() < options_.rest;
+            };
+            auto chosen = std::find_if(upstream.idle.begin(), upstream.idle.end(), recently_used);
             if (chosen != upstream.idle.begin()) {
-                --chosen;  // of those that have rested, the one used last
-            } else if (now < upstream.doubted_until) {
+                --chosen;  // the most recently used of those idle for `rest`
+            } else if (now < upstream.in_doubt_until) {
                 return nullptr;
             }
-            const Link link = std::move(*chosen);
+            const ConnectionPtr connection = std::move(*chosen);
             upstream.idle.erase(chosen);
-            if (link->is_quiet()) return link;
-            link->hear_out();
+            if (connection->has_no_unread_data()) return connection;
+            connection->read_and_close();
         }
         return nullptr;
     }
 
-    void doubt(UpstreamId id) {
+    void mark_in_doubt(UpstreamId id) {
         const auto found = upstreams_.find(id);
-        if (found != upstreams_.end()) found->second.doubted_until = clock_.now() + doubted_for;
+        if (found != upstreams_.end()) found->second.in_doubt_until = clock_.now() + in_doubt_duration;
     }
 
-    // At the cap, the connection that was kept longest makes room.
-    bool make_room() { return budget_.open < budget_.most || give_way(); }
+    // Ensures that another connection may be opened; at the limit, evicts the connection idle longest.
+    bool ensure_capacity() { return budget_.open < budget_.most || evict_oldest_idle(); }
 
-    bool give_way() {
-        Link oldest;
+    bool evict_oldest_idle() {
+        ConnectionPtr oldest;
         for (const auto& [id, upstream] : upstreams_) {
             if (upstream.idle.empty()) continue;
             if (!oldest || upstream.idle.front()->since() < oldest->since()) oldest = upstream.idle.front();
         }
         if (!oldest) return false;
-        forget(oldest);
+        discard(oldest);
         return true;
     }
 
-    // Guards against connections of an upstream that has gone or moved: none may serve whoever comes after
-    // it.
-    void keep(const Link& link) {
-        const auto found = upstreams_.find(link->upstream());
-        if (found == upstreams_.end() || found->second.address != link->address()) return link->close();
-        link->rest();
-        found->second.idle.push_back(link);
+    // Returns a connection to the pool. Closes it if the upstream was removed or its address has changed: it must not
+    // serve the upstream that follows.
+    void return_to_pool(const ConnectionPtr& connection) {
+        const auto found = upstreams_.find(connection->upstream());
+        if (found == upstreams_.end() || found->second.address != connection->address())
+            return connection->close();
+        connection->become_idle();
+        found->second.idle.push_back(connection);
     }
 
-    void forget(const Link& link) {
-        const Link held = link;
+    void discard(const ConnectionPtr& connection) {
+        const ConnectionPtr held = connection;
         const auto found = upstreams_.find(held->upstream());
         if (found != upstreams_.end()) std::erase(found->second.idle, held);
         held->close();
@@ -434,7 +439,7 @@
     void run_timers() {
         const Time now = clock_.now();
         while (const auto due = timers_.take(now)) {
-            if (const Link link = due->lock()) link->time_up();
+            if (const ConnectionPtr connection = due->lock()) connection->on_timer();
         }
         if (const auto next = timers_.next()) alarm_.set(*next);
     }
@@ -445,7 +450,7 @@
     ConnectionBudget& budget_;
     BackOptions options_;
     std::unordered_map<UpstreamId, Upstream> upstreams_;
-    std::map<core::AttemptKey, Link> attempts_;
+    std::map<core::AttemptKey, ConnectionPtr> attempts_;
     Timers timers_;
     loop::Alarm alarm_;
 };
--- a/src/http/back.h
+++ b/src/http/back.h
@@ -1,11 +1,13 @@
-// The HTTP/1.1 back: kept connections to the upstreams of one pool, the attempts on them, what came of each,
-// and load reports. What comes as bytes is the machine's (client_machine.h); here are sockets and time.
+// The HTTP/1.1 connection pool of the balancer's upstream side: kept connections to the upstreams of one core pool,
+// the attempts sent on them, the results of the attempts and the load reports in their responses. ClientMachine
+// (client_machine.h) handles the bytes of one connection; this class handles sockets and timers.
 //
-// Threading: the loop's one thread.   Ownership: loop, core, clock and the budget are borrowed and outlive
-//            the back.
-// Life:      it must outlive its pool in the core; it may be destroyed any time after that.
-// Attempts:  an attempt carries one request on one connection, and a connection one request at a time. What
-//            is this program's own want (no descriptor, no port, the cap on connections) ends it as moot.
+// Threading: only the event loop's thread may call it.
+// Ownership: borrows loop, core, clock and budget, which must outlive it.
+// Lifetime:  must outlive its pool in the core; may be destroyed at any time after that.
+// Attempts:  an attempt carries one request on one connection; a connection carries one request at a time. An attempt
+//            that fails for lack of a local resource (descriptor, port, connection limit) ends as Outcome::moot, which
+//            says nothing about the upstream.
 #pragma once
 
 #include <chrono>
@@ -21,24 +23,26 @@
 
 namespace flaxdoor::http {
 
-// Connections to upstreams over all backs that share it.
+// The limit on open upstream connections, with their current number, over all connection pools that share it.
 struct ConnectionBudget {
     std::size_t most = 512;
     std::size_t open = 0;
 };
 
 struct BackOptions {
-    Micros connect{};  // a connection that is not made after this has failed; 0: no limit of its own
-    Micros idle{};     // kept connections are closed after this by the other side; 0: not told
-    std::vector<std::string> report_fields;  // of load reports, in the order of Settings::report_fields
-    // What an upstream's whole answer means; null: what it means on the platform (platform.h).
+    Micros connect{};  // connect time-out; 0: none beyond the system's
+    Micros idle{};     // time after which the upstream closes an idle connection; 0: unknown
+    // Fields to read from load reports, in the order of Settings::report_fields.
+    std::vector<std::string> report_fields;
+    // Maps a complete response to an outcome. Null: the platform's mapping, outcome_of() of platform.h.
     Outcome (*meaning)(const Response& answer) = nullptr;
-    bool keep_errors = false;  // RequestPayload::error_answer
-    Micros latency_floor{};    // answers that come sooner are told as this late: core::latency_floor()
-    std::size_t body = body_most;
-    // Nothing in HTTP/1.1 tells a late second answer from the answer to the next request: a connection that has rested
-    // for so long after its last one goes before one that has not, and of a server that spoke unasked lately no other
-    // is used again.
+    bool keep_errors = false;      // keeps the last error response in RequestPayload::error_answer
+    Micros latency_floor{};        // lower bound of the reported latency of successes: core::latency_floor()
+    std::size_t body = body_most;  // longest response body, in bytes
+    // Least idle time before a connection is preferred for reuse. HTTP/1.1 cannot tell a late duplicate response from
+    // the response to the next request, so a connection that has been idle this long is chosen before one that has
+    // not. While an upstream that recently sent unsolicited bytes is in doubt, only connections idle this long are
+    // reused.
     Micros rest = std::chrono::milliseconds(10);
 };
 
@@ -55,9 +59,11 @@
     void expire(core::AttemptKey attempt) override;
     void close_idle(UpstreamId upstream) override;
 
-    // For new connections and those put by from now on.
+    // Applies to connections made or returned to the pool from now on.
     void set_options(BackOptions options);
+    // Number of idle connections.
     std::size_t idle() const;
+    // Number of upstreams that were set and not removed.
     std::size_t known() const;
 
 private:
--- a/src/http/calls.cpp
+++ b/src/http/calls.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-// A caller that the settings do not name is as unknown as one that names none.
+// A tenant that the settings do not define is treated like a missing one.
 core::Tenant tenant_of(const ClientRequest& request) {
     if (!request.facts.tenant) return {core::Tenant::Kind::unknown, 0};
     return {core::Tenant::Kind::known, *request.facts.tenant};
@@ -44,9 +44,10 @@
 NotTaken answer_of(core::Taken taken) {
     switch (taken) {
         case core::Taken::name_open:
-            return {plain_answer(409, "a request of this X-Call-Id may still run"), true};
-        case core::Taken::unknown_tenant: return {plain_answer(403, "X-Caller names no tenant"), true};
-        case core::Taken::bad_class: return {plain_answer(400, "X-Call-Class names no class"), true};
+            return {plain_answer(409, "a request with this X-Call-Id is open or may still be executing"),
+                    true};
+        case core::Taken::unknown_tenant: return {plain_answer(403, "X-Caller names no known tenant"), true};
+        case core::Taken::bad_class: return {plain_answer(400, "X-Call-Class names no known class"), true};
         case core::Taken::yes:
         case core::Taken::no_pool:
         case core::Taken::too_many:
--- a/src/http/calls.h
+++ b/src/http/calls.h
@@ -1,5 +1,6 @@
-// A client's request as a call of the core, and the core's final answer in HTTP's words: the same for the
-// listener and for whoever serves a framework's requests. Functions without state.
+// Conversion between HTTP messages and calls of the core: from a client's request to a core::Call, and from the core's
+// final answer to the client's response. Shared by the listener and by the library's adapters for web frameworks.
+// Functions without state.
 #pragma once
 
 #include "core/core.h"
@@ -8,18 +9,19 @@
 
 namespace flaxdoor::http {
 
-// A client counts its time from its send to its receipt of the answer: what passes on both ways is unseen.
+// A client measures its deadline from its send to its receipt of the response. The balancer cannot observe the transit
+// times in both directions, so this allowance covers them.
 inline constexpr Micros client_ways = std::chrono::milliseconds(4);
 
-// `unseen`: what passes on the client's ways to and from here.
+// `unseen`: allowance for the transit times between the client and the balancer, both directions together.
 [[nodiscard]] core::Call call_of(ClientRequest request, core::PoolId pool, Micros unseen);
 
 [[nodiscard]] Response answer_of(core::Final final);
 
-// What a client is told whose request was not taken: a status that asks it to go (`last`), or a refusal.
+// The response to a request that the core did not accept.
 struct NotTaken {
     Response answer;
-    bool last = false;
+    bool last = false;  // the connection closes after it; false for a rejection that the client may retry
 };
 [[nodiscard]] NotTaken answer_of(core::Taken taken);
 
--- a/src/http/client_machine.cpp
+++ b/src/http/client_machine.cpp
@@ -23,56 +23,57 @@
     return state;
 }
 
-void ClientMachine::move(ClientSignal signal) {
+void ClientMachine::apply(ClientSignal signal) {
     state_ = after(state_, signal);
     if (state_ == ClientState::exchanging) return;
-    in_.release();
-    std::string().swap(out_);  // an assignment would keep the memory
-    out_at_ = 0;
+    input_.release();
+    std::string().swap(output_);  // an assignment would not free the memory
+    output_offset_ = 0;
     reader_.reset();
 }
 
 bool ClientMachine::begin(std::string bytes, bool head) {
     if (state_ != ClientState::idle || bytes.empty()) return false;
-    move(ClientSignal::begun);
-    out_ = std::move(bytes);
-    whole_ = false;
-    head_ = head;
-    interims_ = 0;
+    apply(ClientSignal::begun);
+    output_ = std::move(bytes);
+    request_written_ = false;
+    is_head_ = head;
+    interim_responses_ = 0;
     return true;
 }
 
 void ClientMachine::wrote(std::size_t n) {
-    out_at_ += std::min(n, out_.size() - out_at_);
-    if (out_at_ < out_.size() || out_.empty()) return;
-    whole_ = true;
-    std::string().swap(out_);  // an assignment would keep the memory
-    out_at_ = 0;
+    output_offset_ += std::min(n, output_.size() - output_offset_);
+    if (output_offset_ < output_.size() || output_.empty()) return;
+    request_written_ = true;
+    std::string().swap(output_);  // an assignment would not free the memory
+    output_offset_ = 0;
 }
 
 std::optional<ClientResult> ClientMachine::receive(std::string_view bytes) {
     using Kind = ClientResult::Kind;
     if (state_ == ClientState::over || bytes.empty()) return std::nullopt;
-    if (state_ == ClientState::idle) return end(Kind::unasked);
-    in_.append(bytes);
-    while (!in_.empty()) {
-        if (!reader_) reader_ = std::make_unique<Reader<Response>>(body_, head_);
-        const Progress progress = reader_->take(in_);
-        if (progress == Progress::bad) return end(Kind::spoilt, reader_->fault().why);
-        if (progress == Progress::more) break;
+    if (state_ == ClientState::idle) return fail(Kind::unsolicited);
+    input_.append(bytes);
+    while (!input_.empty()) {
+        if (!reader_) reader_ = std::make_unique<Reader<Response>>(max_body_bytes_, is_head_);
+        const Progress progress = reader_->parse(input_);
+        if (progress == Progress::malformed) return fail(Kind::malformed, reader_->error().why);
+        if (progress == Progress::incomplete) break;
         const int status = reader_->message().status;
         if (status >= 200) return answered();
-        // Nobody asked for another protocol: nothing that follows could be understood.
-        if (status == 101) return end(Kind::spoilt, "another protocol that nobody asked for");
-        if (++interims_ > interim_most) return end(Kind::spoilt, "too many interim answers");
+        // The balancer never requests an upgrade, so the bytes that follow cannot be interpreted.
+        if (status == 101) return fail(Kind::malformed, "unrequested switch to another protocol");
+        if (++interim_responses_ > max_interim_responses)
+            return fail(Kind::malformed, "too many interim responses");
         reader_.reset();
     }
-    in_.settle();
+    input_.shrink();
     return std::nullopt;
 }
 
 std::optional<ClientResult> ClientMachine::receive_end() {
-    if (state_ == ClientState::exchanging && reader_ && reader_->ends_here()) return answered();
+    if (state_ == ClientState::exchanging && reader_ && reader_->ends_with_connection()) return answered();
     return broken();
 }
 std::optional<ClientResult> ClientMachine::reset() { return broken(); }
@@ -80,24 +81,25 @@
 std::optional<ClientResult> ClientMachine::broken() {
     using Kind = ClientResult::Kind;
     if (state_ == ClientState::over) return std::nullopt;
-    if (state_ == ClientState::idle) return end(Kind::unasked);
-    return end(whole_ ? Kind::may_have_run : Kind::never_ran);
+    if (state_ == ClientState::idle) return fail(Kind::unsolicited);
+    return fail(request_written_ ? Kind::may_have_executed : Kind::never_executed);
 }
 
-std::optional<ClientResult> ClientMachine::end(ClientResult::Kind kind, std::string why) {
+std::optional<ClientResult> ClientMachine::fail(ClientResult::Kind kind, std::string why) {
     ClientResult result;
     result.kind = kind;
     result.why = std::move(why);
-    move(ClientSignal::failed);
+    apply(ClientSignal::failed);
     return result;
 }
 
 std::optional<ClientResult> ClientMachine::answered() {
     ClientResult result;
-    // An answer to a request that is not whole yet leaves the framing in doubt.
-    result.reusable = whole_ && reader_->keep_alive() && in_.empty() && !reader_->ends_here();
+    // After a response to a partially written request, the framing of the connection is unknown.
+    result.reusable =
+        request_written_ && reader_->keep_alive() && input_.empty() && !reader_->ends_with_connection();
     result.answer = std::move(reader_->message());
-    move(result.reusable ? ClientSignal::answered : ClientSignal::last_answered);
+    apply(result.reusable ? ClientSignal::answered : ClientSignal::last_answered);
     return result;
 }
 
--- a/src/http/front.cpp
+++ b/src/http/front.cpp
@@ -20,15 +20,17 @@
 
 namespace {
 
-constexpr auto accept_pause = std::chrono::milliseconds(20);  // after one that failed for want of descriptors
-constexpr int sweeps = 8;                                     // in the time that a request may take
-// At the cap, whoever took so long to speak or to end is closed for a new connection; and who connects to a
-// balancer that winds down has so long to speak.
-constexpr Micros room_after = std::chrono::milliseconds(100);
-constexpr std::size_t most_looked_at = 4;     // connections, when one has to give way
-constexpr std::size_t read_most = 64 * 1024;  // at once
-// A client whose further bytes wait in its socket ends behind them unseen by a read: so often it is looked for.
-constexpr auto behind_every = std::chrono::milliseconds(25);
+// Delay after an accept that failed for lack of a descriptor.
+constexpr auto accept_retry_delay = std::chrono::milliseconds(20);
+constexpr int sweeps_per_timeout = 8;  // time-out sweeps within FrontLimits::request
+// Least time in a phase before a connection may be evicted: at the connection limit, a new connection replaces one that
+// has sent nothing, or has lingered, for this long. While connections drain, a new connection has this long to send its
+// request. A connection idle for less time may have its next request in transit.
+constexpr Micros eviction_grace = std::chrono::milliseconds(100);
+constexpr std::size_t max_eviction_candidates = 4;    // connections examined for one eviction
+constexpr std::size_t read_buffer_bytes = 64 * 1024;  // bytes per read
+// Interval of the half-close check. A read does not show the end of a client whose further bytes are left in its socket.
+constexpr auto half_close_check_interval = std::chrono::milliseconds(25);
 
 }  // namespace
 
@@ -44,9 +46,9 @@
           tls_(std::move(tls)),
           intake_(intake),
           acceptor_(loop),
-          retry_(loop),
-          sweep_(loop),
-          behind_(loop) {}
+          accept_retry_timer_(loop),
+          sweep_timer_(loop),
+          half_close_timer_(loop) {}
 
     void listen(const tcp::endpoint& address) {
         error_code error;
@@ -65,12 +67,14 @@
     void begin_drain() { draining_ = true; }
 
     bool wind_down() {
-        draining_ = winding_down_ = true;
-        take_the_last();
+        draining_ = draining_connections_ = true;
+        accept_backlog();
         const Time now = clock_.now();
-        close_all(lists_[asked_idle], [](Connection& c) { return c.idle(); });
-        close_all(lists_[other_idle], [](Connection& c) { return c.idle(); });
-        close_all(lists_[fresh], [&](Connection& c) { return now - c.since() > room_after && c.idle(); });
+        close_all(lists_[idle_after_call], [](Connection& connection) { return connection.idle(); });
+        close_all(lists_[idle_without_call], [](Connection& connection) { return connection.idle(); });
+        close_all(lists_[fresh], [&](Connection& connection) {
+            return now - connection.since() > eviction_grace && connection.idle();
+        });
         return !connections_.empty() || acceptor_.is_open();
     }
 
@@ -78,38 +82,39 @@
         stopped_ = true;
         error_code ignored;
         acceptor_.close(ignored);
-        retry_.cancel();
-        sweep_.cancel();
-        behind_.cancel();
+        accept_retry_timer_.cancel();
+        sweep_timer_.cancel();
+        half_close_timer_.cancel();
         const auto held = std::move(connections_);
         connections_.clear();
         for (const auto& [connection, owned] : held) connection->close();
     }
 
     FrontFigures figures() const {
-        FrontFigures f = figures_;
-        f.connections = connections_.size();
-        f.idle = lists_[asked_idle].size() + lists_[other_idle].size();
-        return f;
+        FrontFigures figures = figures_;
+        figures.connections = connections_.size();
+        figures.idle = lists_[idle_after_call].size() + lists_[idle_without_call].size();
+        return figures;
     }
 
-    void on_started(std::uint64_t, std::unique_ptr<core::Payload>) override {}  // no class here streams
+    // Never called: HTTP responses are not streamed.
+    void on_started(std::uint64_t, std::unique_ptr<core::Payload>) override {}
 
     void on_final(std::uint64_t token, core::Final answer) override {
         connection_of(token)->shared_from_this()->on_final(std::move(answer));
     }
 
 private:
-    // Each connection stands in one list, by what it is at; the one that came there first stands first.
-    enum Kind : std::size_t {
-        fresh,       // has not brought a whole request yet
-        coming,      // a request is half here
-        asked_idle,  // between requests, has brought one for an upstream
-        other_idle,  // between requests, has not (readiness)
-        waiting,     // for its answer
-        writing,     // its answer
-        lingering,   // until the client ends too
-        kinds,
+    // The phase of a connection. Each phase has a list of its connections, ordered by their entry into the phase.
+    enum Phase : std::size_t {
+        fresh,              // no complete request received yet
+        receiving,          // receiving a request
+        idle_after_call,    // between requests, has sent a request for an upstream
+        idle_without_call,  // between requests, has sent local requests only (readiness)
+        waiting,            // for a response
+        writing,            // a response
+        lingering,          // waiting for the client to close
+        phase_count,
     };
 
     class Connection;
@@ -119,8 +124,8 @@
         return reinterpret_cast<Connection*>(static_cast<std::uintptr_t>(token));
     }
 
-    // Reads a request, waits for its answer, writes it, and again. Its end is always listened for, so that a
-    // client that goes while it waits is noticed at once.
+    // One client connection: reads a request, waits for its response, writes it, and repeats. It also waits for
+    // readability while a response is due, so that a client's disconnect is noticed at once.
     class Connection : public std::enable_shared_from_this<Connection> {
     public:
         Connection(Impl& owner, tcp::socket socket)
@@ -141,39 +146,40 @@
         }
 
         Time since() const { return since_; }
-        // Between requests, with nothing on its way here that could be told.
-        bool idle() { return machine_.between() && loop::quiet(socket_); }
+        // Whether the connection is between requests and its socket holds no unread data.
+        bool idle() { return machine_.between_requests() && loop::quiet(socket_); }
 
         void on_final(core::Final final) {
             call_.reset();
-            const bool last = owner_.winding_down_ || !owner_.within_asked();
+            const bool last = owner_.draining_connections_ || !owner_.enforce_call_slots();
             const auto asked = std::move(context_);
             const bool given = machine_.answer(owner_.handler_.on_final(std::move(final), asked.get()), last);
-            if (last) leave_asked();
-            if (given && !taking_) go_on();
+            if (last) release_call_slot();
+            if (given && !processing_) process();
         }
 
-        // A client that sends too far ahead is not read: its end does not show in a read.
-        bool unread() const { return !machine_.wants_read() && !probed_; }
-        void look_behind() {
-            if (!closed_ && call_ && loop::ended_behind(socket_)) probe();
+        // Whether reading is suspended because the client has sent too far ahead, and no probe has been sent. A read then
+        // does not show the client's end.
+        bool reading_suspended() const { return !machine_.wants_read() && !probe_sent_; }
+        void check_half_close() {
+            if (!closed_ && call_ && loop::ended_behind(socket_)) probe_client();
         }
 
-        // Guards against a request lost because this program itself was late: it is here whole, and has only
-        // not been read yet.
-        void read_what_is_here() {
+        // Reads data that has arrived. Called before a connection is closed: a complete request may be unread because
+        // this process was delayed, and must not be lost.
+        void read_arrived_data() {
             if (!closed_ && machine_.wants_read() && !loop::quiet(socket_)) read();
         }
 
-        bool stands_in(Kind kind) const { return place_ && kind_ == kind; }
-        bool overdue(Time now) {
+        bool is_in_phase(Phase phase) const { return list_position_ && phase_ == phase; }
+        bool timed_out(Time now) {
             const FrontLimits& limits = owner_.limits_;
             const Micros age = now - since_;
-            switch (kind_) {
+            switch (phase_) {
                 case fresh:
-                case coming: return age > limits.request;
-                case asked_idle:
-                case other_idle: return age > (owner_.crowded() ? limits.idle_crowded : limits.idle);
+                case receiving: return age > limits.request;
+                case idle_after_call:
+                case idle_without_call: return age > (owner_.crowded() ? limits.idle_crowded : limits.idle);
                 case writing: return age > limits.answer;
                 case lingering: return age > limits.linger;
                 default: return false;
@@ -185,91 +191,91 @@
             const auto self = shared_from_this();
             closed_ = true;
             leave_list();
-            leave_asked();
+            release_call_slot();
             error_code ignored;
             socket_.close(ignored);
             const auto call = call_;
             call_.reset();
-            owner_.closed(this);
-            if (call) owner_.leave(*call);
+            owner_.on_closed(this);
+            if (call) owner_.abandon(*call);
             context_.reset();
         }
 
     private:
-        // It will ask no more, or is no more.
-        void leave_asked() {
-            if (asked_) --owner_.asked_;
-            asked_ = false;
+        // Gives up the call slot: the connection sends no more requests, or is closed.
+        void release_call_slot() {
+            if (has_call_slot_) --owner_.call_slots_in_use_;
+            has_call_slot_ = false;
         }
 
-        void enter(Kind kind) {
+        void enter(Phase phase) {
             since_ = owner_.clock_.now();
             leave_list();
-            kind_ = kind;
-            place_ = owner_.lists_[kind].insert(owner_.lists_[kind].end(), this);
+            phase_ = phase;
+            list_position_ = owner_.lists_[phase].insert(owner_.lists_[phase].end(), this);
         }
 
         void leave_list() {
-            if (place_) owner_.lists_[kind_].erase(*place_);
-            place_.reset();
+            if (list_position_) owner_.lists_[phase_].erase(*list_position_);
+            list_position_.reset();
         }
 
-        // The list follows the machine.
-        void settle() {
+        // Enters the phase that corresponds to the machine's state.
+        void update_phase() {
             switch (machine_.state()) {
                 case ServerState::reading:
-                    if (!machine_.between()) return enter_if(coming);
-                    if (!machine_.served()) return enter_if(fresh);
-                    return enter_if(asked_ ? asked_idle : other_idle);
-                case ServerState::waiting: return enter_if(waiting);
-                case ServerState::writing: return enter_if(writing);
-                case ServerState::lingering: return enter_if(lingering);
+                    if (!machine_.between_requests()) return enter_if_changed(receiving);
+                    if (!machine_.served()) return enter_if_changed(fresh);
+                    return enter_if_changed(has_call_slot_ ? idle_after_call : idle_without_call);
+                case ServerState::waiting: return enter_if_changed(waiting);
+                case ServerState::writing: return enter_if_changed(writing);
+                case ServerState::lingering: return enter_if_changed(lingering);
                 case ServerState::over: return;
             }
         }
-        // A new connection's time counts from its start, also while its first request is half here.
-        void enter_if(Kind kind) {
-            if (kind == kind_ || (kind_ == fresh && kind == coming)) return;
-            enter(kind);
+        // The request time-out of a new connection starts with its accept, so it keeps the phase `fresh` while its first
+        // request is being received.
+        void enter_if_changed(Phase phase) {
+            if (phase == phase_ || (phase_ == fresh && phase == receiving)) return;
+            enter(phase);
         }
 
         void await_read() {
-            if (reading_ || closed_ || !machine_.wants_read()) return;
-            reading_ = true;
+            if (read_pending_ || closed_ || !machine_.wants_read()) return;
+            read_pending_ = true;
             socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code error) {
-                self->reading_ = false;
+                self->read_pending_ = false;
                 if (error || self->closed_) return;
                 self->read();
             });
         }
 
-        // One read for each time that the kernel says there is something, and more only where it filled the
-        // room.
+        // Reads once for each readiness notification, and again only while reads fill the buffer.
         void read() {
-            std::array<char, read_most> room;
+            std::array<char, read_buffer_bytes> buffer;
             for (;;) {
-                const loop::Read got = loop::read_some(socket_, room);
-                if (got.kind == loop::Read::Kind::broken) {
+                const loop::Read received = loop::read_some(socket_, buffer);
+                if (received.kind == loop::Read::Kind::broken) {
                     machine_.reset();
-                } else if (got.kind == loop::Read::Kind::end) {
+                } else if (received.kind == loop::Read::Kind::end) {
                     machine_.receive_end();
                 } else if (channel_) {
-                    const bool goes_on = channel_->receive(got.bytes);
+                    const bool channel_open = channel_->receive(received.bytes);
                     if (const std::string plain = channel_->take_plain(); !plain.empty())
                         machine_.receive(plain);
-                    if (!goes_on) machine_.receive_end();
+                    if (!channel_open) machine_.receive_end();
                 } else {
-                    machine_.receive(got.bytes);
+                    machine_.receive(received.bytes);
                 }
-                if (got.bytes.size() < room.size() || !machine_.wants_read()) break;
+                if (received.bytes.size() < buffer.size() || !machine_.wants_read()) break;
             }
-            go_on();
+            process();
         }
 
-        // Takes what the machine has to tell and writes what it has to say, until neither is left.
-        void go_on() {
+        // Handles the machine's events and writes its output until neither is left.
+        void process() {
             const auto self = shared_from_this();
-            taking_ = true;
+            processing_ = true;
             for (;;) {
                 auto event = machine_.next();
                 if (event) {
@@ -279,67 +285,68 @@
                 }
                 if (closed_) return;
             }
-            taking_ = false;
+            processing_ = false;
             if (machine_.state() == ServerState::over) return close();
-            settle();
+            update_phase();
             await_read();
             await_write();
-            if (call_ && unread()) owner_.look_behind_soon();
-            owner_.accept_if_waiting();
+            if (call_ && reading_suspended()) owner_.schedule_half_close_check();
+            owner_.schedule_accept();
         }
 
-        // False when nothing could be written.
+        // Writes output to the socket. Returns false when nothing could be written.
         bool flush() {
             if (channel_) return flush_channel();
-            const std::string_view out = machine_.output();
-            if (out.empty() || blocked_) return false;
-            const loop::Written written = loop::write_some(socket_, out);
+            const std::string_view output = machine_.output();
+            if (output.empty() || write_blocked_) return false;
+            const loop::Written written = loop::write_some(socket_, output);
             if (written.broken) {
                 machine_.reset();
                 return true;
             }
-            blocked_ = written.bytes < out.size();
+            write_blocked_ = written.bytes < output.size();
             machine_.wrote(written.bytes);
-            shut_if_lingering();
+            shut_down_if_lingering();
             return written.bytes > 0;
         }
 
-        // What the machine has to say counts as written once the socket has all that it became.
+        // Writes output through the TLS channel. The machine's output counts as written once the socket has accepted all
+        // bytes that it was encrypted to.
         bool flush_channel() {
-            if (const std::string_view plain = machine_.output(); plain.size() > in_channel_) {
-                channel_->send(plain.substr(in_channel_));
-                in_channel_ = plain.size();
+            if (const std::string_view plain = machine_.output(); plain.size() > channel_bytes_) {
+                channel_->send(plain.substr(channel_bytes_));
+                channel_bytes_ = plain.size();
             }
-            if (blocked_) return false;
-            const std::string_view out = channel_->output();
-            const std::size_t said = in_channel_;
-            if (out.empty() && said == 0) return false;
-            const loop::Written written = loop::write_some(socket_, out);
+            if (write_blocked_) return false;
+            const std::string_view output = channel_->output();
+            const std::size_t passed_bytes = channel_bytes_;
+            if (output.empty() && passed_bytes == 0) return false;
+            const loop::Written written = loop::write_some(socket_, output);
             if (written.broken) {
                 machine_.reset();
                 return true;
             }
-            blocked_ = written.bytes < out.size();
+            write_blocked_ = written.bytes < output.size();
             channel_->wrote(written.bytes);
-            if (!blocked_ && said > 0) {
-                in_channel_ = 0;
-                machine_.wrote(said);
+            if (!write_blocked_ && passed_bytes > 0) {
+                channel_bytes_ = 0;
+                machine_.wrote(passed_bytes);
                 if (machine_.state() == ServerState::lingering) {
                     channel_->finish();
-                    const std::string_view goodbye = channel_->output();
-                    channel_->wrote(loop::write_some(socket_, goodbye).bytes);
+                    const std::string_view closure_alert = channel_->output();
+                    channel_->wrote(loop::write_some(socket_, closure_alert).bytes);
                 }
-                shut_if_lingering();
+                shut_down_if_lingering();
                 return true;
             }
             return written.bytes > 0;
         }
 
-        // Guards against an answer lost on its way: to close while bytes of the client are unread would reset
-        // the connection. So only this side ends, and what still comes is read for a while.
-        void shut_if_lingering() {
-            if (machine_.state() == ServerState::lingering && !shut_) {
-                shut_ = true;
+        // Shuts down only the sending side after the last response, and keeps reading for a while: closing with unread
+        // client bytes would reset the connection, and the response could be lost in transit.
+        void shut_down_if_lingering() {
+            if (machine_.state() == ServerState::lingering && !send_shut_down_) {
+                send_shut_down_ = true;
                 error_code error;
                 socket_.shutdown(tcp::socket::shutdown_send, error);
                 if (error) machine_.reset();
@@ -347,50 +354,51 @@
         }
 
         void await_write() {
-            if (!blocked_ || awaiting_write_ || closed_) return;
+            if (!write_blocked_ || awaiting_write_ || closed_) return;
             awaiting_write_ = true;
             socket_.async_wait(tcp::socket::wait_write, [self = shared_from_this()](error_code error) {
                 self->awaiting_write_ = false;
                 if (error || self->closed_) return;
-                self->blocked_ = false;
-                self->go_on();
+                self->write_blocked_ = false;
+                self->process();
             });
         }
 
         void on_event(ServerEvent& event) {
             switch (event.kind) {
                 case ServerEvent::Kind::request: return on_request(std::move(event.request));
-                case ServerEvent::Kind::half_closed: return probe();
+                case ServerEvent::Kind::half_closed: return probe_client();
                 case ServerEvent::Kind::malformed:
                 case ServerEvent::Kind::answered: return;
             }
         }
 
         void on_request(Request message) {
-            probed_ = false;
+            probe_sent_ = false;
             Handler::From from;
             from.draining = owner_.draining_;
             from.socket = &socket_;
             from.tls = channel_ != nullptr;
             const std::string server_name = channel_ ? channel_->server_name() : std::string();
             from.server_name = server_name;
-            auto meant = owner_.handler_.on_request(std::move(message), from);
-            if (const auto* told = std::get_if<Handler::Answer>(&meant)) return answer(*told);
-            take(std::get<Handler::Ask>(std::move(meant)));
+            auto interpretation = owner_.handler_.on_request(std::move(message), from);
+            if (const auto* response = std::get_if<Handler::Answer>(&interpretation))
+                return answer(*response);
+            forward(std::get<Handler::Ask>(std::move(interpretation)));
         }
 
-        void take(Handler::Ask ask) {
-            if (!asked_) ++owner_.asked_;
-            asked_ = true;
+        void forward(Handler::Ask ask) {
+            if (!has_call_slot_) ++owner_.call_slots_in_use_;
+            has_call_slot_ = true;
             enter(waiting);
-            (void)owner_.within_asked();
+            (void)owner_.enforce_call_slots();
             context_ = std::move(ask.asked);
             core::CallId id = 0;
             call_ = id;
             const auto token = static_cast<std::uint64_t>(reinterpret_cast<std::uintptr_t>(this));
-            const core::Taken taken = owner_.take(std::move(ask.call), token, &id);
+            const core::Taken taken = owner_.submit(std::move(ask.call), token, &id);
             if (taken == core::Taken::yes) {
-                if (call_) call_ = id;  // else it is answered already
+                if (call_) call_ = id;  // otherwise the core has already answered
                 return;
             }
             call_.reset();
@@ -398,24 +406,25 @@
             answer(owner_.handler_.on_not_taken(taken, asked.get()));
         }
 
-        // Its list is left and come back to, also where all is written at once: it has been used.
-        void answer(const Handler::Answer& told) {
+        // Enters the phase `writing` even when everything is written at once: the connection was used, so it must move to
+        // the end of its idle list.
+        void answer(const Handler::Answer& response) {
             enter(writing);
-            (void)machine_.answer(told.message, told.last || owner_.winding_down_);
+            (void)machine_.answer(response.message, response.last || owner_.draining_connections_);
         }
 
-        // The client has ended its sending while its request waits. Whether it still listens shows when
-        // something is written to it: one that has gone answers with a reset.
-        void probe() {
-            probed_ = true;
-            await_break();
-            if (!machine_.interim()) return;
-            if (!taking_) go_on();
+        // Probes a client that has ended its sending while its request waits, by writing a 100 Continue. A client that
+        // has disconnected responds with a reset; one that only half-closed does not.
+        void probe_client() {
+            probe_sent_ = true;
+            await_reset();
+            if (!machine_.send_continue()) return;
+            if (!processing_) process();
         }
 
-        void await_break() {
-            if (listening_for_break_) return;
-            listening_for_break_ = true;
+        void await_reset() {
+            if (awaiting_reset_) return;
+            awaiting_reset_ = true;
             socket_.async_wait(tcp::socket::wait_error, [self = shared_from_this()](error_code error) {
                 if (!error) self->close();
             });
@@ -424,84 +433,85 @@
         Impl& owner_;
         tcp::socket socket_;
         ServerMachine machine_;
-        std::unique_ptr<Channel> channel_;  // where there is TLS
-        std::size_t in_channel_ = 0;        // bytes of the machine's output that it has
-        std::unique_ptr<Asked> context_;    // of the call that waits
-        std::optional<core::CallId> call_;  // that waits; zero while it is being taken
-        Time since_{};                      // when it came to its list
-        std::optional<List::iterator> place_;
-        Kind kind_ = fresh;
-        bool asked_ = false;   // it has brought a request for an upstream
-        bool taking_ = false;  // go_on() is on the stack
-        bool reading_ = false;
+        std::unique_ptr<Channel> channel_;  // null without TLS
+        std::size_t channel_bytes_ = 0;     // bytes of the machine's output passed to the channel
+        std::unique_ptr<Asked> context_;    // the handler's state of the call that waits
+        std::optional<core::CallId> call_;  // call that waits; 0 while the core accepts it
+        Time since_{};                      // entry into the phase
+        std::optional<List::iterator> list_position_;
+        Phase phase_ = fresh;
+        bool has_call_slot_ = false;  // counted in Impl::call_slots_in_use_
+        bool processing_ = false;     // process() is on the stack
+        bool read_pending_ = false;
         bool awaiting_write_ = false;
-        bool listening_for_break_ = false;
-        bool blocked_ = false;  // the socket takes no more for now
-        bool probed_ = false;   // for the request that waits
-        bool shut_ = false;
+        bool awaiting_reset_ = false;
+        bool write_blocked_ = false;  // waiting for the socket to become writable
+        bool probe_sent_ = false;     // a probe was sent for the request that waits
+        bool send_shut_down_ = false;
         bool closed_ = false;
     };
 
-    core::Taken take(core::Call call, std::uint64_t token, core::CallId* id) {
+    core::Taken submit(core::Call call, std::uint64_t token, core::CallId* id) {
         return intake_ ? intake_->take(std::move(call), *this, token, id)
                        : core_.take(std::move(call), *this, token, id);
     }
-    void leave(core::CallId call) {
+    void abandon(core::CallId call) {
         if (intake_) return intake_->leave(call);
         (void)core_.leave(call);
     }
 
     bool crowded() const { return 2 * connections_.size() > limits_.most; }
 
-    template <typename Done>
-    void close_all(const List& list, Done done) {
-        std::vector<std::shared_ptr<Connection>> over;
+    template <typename Predicate>
+    void close_all(const List& list, Predicate predicate) {
+        std::vector<std::shared_ptr<Connection>> expired;
         for (Connection* const connection : list) {
-            if (done(*connection)) over.push_back(connection->shared_from_this());
+            if (predicate(*connection)) expired.push_back(connection->shared_from_this());
         }
-        for (const auto& connection : over) connection->close();
+        for (const auto& connection : expired) connection->close();
     }
 
     void accept() {
-        if (winding_down_) return take_the_last();
-        if (accepting_ || !acceptor_.is_open()) return;
-        accepting_ = true;
+        if (draining_connections_) return accept_backlog();
+        if (accept_pending_ || !acceptor_.is_open()) return;
+        accept_pending_ = true;
         acceptor_.async_wait(tcp::acceptor::wait_read, alive_.guard([this](error_code error) {
             if (error) return;
-            accepting_ = false;
+            accept_pending_ = false;
             if (accept_one()) accept();
         }));
     }
 
-    // Guards against a request lost with the listener: the machine has accepted whoever waits in the backlog, and takes
-    // up nobody from here to the close.
-    void take_the_last() {
+    // Stops the kernel from completing further connections, and accepts those in the backlog before the listener closes:
+    // closing it first would reset them, and a request already sent would be lost.
+    void accept_backlog() {
         if (acceptor_.is_open()) loop::take_no_more(acceptor_);
         while (acceptor_.is_open()) {
             if (!accept_one()) return;
         }
     }
 
-    // Room is made only for a connection that has come: one that is closed ahead of need may have a request
-    // on its way. False when it can't go on now: it does when one closes or is answered, or after a pause.
+    // Accepts one connection, if there is one. Evicts another connection only when one has arrived, since a connection
+    // closed in advance may have a request in transit. Returns false when accepting cannot continue now; it resumes when
+    // a connection closes or is answered, or after a delay.
     bool accept_one() {
-        if (connections_.size() >= limits_.most && !make_room()) {
-            // Those that linger, or have not spoken yet, give way in a while.
-            if (!lists_[lingering].empty() || !lists_[fresh].empty()) accept_later();
+        if (connections_.size() >= limits_.most && !evict_for_new_connection()) {
+            // Lingering and new connections can be evicted after a while.
+            if (!lists_[lingering].empty() || !lists_[fresh].empty()) accept_after_delay();
             return false;
         }
         tcp::socket socket(loop_);
         error_code error;
         loop::accept(acceptor_, socket, error);
-        const bool passing = error == asio::error::would_block || error == asio::error::try_again ||
-                             error == asio::error::connection_aborted || error == asio::error::interrupted;
-        if (error && !passing) {
-            make_room();
-            accept_later();
+        const bool transient = error == asio::error::would_block || error == asio::error::try_again ||
+                               error == asio::error::connection_aborted || error == asio::error::interrupted;
+        if (error && !transient) {
+            evict_for_new_connection();
+            accept_after_delay();
             return false;
         }
         const bool empty = error == asio::error::would_block || error == asio::error::try_again;
-        if (empty && winding_down_) {
+        if (empty && draining_connections_) {
             error_code ignored;
             acceptor_.close(ignored);
         }
@@ -514,122 +524,132 @@
         return true;
     }
 
-    // Guards against spinning when descriptors run out: the listener stays ready, and each try fails at once.
-    void accept_later() {
-        retry_.expires_after(accept_pause);
-        retry_.async_wait(alive_.guard([this](error_code error) {
+    // Accepts again after a delay. Without descriptors the listener stays readable and each accept fails at once, so an
+    // immediate retry would spin.
+    void accept_after_delay() {
+        accept_retry_timer_.expires_after(accept_retry_delay);
+        accept_retry_timer_.async_wait(alive_.guard([this](error_code error) {
             if (!error) accept();
         }));
     }
 
-    void accept_if_waiting() {
-        if (accepting_ || posted_ || !acceptor_.is_open()) return;
-        posted_ = true;
+    void schedule_accept() {
+        if (accept_pending_ || accept_posted_ || !acceptor_.is_open()) return;
+        accept_posted_ = true;
         asio::post(loop_, alive_.guard([this] {
-            posted_ = false;
+            accept_posted_ = false;
             accept();
         }));
     }
 
-    // Whoever has had its answer and lingers makes room first, then one that never spoke, then the one idle
-    // longest, and last one that does not get on with its request. Who has asked and waits never does.
-    bool make_room() {
+    // Evicts a connection for a new one, in this order: a lingering one, a new one that has sent nothing for a while, the one
+    // idle longest, a stalled one that is receiving its request, a new one that has sent nothing. A connection that waits for a response is never evicted.
+    // Returns false when none could be evicted.
+    bool evict_for_new_connection() {
         const Time now = clock_.now();
-        const auto give_way = [&](Kind kind, Micros after, bool quiet) {
-            std::vector<std::shared_ptr<Connection>> asked;
-            for (Connection* const connection : lists_[kind]) {
-                if (now - connection->since() <= after || asked.size() == most_looked_at) break;
-                asked.push_back(connection->shared_from_this());
+        const auto evict = [&](Phase phase, Micros min_age, bool only_idle) {
+            std::vector<std::shared_ptr<Connection>> candidates;
+            for (Connection* const connection : lists_[phase]) {
+                if (now - connection->since() <= min_age || candidates.size() == max_eviction_candidates)
+                    break;
+                candidates.push_back(connection->shared_from_this());
             }
-            for (const auto& connection : asked) {
-                if (quiet && !connection->idle()) continue;
-                connection->read_what_is_here();
-                if (!connection->stands_in(kind)) continue;
+            for (const auto& connection : candidates) {
+                if (only_idle && !connection->idle()) continue;
+                connection->read_arrived_data();
+                if (!connection->is_in_phase(phase)) continue;
                 connection->close();
                 return true;
             }
             return false;
         };
-        return give_way(lingering, room_after, false) || give_way(fresh, room_after, true) ||
-               give_way(older_idle(), Micros{-1}, true) || give_way(coming, limits_.request / 4, false) ||
-               give_way(fresh, limits_.request / 4, false) || give_way(fresh, Micros{-1}, true);
+        return evict(lingering, eviction_grace, false) || evict(fresh, eviction_grace, true) ||
+               evict(phase_of_longest_idle(), Micros{-1}, true) ||
+               evict(receiving, limits_.request / 4, false) || evict(fresh, limits_.request / 4, false) ||
+               evict(fresh, Micros{-1}, true);
     }
 
-    Kind older_idle() const {
-        const List& asked = lists_[asked_idle];
-        const List& other = lists_[other_idle];
-        if (asked.empty() || other.empty()) return asked.empty() ? other_idle : asked_idle;
-        return asked.front()->since() <= other.front()->since() ? asked_idle : other_idle;
+    Phase phase_of_longest_idle() const {
+        const List& after_call = lists_[idle_after_call];
+        const List& without_call = lists_[idle_without_call];
+        if (after_call.empty() || without_call.empty())
+            return after_call.empty() ? idle_without_call : idle_after_call;
+        return after_call.front()->since() <= without_call.front()->since() ? idle_after_call
+                                                                            : idle_without_call;
     }
 
-    // Guards against clients that ask once and keep their connection: whoever deals connections out holds
-    // only so many here, and those that stand idle keep others from asking. Called as each request is taken
-    // and as each is answered, so that one at a time is enough. One that was used but lately may have its
-    // next request on the way: then none is closed here, and the answer that is being given is to end its own
-    // connection, which no request can cross. False when that is so.
-    bool within_asked() {
-        List& idle = lists_[asked_idle];
+    // Evicts the connection idle longest while more than FrontLimits::asked connections hold a call slot. Clients that
+    // send one request and keep their connection would otherwise exhaust the connections that a load balancer in front
+    // allows to this process, and keep other clients from sending. One eviction a call is enough, because this runs for
+    // each request received and each response given. A recently used connection may have its next request in transit
+    // and is not evicted; then this returns false, and the response being given must close its own connection, on which
+    // no request can be in transit.
+    bool enforce_call_slots() {
+        List& idle = lists_[idle_after_call];
         const Time now = clock_.now();
-        for (std::size_t i = 0; asked_ > limits_.asked; ++i) {
-            if (i == most_looked_at || idle.empty()) return false;
-            const auto longest = idle.front()->shared_from_this();
-            if (now - longest->since() <= room_after) return false;
-            if (longest->idle()) {
-                ++figures_.gave_way;
-                longest->close();
+        for (std::size_t i = 0; call_slots_in_use_ > limits_.asked; ++i) {
+            if (i == max_eviction_candidates || idle.empty()) return false;
+            const auto oldest = idle.front()->shared_from_this();
+            if (now - oldest->since() <= eviction_grace) return false;
+            if (oldest->idle()) {
+                ++figures_.evicted_idle;
+                oldest->close();
                 break;
             }
-            idle.splice(idle.end(), idle, idle.begin());  // its next request is here and not yet read
+            idle.splice(idle.end(), idle, idle.begin());  // its next request has arrived unread
         }
         return true;
     }
 
     void sweep() {
-        sweep_.expires_after(limits_.request / sweeps);
-        sweep_.async_wait(alive_.guard([this](error_code error) {
+        sweep_timer_.expires_after(limits_.request / sweeps_per_timeout);
+        sweep_timer_.async_wait(alive_.guard([this](error_code error) {
             if (error) return;
             const Time now = clock_.now();
-            for (const Kind kind : {fresh, coming, asked_idle, other_idle, writing, lingering}) {
-                close_overdue(lists_[kind], now, kind == asked_idle || kind == other_idle);
+            for (const Phase phase :
+                 {fresh, receiving, idle_after_call, idle_without_call, writing, lingering}) {
+                close_timed_out(lists_[phase], now, phase == idle_after_call || phase == idle_without_call);
             }
-            accept_if_waiting();
+            schedule_accept();
             sweep();
         }));
     }
 
-    // Guards against work for clients that have gone: while there are such that are not read.
-    void look_behind_soon() {
-        if (looks_behind_) return;
-        looks_behind_ = true;
-        behind_.expires_after(behind_every);
-        behind_.async_wait(alive_.guard([this](error_code error) {
-            looks_behind_ = false;
+    // Starts the half-close checks, which repeat while a connection that waits is not being read, so that no work is done
+    // for clients that have disconnected.
+    void schedule_half_close_check() {
+        if (half_close_timer_set_) return;
+        half_close_timer_set_ = true;
+        half_close_timer_.expires_after(half_close_check_interval);
+        half_close_timer_.async_wait(alive_.guard([this](error_code error) {
+            half_close_timer_set_ = false;
             if (error) return;
-            std::vector<std::shared_ptr<Connection>> behind;
+            std::vector<std::shared_ptr<Connection>> suspended;
             for (Connection* const connection : lists_[waiting]) {
-                if (connection->unread()) behind.push_back(connection->shared_from_this());
+                if (connection->reading_suspended()) suspended.push_back(connection->shared_from_this());
             }
-            for (const auto& connection : behind) connection->look_behind();
-            if (!behind.empty()) look_behind_soon();
+            for (const auto& connection : suspended) connection->check_half_close();
+            if (!suspended.empty()) schedule_half_close_check();
         }));
     }
 
-    // Whoever came to a list first is overdue first.
-    void close_overdue(const List& list, Time now, bool quiet) {
-        std::vector<std::shared_ptr<Connection>> over;
+    // Closes the connections of a phase that have timed out. The list is ordered by entry, so the first ones time out first.
+    // `only_idle`: only connections between requests without unread data.
+    void close_timed_out(const List& list, Time now, bool only_idle) {
+        std::vector<std::shared_ptr<Connection>> expired;
         for (Connection* const connection : list) {
-            if (!connection->overdue(now)) break;
-            if (!quiet || connection->idle()) over.push_back(connection->shared_from_this());
+            if (!connection->timed_out(now)) break;
+            if (!only_idle || connection->idle()) expired.push_back(connection->shared_from_this());
         }
-        for (const auto& connection : over) {
-            connection->read_what_is_here();
-            if (connection->overdue(now)) connection->close();
+        for (const auto& connection : expired) {
+            connection->read_arrived_data();
+            if (connection->timed_out(now)) connection->close();
         }
     }
 
-    void closed(Connection* connection) {
+    void on_closed(Connection* connection) {
         connections_.erase(connection);
-        if (!stopped_) accept_if_waiting();
+        if (!stopped_) schedule_accept();
     }
 
     loop::Executor loop_;
@@ -638,20 +658,20 @@
     const core::Clock& clock_;
     FrontLimits limits_;
     const MakeChannel tls_;
-    core::Intake* const intake_;  // null: the core itself
+    core::Intake* const intake_;  // null: calls go to the core
     tcp::acceptor acceptor_;
-    asio::steady_timer retry_;
-    asio::steady_timer sweep_;
-    asio::steady_timer behind_;
+    asio::steady_timer accept_retry_timer_;
+    asio::steady_timer sweep_timer_;
+    asio::steady_timer half_close_timer_;
     std::unordered_map<Connection*, std::shared_ptr<Connection>> connections_;
-    std::array<List, kinds> lists_;
-    std::size_t asked_ = 0;  // connections that have asked
+    std::array<List, phase_count> lists_;
+    std::size_t call_slots_in_use_ = 0;  // connections that have sent a request for an upstream
     FrontFigures figures_;
-    bool accepting_ = false;  // an accept is under way
-    bool posted_ = false;
-    bool looks_behind_ = false;  // behind_ is set
+    bool accept_pending_ = false;  // waiting for a connection
+    bool accept_posted_ = false;
+    bool half_close_timer_set_ = false;  // half_close_timer_ is set
     bool draining_ = false;
-    bool winding_down_ = false;
+    bool draining_connections_ = false;
     bool stopped_ = false;
     loop::Alive alive_;
 };
--- a/src/http/handler.h
+++ b/src/http/handler.h
@@ -1,8 +1,9 @@
-// What the requests of a listener mean: an answer at once, or a call of the core, and how its end is worded.
-// The front has the connections; a handler has the words.
+// The interface between a listener and the application: a Handler interprets each request, as a local response or as a
+// call of the core, and words the response to the call's end. The listener owns the connections.
 //
-// Threading: the loop's one thread.   Ownership: borrowed by the front, and outlives it.
-// Errors:    none is thrown for what a request holds: it is answered.
+// Threading: only the event loop's thread calls it.
+// Ownership: the listener borrows its handler, which must outlive it.
+// Errors:    a handler throws nothing because of a request's content; it responds with an error instead.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -15,7 +16,7 @@
 
 namespace flaxdoor::http {
 
-// What a handler keeps of a request until its end.
+// Base class of a handler's state for one request; the listener keeps it until the request ends.
 class Asked {
 public:
     virtual ~Asked() = default;
@@ -23,47 +24,52 @@
 
 class Handler {
 public:
-    // Where a request comes from.
+    // The connection on which a request was received.
     struct From {
-        bool draining = false;         // readiness is denied
-        std::string_view server_name;  // of TLS: what the client asked for; empty: nothing, or no TLS
+        bool draining = false;         // readiness checks are to fail
+        std::string_view server_name;  // the TLS server name that the client sent; empty: none, or no TLS
         bool tls = false;
         const boost::asio::ip::tcp::socket* socket = nullptr;
 
-        // Asks the system each time.
+        // The client's address. Makes a system call each time.
         boost::asio::ip::tcp::endpoint peer() const {
             boost::system::error_code ignored;
             return socket ? socket->remote_endpoint(ignored) : boost::asio::ip::tcp::endpoint();
         }
     };
+    // A response of the balancer's own.
     struct Answer {
         Response message;
-        bool last = false;  // the connection ends with it
+        bool last = false;  // closes the connection
     };
+    // A call to pass to the core.
     struct Ask {
         core::Call call;
-        std::unique_ptr<Asked> asked;  // may be null
+        std::unique_ptr<Asked> asked;  // passed back with the call's end; may be null
     };
 
     virtual ~Handler() = default;
     [[nodiscard]] virtual std::variant<Answer, Ask> on_request(Request message, const From& from) = 0;
-    // The core's final answer, or that the call was not taken. Once for each Ask that is not left.
+    // One of these two is called, once, for each Ask whose client has not disconnected: on_final() with the core's
+    // final answer, or on_not_taken() when the core did not accept the call.
     [[nodiscard]] virtual Response on_final(core::Final final, Asked* asked) = 0;
     [[nodiscard]] virtual Answer on_not_taken(core::Taken taken, Asked* asked) = 0;
 };
 
-// Bytes of a connection on their way through TLS, where a listener has it.
+// The transport layer of a connection between its socket and its plain text; implemented by TLS.
 class Channel {
 public:
     virtual ~Channel() = default;
-    // From the wire. False: nothing more can come of it.
+    // Handles bytes received from the socket. Returns false when the channel has ended or failed.
     [[nodiscard]] virtual bool receive(std::string_view bytes) = 0;
+    // Returns the plain text received and removes it from the channel.
     [[nodiscard]] virtual std::string take_plain() = 0;
     virtual void send(std::string_view plain) = 0;
-    // To the wire, and how much of it went.
+    // Bytes to write to the socket.
     [[nodiscard]] virtual std::string_view output() = 0;
+    // Reports how many bytes of output() were written.
     virtual void wrote(std::size_t bytes) = 0;
-    // Says goodbye to the other side, behind all that was sent.
+    // Queues the closure alert (close_notify) behind all data sent before.
     virtual void finish() = 0;
     [[nodiscard]] virtual std::string server_name() const = 0;
 };
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -34,8 +34,8 @@
     bytes.append(name).append(": ").append(value).append("\r\n");
 }
 
-// Fields that this side words by itself.
-bool worded_here(std::string_view name) {
+// Whether the serializer generates the field itself.
+bool is_generated_field(std::string_view name) {
     return same_word(name, "Content-Length") || same_word(name, "Transfer-Encoding") ||
            same_word(name, "Connection");
 }
@@ -51,11 +51,11 @@
 void append_fields(std::string& bytes, const Fields& fields) {
     for (std::size_t i = 0; i < fields.size(); ++i) {
         const auto [name, value] = fields.at(i);
-        if (!worded_here(name)) append_line(bytes, name, value);
+        if (!is_generated_field(name)) append_line(bytes, name, value);
     }
 }
 
-constexpr std::size_t around_fields = 128;  // the start line's fixed words and the fields worded here
+constexpr std::size_t generated_bytes = 128;  // bytes for the rest of the start line and the generated fields
 
 }  // namespace
 
@@ -65,49 +65,50 @@
 }
 
 std::string_view Fields::operator[](std::string_view name) const {
-    for (const Place& place : places_) {
-        if (same_word(view(place.name), name)) return view(place.value);
+    for (const FieldSpan& field : spans_) {
+        if (same_word(view(field.name), name)) return view(field.value);
     }
     return {};
 }
 
 std::size_t Fields::count(std::string_view name) const {
-    return static_cast<std::size_t>(std::count_if(
-        places_.begin(), places_.end(), [&](const Place& p) { return same_word(view(p.name), name); }));
+    return static_cast<std::size_t>(std::count_if(spans_.begin(), spans_.end(), [&](const FieldSpan& field) {
+        return same_word(view(field.name), name);
+    }));
 }
 
-Fields::Piece Fields::held(std::string_view text) {
+Fields::Span Fields::store(std::string_view text) {
     const std::less_equal<const char*> not_after;
-    const char* const begin = bytes_.data();
-    const char* const end = begin + bytes_.size();
+    const char* const begin = buffer_.data();
+    const char* const end = begin + buffer_.size();
     const auto size = static_cast<std::uint32_t>(text.size());
     if (not_after(begin, text.data()) && not_after(text.data() + text.size(), end)) {
         return {static_cast<std::uint32_t>(text.data() - begin), size};
     }
-    const auto at = static_cast<std::uint32_t>(bytes_.size());
-    bytes_.append(text);
+    const auto at = static_cast<std::uint32_t>(buffer_.size());
+    buffer_.append(text);
     return {at, size};
 }
 
 void Fields::reserve(std::size_t fields, std::size_t bytes) {
-    places_.reserve(places_.size() + fields);
-    if (bytes > 0) bytes_.reserve(bytes_.size() + bytes);
+    spans_.reserve(spans_.size() + fields);
+    if (bytes > 0) buffer_.reserve(buffer_.size() + bytes);
 }
 
 void Fields::add(std::string_view name, std::string_view value) {
-    // One of them may move the bytes that the other one points into.
+    // Storing one of them may reallocate the buffer that the other one points into, so that one is stored first.
     const std::less_equal<const char*> not_after;
-    const bool value_inside = not_after(bytes_.data(), value.data()) &&
-                              not_after(value.data() + value.size(), bytes_.data() + bytes_.size());
-    Place place;
-    if (value_inside) {
-        place.value = held(value);
-        place.name = held(name);
+    const bool value_is_stored = not_after(buffer_.data(), value.data()) &&
+                                 not_after(value.data() + value.size(), buffer_.data() + buffer_.size());
+    FieldSpan field;
+    if (value_is_stored) {
+        field.value = store(value);
+        field.name = store(name);
     } else {
-        place.name = held(name);
-        place.value = held(value);
+        field.name = store(name);
+        field.value = store(value);
     }
-    places_.push_back(place);
+    spans_.push_back(field);
 }
 
 void Fields::set(std::string_view name, std::string_view value) {
@@ -116,7 +117,7 @@
 }
 
 void Fields::erase(std::string_view name) {
-    erase_if([&](std::string_view its) { return same_word(its, name); });
+    erase_if([&](std::string_view other) { return same_word(other, name); });
 }
 
 std::string_view reason_of(int status) {
@@ -150,7 +151,7 @@
 
 void append(std::string& bytes, const Request& message) {
     bytes.reserve(bytes.size() + message.method.size() + message.target.size() + size_of(message.fields) +
-                  message.body.size() + around_fields);
+                  message.body.size() + generated_bytes);
     bytes.append(message.method).append(" ").append(message.target).append(" HTTP/1.1\r\n");
     append_fields(bytes, message.fields);
     const bool expects_body =
@@ -163,10 +164,10 @@
 
 void append(std::string& bytes, const Response& message, Persistence persistence, bool without_body) {
     const std::string_view reason = message.reason.empty() ? reason_of(message.status) : message.reason;
-    // These end with their header, whatever their fields say (RFC 9112, 6.3).
-    const bool bare = message.status < 200 || message.status == 204 || message.status == 304;
+    // These responses end with their header whatever their fields say (RFC 9112, 6.3).
+    const bool bodyless = message.status < 200 || message.status == 204 || message.status == 304;
     bytes.reserve(bytes.size() + reason.size() + size_of(message.fields) + message.body.size() +
-                  around_fields);
+                  generated_bytes);
     bytes.append("HTTP/1.1 ")
         .append(std::to_string(message.status))
         .append(" ")
@@ -175,12 +176,13 @@
     append_fields(bytes, message.fields);
     if (persistence == Persistence::close) append_line(bytes, "Connection", "close");
     if (persistence == Persistence::keep_alive) append_line(bytes, "Connection", "keep-alive");
-    // What an answer to HEAD says of a body that it does not have stands as it came.
-    const std::string_view told = without_body ? message.told_length : std::string_view();
-    if (!bare && !told.empty()) append_line(bytes, "Content-Length", told);
-    if (!bare && told.empty()) append_line(bytes, "Content-Length", std::to_string(message.body.size()));
+    // A response to HEAD keeps the Content-Length of the body that it omits.
+    const std::string_view head_length = without_body ? message.head_content_length : std::string_view();
+    if (!bodyless && !head_length.empty()) append_line(bytes, "Content-Length", head_length);
+    if (!bodyless && head_length.empty())
+        append_line(bytes, "Content-Length", std::to_string(message.body.size()));
     bytes.append("\r\n");
-    if (!bare && !without_body) bytes.append(message.body);
+    if (!bodyless && !without_body) bytes.append(message.body);
 }
 
 std::string to_bytes(const Request& message) {
@@ -191,7 +193,7 @@
 
 std::string to_bytes(const Response& message) {
     std::string bytes;
-    append(bytes, message, Persistence::unsaid);
+    append(bytes, message, Persistence::unspecified);
     return bytes;
 }
 
@@ -202,20 +204,20 @@
                                       [&](std::string_view name) { return same_word(name, option); });
         if (!keep) named.emplace_back(option);
     });
-    static constexpr std::array<std::string_view, 11> always = {
+    static constexpr std::array<std::string_view, 11> hop_by_hop = {
         "Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "TE",
         "Trailer",    "Upgrade",    "Expect",           "Transfer-Encoding",  "Content-Length"};
     fields.erase_if([&](std::string_view name) {
-        const auto is_it = [&](std::string_view other) { return same_word(name, other); };
-        return std::any_of(always.begin(), always.end(), is_it) ||
-               std::any_of(named.begin(), named.end(), is_it);
+        const auto matches = [&](std::string_view other) { return same_word(name, other); };
+        return std::any_of(hop_by_hop.begin(), hop_by_hop.end(), matches) ||
+               std::any_of(named.begin(), named.end(), matches);
     });
 }
 
-bool connection_says(const Fields& fields, std::string_view option) {
-    bool says = false;
-    for_each_option(fields, [&](std::string_view named) { says = says || same_word(named, option); });
-    return says;
+bool has_connection_option(const Fields& fields, std::string_view option) {
+    bool found = false;
+    for_each_option(fields, [&](std::string_view named) { found = found || same_word(named, option); });
+    return found;
 }
 
 }  // namespace flaxdoor::http
--- a/src/http/payload.h
+++ b/src/http/payload.h
@@ -1,4 +1,4 @@
-// What the HTTP front and back hand each other through the core.
+// The payloads that the HTTP listener and the upstream connection pool exchange through the core.
 #pragma once
 
 #include <optional>
@@ -10,14 +10,15 @@
 
 struct RequestPayload final : core::Payload {
     explicit RequestPayload(Request its) : message(std::move(its)) {}
-    Request message;  // as it goes on; what is said anew with each attempt is as the last one said it
-    std::optional<Response>
-        error_answer;  // BackOptions::keep_errors: the last upstream's answer that was one
+    // The request to the upstream. Fields that differ between attempts hold the last attempt's values.
+    Request message;
+    // With BackOptions::keep_errors: the response of the last attempt, when it was an error response.
+    std::optional<Response> error_answer;
 };
 
 struct ResponsePayload final : core::Payload {
     explicit ResponsePayload(Response its) : message(std::move(its)) {}
-    Response message;  // as the upstream gave it
+    Response message;  // unchanged from the upstream
 };
 
 }  // namespace flaxdoor::http
--- a/src/http/platform.cpp
+++ b/src/http/platform.cpp
@@ -17,19 +17,19 @@
 constexpr std::string_view class_field = "X-Call-Class";
 constexpr std::string_view caller_field = "X-Caller";
 constexpr std::string_view budget_field = "X-Budget-Ms";
-constexpr std::string_view again_field = "X-Again";
+constexpr std::string_view retry_field = "X-Again";
 constexpr std::string_view cost_field = "X-Call-Cost";
 constexpr std::string_view key_field = "Idempotency-Key";
 constexpr std::string_view rejected_field = "X-Rejected";
 constexpr std::string_view report_field = "X-Load-Report";
 
-// Meant for the upstream, so a client's Connection can't take them out: without its key a keyed request would
-// be run anew with each attempt.
-constexpr std::array<std::string_view, 2> for_the_upstream = {call_id_field, key_field};
+// Fields that the Connection field of a client cannot remove, because they are meant for the upstream: without its key,
+// a keyed request would be executed again by each attempt.
+constexpr std::array<std::string_view, 2> end_to_end_fields = {call_id_field, key_field};
 
-constexpr std::size_t call_id_most = 64;
-constexpr float value_most = 1e6F;  // of a load report; what says more, or less than none, knows nothing
-constexpr float unknown = -1.0F;    // of a value that was not told yet
+constexpr std::size_t max_call_id_bytes = 64;
+constexpr float max_report_value = 1e6F;  // a load report with a larger or a negative value is discarded
+constexpr float missing_value = -1.0F;    // placeholder for a field that has not been parsed
 
 template <typename Number>
 bool parse_number(std::string_view text, Number& value, int base = 10) {
@@ -38,7 +38,7 @@
     return error == std::errc{} && last == end && !text.empty();
 }
 
-// The cookie `key`: its value as a number, or a number made of it.
+// Returns the value of the cookie `key`: parsed as a hexadecimal number, else hashed; 0 when there is none.
 std::uint64_t key_of(std::string_view cookies) {
     while (!cookies.empty()) {
         const auto end = std::min(cookies.find(';'), cookies.size());
@@ -55,36 +55,37 @@
 }
 
 template <typename Items>
-std::optional<int> place_of(const Items& items, std::string_view name) {
+std::optional<int> index_of(const Items& items, std::string_view name) {
     for (std::size_t i = 0; i < items.size(); ++i) {
         if (items[i].name == name) return static_cast<int>(i);
     }
     return std::nullopt;
 }
 
-// The method tells the effect, and must tell the one of the class.
-const char* method_wrong(const Request& message, Effect effect) {
+// Checks that the method and the idempotency key match the effect of the class. Returns the error, or null.
+const char* method_error(const Request& message, Effect effect) {
     const bool keyed = !message.fields[key_field].empty();
     switch (effect) {
         case Effect::safe:
-            if (message.method != "GET") return "this X-Call-Class is asked for with GET";
-            return message.body.empty() ? nullptr : "a GET has no body";
+            if (message.method != "GET") return "this X-Call-Class requires GET";
+            return message.body.empty() ? nullptr : "a GET request must have no body";
         case Effect::keyed:
-            if (message.method != "POST") return "this X-Call-Class is asked for with POST";
-            return keyed ? nullptr : "this X-Call-Class needs an Idempotency-Key";
+            if (message.method != "POST") return "this X-Call-Class requires POST";
+            return keyed ? nullptr : "this X-Call-Class requires an Idempotency-Key";
         case Effect::unsafe:
-            if (message.method != "POST") return "this X-Call-Class is asked for with POST";
-            return keyed ? "this X-Call-Class takes no Idempotency-Key" : nullptr;
+            if (message.method != "POST") return "this X-Call-Class requires POST";
+            return keyed ? "this X-Call-Class allows no Idempotency-Key" : nullptr;
     }
     return "unknown X-Call-Class";
 }
 
-// What goes on as the request's name, unchanged: a plain word.
-bool plain_word(std::string_view text) {
-    return !text.empty() && text.size() <= call_id_most && std::all_of(text.begin(), text.end(), [](char c) {
-        return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || c == '-' ||
-               c == '_' || c == '.';
-    });
+// Whether the text is a valid X-Call-Id: it is forwarded unchanged as the request's name.
+bool is_call_id(std::string_view text) {
+    return !text.empty() && text.size() <= max_call_id_bytes &&
+           std::all_of(text.begin(), text.end(), [](char c) {
+               return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') ||
+                      c == '-' || c == '_' || c == '.';
+           });
 }
 
 }  // namespace
@@ -99,26 +100,26 @@
     const auto wrong = [](std::string why) { return NotUnderstood{std::move(why)}; };
     const Fields& fields = message.fields;
     for (const auto once : {call_id_field, class_field, budget_field, key_field}) {
-        if (fields.count(once) > 1) return wrong(std::string(once) + " is there more than once");
+        if (fields.count(once) > 1) return wrong(std::string(once) + " occurs more than once");
     }
-    if (!plain_word(fields[call_id_field])) {
-        return wrong("X-Call-Id must be a word of 1 to 64 letters, digits, dots, dashes and underscores");
+    if (!is_call_id(fields[call_id_field])) {
+        return wrong("X-Call-Id must be 1 to 64 letters, digits, dots, dashes or underscores");
     }
-    const auto c = place_of(settings.classes, fields[class_field]);
-    if (!c) return wrong("X-Call-Class is missing or names no class");
-    const ClassSettings& its_class = settings.classes[static_cast<std::size_t>(*c)];
-    if (const char* const why = method_wrong(message, its_class.effect)) return wrong(why);
+    const auto class_index = index_of(settings.classes, fields[class_field]);
+    if (!class_index) return wrong("X-Call-Class is missing or names no class");
+    const ClassSettings& class_settings = settings.classes[static_cast<std::size_t>(*class_index)];
+    if (const char* const why = method_error(message, class_settings.effect)) return wrong(why);
     std::uint32_t budget_ms = 0;
     if (!parse_number(fields[budget_field], budget_ms) || budget_ms == 0) {
-        return wrong("X-Budget-Ms must be a whole number from 1 on");
+        return wrong("X-Budget-Ms must be an integer of at least 1");
     }
     ClientRequest request;
-    // No client of the class waits longer, whatever it says.
-    request.budget = std::min<Micros>(milliseconds(budget_ms), its_class.deadline);
-    request.facts.class_index = *c;
-    request.facts.tenant = place_of(settings.tenants, fields[caller_field]);
+    // The deadline of the class bounds the client's budget.
+    request.budget = std::min<Micros>(milliseconds(budget_ms), class_settings.deadline);
+    request.facts.class_index = *class_index;
+    request.facts.tenant = index_of(settings.tenants, fields[caller_field]);
     request.facts.key = key_of(fields["Cookie"]);
-    request.facts.client_retry = fields[again_field] == "1";
+    request.facts.client_retry = fields[retry_field] == "1";
     std::uint32_t cost_us = 0;
     if (parse_number(fields[cost_field], cost_us)) request.facts.cost_hint = Micros(cost_us);
     request.call_id = fields[call_id_field];
@@ -135,7 +136,8 @@
     });
 }
 
-// No line's end and no other control byte: nothing that could hide a second message.
+// Whether the text contains no line end and no other control byte, which could hide a second message.
+// `blanks`: spaces and tabs are allowed.
 bool is_plain(std::string_view text, bool blanks) {
     return std::all_of(text.begin(), text.end(), [&](char c) {
         const auto u = static_cast<unsigned char>(c);
@@ -143,13 +145,15 @@
     });
 }
 
-// Of an own request beside its headers: those worded here with their names, and the budget of one attempt.
-constexpr std::size_t set_here_most = 9;
-constexpr std::size_t set_here_bytes = 192;
+// Number and size of the fields that the balancer adds to a local request: those named below, and X-Budget-Ms again for
+// an attempt.
+constexpr std::size_t generated_field_count = 9;
+constexpr std::size_t generated_field_bytes = 192;
 
-bool set_here(std::string_view name) {
+// Whether the balancer sets the field itself.
+bool is_generated(std::string_view name) {
     static constexpr std::array<std::string_view, 9> names = {
-        call_id_field, class_field, caller_field,     budget_field,       again_field,
+        call_id_field, class_field, caller_field,     budget_field,       retry_field,
         cost_field,    key_field,   "Content-Length", "Transfer-Encoding"};
     return std::any_of(names.begin(), names.end(), [&](std::string_view n) { return same_word(n, name); });
 }
@@ -158,14 +162,14 @@
 
 std::string unfit(std::string_view method, std::string_view target,
                   const std::vector<std::pair<std::string, std::string>>& headers) {
-    if (!is_token(method)) return "the method is no token";
+    if (!is_token(method)) return "the method is not a token";
     if (target.empty() || target.front() != '/' || !is_plain(target, false)) {
-        return "the target must begin with '/' and hold no blanks";
+        return "the target must begin with '/' and contain no spaces or control bytes";
     }
     std::size_t size = target.size();
     for (const auto& [name, value] : headers) {
-        if (!is_token(name)) return "the name of a header is no token";
-        if (!is_plain(value, true)) return "header " + name + " holds what no header may";
+        if (!is_token(name)) return "a header name is not a token";
+        if (!is_plain(value, true)) return "header " + name + " contains a control byte";
         size += name.size() + value.size() + 4;
     }
     if (size <= header_most) return {};
@@ -184,7 +188,7 @@
 
 std::variant<ClientRequest, NotUnderstood> understand(const OwnRequest& own, const Settings& settings) {
     const auto wrong = [](std::string why) { return NotUnderstood{std::move(why)}; };
-    if (own.budget <= Micros{0}) return wrong("budget must be given, and above zero");
+    if (own.budget <= Micros{0}) return wrong("the budget must be greater than zero");
     if (own.body.size() > body_most) {
         return wrong("the body has " + std::to_string(own.body.size()) + " bytes, " +
                      std::to_string(body_most) + " at most");
@@ -195,47 +199,47 @@
     Request message;
     message.method = own.method;
     message.target = own.target;
-    std::size_t given =
+    std::size_t field_bytes =
         own.id.size() + own.class_name.size() + own.idempotency_key.size() + own.tenant.size();
-    for (const auto& [name, value] : headers) given += name.size() + value.size();
-    message.fields.reserve(headers.size() + set_here_most, given + set_here_bytes);
+    for (const auto& [name, value] : headers) field_bytes += name.size() + value.size();
+    message.fields.reserve(headers.size() + generated_field_count, field_bytes + generated_field_bytes);
     std::size_t size = own.target.size();
     const auto add = [&](std::string_view name, std::string_view value) {
         size += name.size() + value.size() + 4;
         message.fields.add(name, value);
     };
-    bool host = false;
+    bool has_host = false;
     for (const auto& [name, value] : headers) {
-        host = host || same_word(name, "Host");
-        if (!set_here(name)) add(name, value);
+        has_host = has_host || same_word(name, "Host");
+        if (!is_generated(name)) add(name, value);
     }
-    if (!host) add("Host", "api.internal");
+    if (!has_host) add("Host", "api.internal");
     const auto budget_ms = std::chrono::ceil<milliseconds>(own.budget).count();
-    constexpr std::int64_t most_ms = 0xffffffff;
+    constexpr std::int64_t max_ms = 0xffffffff;
     add(call_id_field, own.id);
     add(class_field, own.class_name);
-    add(budget_field, std::to_string(std::min<std::int64_t>(budget_ms, most_ms)));
+    add(budget_field, std::to_string(std::min<std::int64_t>(budget_ms, max_ms)));
     if (!is_plain(own.idempotency_key, false) || !is_plain(own.tenant, true) ||
         !is_plain(own.class_name, true)) {
         return wrong("class, tenant and idempotency key must be plain words");
     }
     if (!own.idempotency_key.empty()) add(key_field, own.idempotency_key);
     if (!own.tenant.empty()) add(caller_field, own.tenant);
-    if (own.client_retry) add(again_field, "1");
+    if (own.client_retry) add(retry_field, "1");
     if (own.cost_hint) add(cost_field, std::to_string(std::max<std::int64_t>(0, own.cost_hint->count())));
     if (size > header_most)
         return wrong("the headers have more than " + std::to_string(header_most) + " bytes");
     message.body = own.body;
     auto understood = understand(std::move(message), settings);
     if (auto* request = std::get_if<ClientRequest>(&understood)) {
-        request->budget = std::min(request->budget, own.budget);  // the header counts whole milliseconds
+        request->budget = std::min(request->budget, own.budget);  // X-Budget-Ms is rounded up to milliseconds
         if (own.key != 0) request->facts.key = own.key;
     }
     return understood;
 }
 
 void make_onward(Request& message) {
-    strip_hop_by_hop(message.fields, for_the_upstream);
+    strip_hop_by_hop(message.fields, end_to_end_fields);
     message.version = 11;
 }
 
@@ -252,9 +256,9 @@
 
 Outcome outcome_of(const Response& answer) {
     if (answer.status == 200) return Outcome::ok;
-    const bool turns_away = answer.status == 503 || answer.status == 504;
-    // A bare 503 may come from behind a request that has run.
-    return turns_away && answer.fields[rejected_field] == "1" ? Outcome::full : Outcome::error;
+    const bool is_rejection_status = answer.status == 503 || answer.status == 504;
+    // A 503 without X-Rejected does not rule out that the request has executed.
+    return is_rejection_status && answer.fields[rejected_field] == "1" ? Outcome::full : Outcome::error;
 }
 
 Report report_of(const Response& answer, const std::vector<std::string>& fields) {
@@ -264,7 +268,7 @@
 }
 
 Report parse_report(std::string_view text, const std::vector<std::string>& fields) {
-    Report report(fields.size(), unknown);
+    Report report(fields.size(), missing_value);
     while (!text.empty()) {
         const auto comma = text.find(',');
         auto pair = text.substr(0, comma);
@@ -279,11 +283,11 @@
         float value = 0;
         const auto [end, error] = std::from_chars(number.data(), number.data() + number.size(), value);
         if (error != std::errc{} || end != number.data() + number.size() ||
-            !(value >= 0 && value <= value_most))
+            !(value >= 0 && value <= max_report_value))
             return {};
         report[static_cast<std::size_t>(field - fields.begin())] = value;
     }
-    const bool all = std::find(report.begin(), report.end(), unknown) == report.end();
+    const bool all = std::find(report.begin(), report.end(), missing_value) == report.end();
     return all ? report : Report{};
 }
 
--- a/src/http/platform.h
+++ b/src/http/platform.h
@@ -1,8 +1,9 @@
-// All that belongs to this platform in the messages of clients and upstreams: its X-* fields, its paths,
-// which method goes with which class, and what its answers mean.
+// The platform-specific part of client and upstream messages: the X-* fields, the paths, the method that each class
+// requires, and the meaning of responses.
 //
-// Threading: functions without state.   Units: as the names say; Micros are microseconds.
-// Format:    the platform's protocol page; the wording of Retry-After is RFC 9110, 10.2.3, with decimals.
+// Threading: functions without state; any thread.
+// Units:     named in the fields; Micros are microseconds.
+// Format:    the platform's protocol. Retry-After is a number of seconds (RFC 9110, 10.2.3), here with decimals.
 #pragma once
 
 #include <cstdint>
@@ -19,11 +20,10 @@
 
 enum class Route { api, ready, unknown };
 
-// By method and path; the query is of no matter.
+// Routes by method and path; ignores the query.
 [[nodiscard]] Route route_of(const Request& message);
 
-// A request that has been understood. The id and the deadline in `facts` are not set: what it has left stands
-// in `budget`.
+// A valid request. The id and the deadline in `facts` are not set; the remaining time is `budget`.
 struct ClientRequest {
     flaxdoor::Request facts;
     Micros budget{};
@@ -31,15 +31,16 @@
     Request message;
 };
 
-// One clear reason, fit to be told to the client.
+// The error in an invalid request, as text for the client.
 struct NotUnderstood {
     std::string why;
 };
 
+// Validates a client's request and parses its platform fields.
 [[nodiscard]] std::variant<ClientRequest, NotUnderstood> understand(Request message,
                                                                     const Settings& settings);
 
-// A call that does not come from a client's connection, but from inside this process.
+// A request made by the embedding process rather than received from a client.
 struct OwnRequest {
     std::string_view class_name, id, method, target, idempotency_key, tenant, body;
     std::uint64_t key = 0;
@@ -47,34 +48,36 @@
     std::optional<Micros> cost_hint;
     bool client_retry = false;
     const std::vector<std::pair<std::string, std::string>>* headers =
-        nullptr;  // those named here are left out
+        nullptr;  // further header fields; names that the members above or the framing define are ignored
 };
-// The same as if a client had sent it, and checked in the same way.
+// Builds the request that a client would have sent, and validates it in the same way.
 [[nodiscard]] std::variant<ClientRequest, NotUnderstood> understand(const OwnRequest& request,
                                                                     const Settings& settings);
 
-// What is wrong with a message that comes from inside this process, and was read by no machine of ours: a
-// line's end in it would begin another message. Empty: nothing.
+// Returns the error in the method, target or headers of a message that ServerMachine did not parse; empty when they
+// are valid. Prevents request smuggling: a line end in a value would begin another message.
 [[nodiscard]] std::string unfit(std::string_view method, std::string_view target,
                                 const std::vector<std::pair<std::string, std::string>>& headers);
-// The same of how a client's message told its end, where a web framework's reader may be more lenient than
-// ours: two lengths or an unknown framing may hide another message.
+// Returns the error in the framing of a message that a web framework parsed; empty when it is valid. The framework may
+// be more lenient than ServerMachine: two lengths or an unknown transfer coding may hide another message.
 [[nodiscard]] std::string badly_framed(const std::vector<std::pair<std::string, std::string>>& headers);
 
-// Makes of a client's request what goes on to an upstream, of an upstream's answer what goes on to a client.
+// Turns a client's request into the request to an upstream.
 void make_onward(Request& message);
+// Turns an upstream's response into the response to the client.
 void make_homeward(Response& message);
-// Tells an upstream how long its answer is waited for; whole milliseconds, one at least.
+// Sets X-Budget-Ms, the time that the balancer waits for the response, in whole milliseconds; at least 1.
 void set_budget(Request& message, Micros left);
 
-// What an upstream's whole answer means.
+// Maps an upstream's complete response to an outcome.
 [[nodiscard]] Outcome outcome_of(const Response& answer);
-// The load report that came along; empty when there is none, or none that holds all `fields` as numbers.
+// Returns the load report in a response; empty when there is none, or when a value of `fields` is missing or invalid.
 [[nodiscard]] Report report_of(const Response& answer, const std::vector<std::string>& fields);
-// Values in the order of `fields`; empty when the text doesn't hold them all as numbers.
+// Returns the values in the order of `fields`; empty when one of them is missing or invalid.
 [[nodiscard]] Report parse_report(std::string_view text, const std::vector<std::string>& fields);
 
-// This side's own answers. A refusal means that trying again is harmless; `retry_after` 0: no advice.
+// Responses of the balancer's own. refusal() says that the request was rejected, not executed, so a retry is safe;
+// `retry_after` 0 omits Retry-After.
 [[nodiscard]] Response refusal(Micros retry_after);
 [[nodiscard]] Response failure(int status);
 [[nodiscard]] Response readiness(bool ready);
--- a/src/http/platform_handler.cpp
+++ b/src/http/platform_handler.cpp
@@ -13,16 +13,16 @@
     const Settings* const settings = core_.settings(pool_);
     if (!settings) return Answer{refusal({})};
     auto understood = understand(std::move(message), *settings);
-    if (const auto* wrong = std::get_if<NotUnderstood>(&understood))
-        return Answer{plain_answer(400, wrong->why), true};
+    if (const auto* invalid = std::get_if<NotUnderstood>(&understood))
+        return Answer{plain_answer(400, invalid->why), true};
     return Ask{call_of(std::get<ClientRequest>(std::move(understood)), pool_, client_ways), nullptr};
 }
 
 Response PlatformHandler::on_final(core::Final final, Asked*) { return answer_of(std::move(final)); }
 
 Handler::Answer PlatformHandler::on_not_taken(core::Taken taken, Asked*) {
-    NotTaken told = answer_of(taken);
-    return {std::move(told.answer), told.last};
+    NotTaken rejection = answer_of(taken);
+    return {std::move(rejection.answer), rejection.last};
 }
 
 }  // namespace flaxdoor::http
--- a/src/http/platform_handler.h
+++ b/src/http/platform_handler.h
@@ -1,4 +1,4 @@
-// The platform's one route: /api to one pool, and readiness (platform.h).
+// The handler of the platform's routes (platform.h): /api, which is forwarded to one pool, and readiness checks.
 #pragma once
 
 #include "http/handler.h"
@@ -7,7 +7,7 @@
 
 class PlatformHandler final : public Handler {
 public:
-    // The core is borrowed and outlives it.
+    // Borrows the core, which must outlive the handler.
     PlatformHandler(core::Core& core, core::PoolId pool) : core_(core), pool_(pool) {}
 
     std::variant<Answer, Ask> on_request(Request message, const From& from) override;
--- a/src/http/reader.h
+++ b/src/http/reader.h
@@ -1,9 +1,8 @@
-// One message on its way in: from bytes, in whatever pieces they come, to a Request or a Response. Used by
-// the two machines only. What is taken and what is refused, and with which words, depends on the bytes alone,
-// never on how they were split.
+// Incremental parsing of one message into a Request or a Response, for ServerMachine and ClientMachine only. Which
+// messages are accepted or rejected, and with which error, depends only on the bytes, not on how they were split.
 //
-// Format: RFC 9112. A header is parsed once all of it has come, by Boost.Beast; a start line that can't be
-//         one is refused as soon as that is certain.
+// Format: RFC 9112. Boost.Beast parses a header once all of it has been received; a start line that cannot be valid is
+//         rejected as soon as that is certain.
 #pragma once
 
 #include <cstddef>
@@ -15,45 +14,46 @@
 
 namespace flaxdoor::http {
 
-// Bytes that have come and are not used yet.
+// Received bytes that have not been consumed.
 class ByteQueue {
 public:
-    std::string_view view() const { return std::string_view(bytes_).substr(at_); }
-    std::size_t size() const { return bytes_.size() - at_; }
+    std::string_view view() const { return std::string_view(buffer_).substr(offset_); }
+    std::size_t size() const { return buffer_.size() - offset_; }
     bool empty() const { return size() == 0; }
 
     void append(std::string_view bytes);
-    void consume(std::size_t n);
-    // Hands back memory that what is left does not need.
-    void settle();
+    void consume(std::size_t count);
+    // Frees memory that the remaining bytes do not need (retained_buffer_bytes).
+    void shrink();
+    // Discards all bytes and frees the memory.
     void release();
 
 private:
-    std::string bytes_;
-    std::size_t at_ = 0;
+    std::string buffer_;
+    std::size_t offset_ = 0;
 };
 
-enum class Progress { more, whole, bad };
+enum class Progress { incomplete, complete, malformed };
 
-struct Fault {
-    int status = 400;  // what a client is told
-    std::string why;   // in words, of this side's own
+struct ParseError {
+    int status = 400;  // of the response to the client
+    std::string why;   // the balancer's own text, for people
 };
 
-// A chunked body (RFC 9112, 7.1). Extensions and trailers are checked and dropped; together they may be as
-// long as a header.
+// Parses a chunked body (RFC 9112, 7.1). Chunk extensions and trailers are validated and discarded; together they may
+// be as long as a header (header_most).
 class ChunkReader {
 public:
-    explicit ChunkReader(std::size_t body_limit = body_most) : body_limit_(body_limit) {}
+    explicit ChunkReader(std::size_t body_limit = body_most) : max_body_bytes_(body_limit) {}
 
-    // Takes from the front of `bytes` what belongs to the body.
-    [[nodiscard]] Progress take(std::string_view& bytes, std::string& body, Fault& fault);
+    // Consumes the bytes that belong to the body from the front of `bytes`.
+    [[nodiscard]] Progress parse(std::string_view& bytes, std::string& body, ParseError& error);
 
 private:
     enum class State : std::uint8_t {
         size_start,
         size,
-        blank,  // ahead of an extension
+        blank,  // before an extension
         extension,
         size_end,
         data,
@@ -65,64 +65,68 @@
         trailer_end,
         last_lf,
     };
+    // Handles one byte. Returns the error, or null when the byte is valid.
     [[nodiscard]] const char* step(char c, const std::string& body);
-    bool over_limit() { return ++extra_ > header_most; }
+    bool exceeds_overhead_limit() { return ++overhead_bytes_ > header_most; }
 
-    std::size_t body_limit_;
-    std::uint64_t left_ = 0;  // of the chunk
-    std::uint32_t extra_ = 0;
-    std::uint8_t digits_ = 0;
+    std::size_t max_body_bytes_;
+    std::uint64_t chunk_bytes_left_ = 0;
+    std::uint32_t overhead_bytes_ = 0;  // of extensions and trailers
+    std::uint8_t size_digits_ = 0;
     State state_ = State::size_start;
     bool too_large_ = false;
-    bool over_ = false;
+    bool complete_ = false;
 };
 
-// Message is Request or Response. Where the end of a message is told must be clear, and told in one way:
-//  - a request with both Content-Length and Transfer-Encoding, or with either one twice (also twice the
-//    same), is refused, as is a coding other than chunked;
-//  - so is a response, but the same Content-Length twice is taken, as RFC 9112, 6.3 allows; and one that tells no
-//    length ends with its connection, which must end in order: a reset is no end.
+// Parses one message; Message is Request or Response. The end of a message must be declared once and unambiguously:
+//  - A request with both Content-Length and Transfer-Encoding, or with either of them twice (even with equal values),
+//    is rejected, and so is a transfer coding other than chunked.
+//  - The same applies to a response, with two exceptions. Repeated equal Content-Length fields are accepted, as
+//    RFC 9112, 6.3 allows. A response without a declared length ends with its connection, which must end in order; a
+//    reset does not complete it.
 template <typename Message>
 class Reader {
 public:
-    // `bodyless`: it ends with its header whatever that says, as an answer to HEAD does.
+    // `bodyless`: the message ends with its header whatever its fields say, as a response to HEAD does.
     explicit Reader(std::size_t body_limit = body_most, bool bodyless = false)
-        : chunks_(body_limit), body_limit_(body_limit), bodyless_(bodyless) {}
+        : chunks_(body_limit), max_body_bytes_(body_limit), bodyless_(bodyless) {}
 
-    // Takes from the front of `bytes` what belongs to this message. To be called no more after `whole` or
-    // `bad`.
-    [[nodiscard]] Progress take(ByteQueue& bytes);
-    // Nothing more will come, and its connection was ended in order: is the message whole by that?
-    [[nodiscard]] bool ends_here() const { return header_done_ && framing_ == Framing::connection; }
+    // Consumes the bytes that belong to this message from the front of `bytes`. Must not be called again after it has
+    // returned `complete` or `malformed`.
+    [[nodiscard]] Progress parse(ByteQueue& bytes);
+    // Whether an orderly end of the connection now completes the message.
+    [[nodiscard]] bool ends_with_connection() const {
+        return header_done_ && framing_ == Framing::connection;
+    }
 
     bool header_done() const { return header_done_; }
     Message& message() { return message_; }
     const Message& message() const { return message_; }
-    // Of a message whose header is done: whether another one may follow on its connection.
+    // Whether another message may follow on the connection. Requires header_done().
     bool keep_alive() const { return keep_alive_; }
-    const Fault& fault() const { return fault_; }
+    const ParseError& error() const { return error_; }
 
 private:
     enum class Framing : std::uint8_t { none, length, chunked, connection };
 
-    Progress take_header(ByteQueue& bytes);
-    Progress parse_header(std::string block);
-    Progress take_body(ByteQueue& bytes);
+    Progress parse_header(ByteQueue& bytes);
+    Progress parse_fields(std::string block);
+    Progress parse_body(ByteQueue& bytes);
     bool set_framing(std::uint64_t length, bool has_length);
-    Progress refuse(int status, std::string why);
+    Progress reject(int status, std::string why);
 
     Message message_;
-    Fault fault_;
+    ParseError error_;
     ChunkReader chunks_;
-    std::size_t body_limit_;
+    std::size_t max_body_bytes_;
     bool bodyless_;
-    std::size_t scanned_ = 0;     // of the header, for its end
-    std::size_t line_ = 0;        // where the line begins in which that is
-    std::size_t first_line_ = 0;  // size of the start line; 0 while it is not whole
-    std::size_t left_ = 0;        // of a body of known length
+    std::size_t scanned_ = 0;           // bytes of the header searched for its end
+    std::size_t line_start_ = 0;        // offset of the line that is being received
+    std::size_t first_line_bytes_ = 0;  // size of the start line; 0 until it is complete
+    std::size_t body_bytes_left_ = 0;   // of a body with a declared length
     Framing framing_ = Framing::none;
     bool first_line_checked_ = false;
-    bool folded_ = false;  // a line of the header goes on in the next one
+    bool folded_ = false;  // a header line is continued on the next line
     bool header_done_ = false;
     bool keep_alive_ = false;
 };
--- a/src/http/server_machine.cpp
+++ b/src/http/server_machine.cpp
@@ -28,9 +28,9 @@
     if (signal == Signal::broken) return State::over;
     switch (state) {
         case State::reading:
-            if (signal == Signal::request_taken) return State::waiting;
-            if (signal == Signal::request_refused) return State::writing;
-            if (signal == Signal::peer_done) return State::over;
+            if (signal == Signal::request_received) return State::waiting;
+            if (signal == Signal::request_rejected) return State::writing;
+            if (signal == Signal::client_done) return State::over;
             break;
         case State::waiting:
             if (signal == Signal::answer_given) return State::writing;
@@ -40,54 +40,55 @@
             if (signal == Signal::last_answer_written) return State::lingering;
             break;
         case State::lingering:
-            if (signal == Signal::peer_done || signal == Signal::enough_dropped) return State::over;
+            if (signal == Signal::client_done || signal == Signal::discard_limit_reached) return State::over;
             break;
         case State::over: break;
     }
     return state;
 }
 
-void ServerMachine::move(ServerSignal signal) {
+void ServerMachine::apply(ServerSignal signal) {
     state_ = after(state_, signal);
     if (state_ != ServerState::over && state_ != ServerState::lingering) return;
-    in_.release();
+    input_.release();
     reader_.reset();
     if (state_ == ServerState::over) {
-        std::string().swap(out_);  // an assignment would keep the memory
-        out_at_ = 0;
+        std::string().swap(output_);  // an assignment would not free the memory
+        output_offset_ = 0;
     }
 }
 
 void ServerMachine::receive(std::string_view bytes) {
-    if (state_ == ServerState::over || peer_ended_) return;
-    const bool no_more = state_ == ServerState::lingering || (state_ == ServerState::writing && last_);
-    if (!no_more) {
-        in_.append(bytes);
+    if (state_ == ServerState::over || client_ended_) return;
+    const bool discard =
+        state_ == ServerState::lingering || (state_ == ServerState::writing && last_response_);
+    if (!discard) {
+        input_.append(bytes);
         return;
     }
-    dropped_ += bytes.size();
-    if (dropped_ > linger_) move(ServerSignal::enough_dropped);
+    discarded_bytes_ += bytes.size();
+    if (discarded_bytes_ > linger_limit_) apply(ServerSignal::discard_limit_reached);
 }
 
 void ServerMachine::receive_end() {
-    peer_ended_ = true;
-    if (state_ == ServerState::lingering) move(ServerSignal::peer_done);
+    client_ended_ = true;
+    if (state_ == ServerState::lingering) apply(ServerSignal::client_done);
 }
 
-void ServerMachine::reset() { move(ServerSignal::broken); }
+void ServerMachine::reset() { apply(ServerSignal::broken); }
 
 std::optional<ServerEvent> ServerMachine::next() {
-    if (answered_) {
-        answered_ = false;
+    if (answered_event_due_) {
+        answered_event_due_ = false;
         ServerEvent event;
         event.kind = ServerEvent::Kind::answered;
         return event;
     }
     if (state_ == ServerState::reading) {
-        if (auto event = take_request()) return event;
+        if (auto event = parse_request()) return event;
     }
-    if (state_ == ServerState::waiting && peer_ended_ && !half_close_told_) {
-        half_close_told_ = true;
+    if (state_ == ServerState::waiting && client_ended_ && !half_close_reported_) {
+        half_close_reported_ = true;
         ServerEvent event;
         event.kind = ServerEvent::Kind::half_closed;
         return event;
@@ -95,98 +96,99 @@
     return std::nullopt;
 }
 
-std::optional<ServerEvent> ServerMachine::take_request() {
-    Progress progress = Progress::more;
-    // Guards against clients that end a body with a line of its own: it is no request that could be refused
-    // (RFC 9112, 2.2).
-    while (!reader_ && in_.view().substr(0, blank_line.size()) == blank_line) in_.consume(blank_line.size());
-    const bool half_a_line = !reader_ && in_.view() == blank_line.substr(0, 1);
-    if (!in_.empty() && !half_a_line) {
-        if (!reader_) reader_ = std::make_unique<Reader<Request>>(body_);
-        progress = reader_->take(in_);
+std::optional<ServerEvent> ServerMachine::parse_request() {
+    Progress progress = Progress::incomplete;
+    // Skips empty lines before a request line (RFC 9112, 2.2): some clients send one after a body, and it must not be
+    // rejected as a malformed request.
+    while (!reader_ && input_.view().substr(0, blank_line.size()) == blank_line)
+        input_.consume(blank_line.size());
+    const bool partial_blank_line = !reader_ && input_.view() == blank_line.substr(0, 1);
+    if (!input_.empty() && !partial_blank_line) {
+        if (!reader_) reader_ = std::make_unique<Reader<Request>>(max_body_bytes_);
+        progress = reader_->parse(input_);
     }
     ServerEvent event;
-    if (progress == Progress::more) {
-        const bool asks = !continued_ && reader_ && reader_->header_done() &&
-                          reader_->message().version >= 11 &&
-                          same_word(reader_->message().fields["Expect"], "100-continue");
-        if (peer_ended_) {
-            move(ServerSignal::peer_done);
-        } else if (asks) {
-            continued_ = true;
-            out_.append(continue_line);
+    if (progress == Progress::incomplete) {
+        const bool expects_continue = !continue_sent_ && reader_ && reader_->header_done() &&
+                                      reader_->message().version >= 11 &&
+                                      same_word(reader_->message().fields["Expect"], "100-continue");
+        if (client_ended_) {
+            apply(ServerSignal::client_done);
+        } else if (expects_continue) {
+            continue_sent_ = true;
+            output_.append(continue_line);
         }
-        in_.settle();
+        input_.shrink();
         return std::nullopt;
     }
     const auto reader = std::move(reader_);
-    continued_ = false;
-    half_close_told_ = false;
-    old_ = reader->message().version < 11;
-    head_ = reader->message().method == "HEAD";
-    in_.settle();
-    if (progress == Progress::bad) {
+    continue_sent_ = false;
+    half_close_reported_ = false;
+    is_http_1_0_ = reader->message().version < 11;
+    is_head_ = reader->message().method == "HEAD";
+    input_.shrink();
+    if (progress == Progress::malformed) {
         keep_alive_ = false;
-        move(ServerSignal::request_refused);
-        give(plain_answer(reader->fault().status, reader->fault().why), true);
+        apply(ServerSignal::request_rejected);
+        write_response(plain_answer(reader->error().status, reader->error().why), true);
         event.kind = ServerEvent::Kind::malformed;
-        event.status = reader->fault().status;
-        event.why = reader->fault().why;
+        event.status = reader->error().status;
+        event.why = reader->error().why;
         return event;
     }
     keep_alive_ = reader->keep_alive();
-    move(ServerSignal::request_taken);
+    apply(ServerSignal::request_received);
     event.request = std::move(reader->message());
     return event;
 }
 
 bool ServerMachine::answer(const Response& response, bool last) {
     if (state_ != ServerState::waiting) return false;
-    move(ServerSignal::answer_given);
-    give(response, last);
+    apply(ServerSignal::answer_given);
+    write_response(response, last);
     return true;
 }
 
-bool ServerMachine::turn_away(int status, std::string_view why) {
+bool ServerMachine::reject(int status, std::string_view why) {
     return answer(plain_answer(status, why), true);
 }
 
-void ServerMachine::give(const Response& response, bool last) {
-    last_ = last || !keep_alive_ || (peer_ended_ && in_.empty());
-    // A client of HTTP/1.0 takes a connection as ended with the answer unless it is told otherwise.
-    const Persistence persistence = last_  ? Persistence::close
-                                    : old_ ? Persistence::keep_alive
-                                           : Persistence::unsaid;
-    append(out_, response, persistence, head_);
-    if (last_) in_.release();
+void ServerMachine::write_response(const Response& response, bool last) {
+    last_response_ = last || !keep_alive_ || (client_ended_ && input_.empty());
+    // An HTTP/1.0 client assumes that the connection closes after the response unless told otherwise.
+    const Persistence persistence = last_response_ ? Persistence::close
+                                    : is_http_1_0_ ? Persistence::keep_alive
+                                                   : Persistence::unspecified;
+    append(output_, response, persistence, is_head_);
+    if (last_response_) input_.release();
 }
 
-bool ServerMachine::interim() {
-    if (state_ != ServerState::waiting || old_) return false;
-    if (output().empty()) out_.append(continue_line);
+bool ServerMachine::send_continue() {
+    if (state_ != ServerState::waiting || is_http_1_0_) return false;
+    if (output().empty()) output_.append(continue_line);
     return true;
 }
 
 void ServerMachine::wrote(std::size_t n) {
-    out_at_ += std::min(n, out_.size() - out_at_);
-    if (out_at_ < out_.size() || out_.empty()) return;
-    std::string().swap(out_);  // an assignment would keep the memory
-    out_at_ = 0;
+    output_offset_ += std::min(n, output_.size() - output_offset_);
+    if (output_offset_ < output_.size() || output_.empty()) return;
+    std::string().swap(output_);  // an assignment would not free the memory
+    output_offset_ = 0;
     if (state_ != ServerState::writing) return;
-    answered_ = true;
+    answered_event_due_ = true;
     served_ = true;
-    move(last_ ? ServerSignal::last_answer_written : ServerSignal::answer_written);
-    if (peer_ended_ && state_ == ServerState::lingering) move(ServerSignal::peer_done);
+    apply(last_response_ ? ServerSignal::last_answer_written : ServerSignal::answer_written);
+    if (client_ended_ && state_ == ServerState::lingering) apply(ServerSignal::client_done);
 }
 
 bool ServerMachine::wants_read() const {
-    if (state_ == ServerState::over || peer_ended_) return false;
+    if (state_ == ServerState::over || client_ended_) return false;
     if (state_ == ServerState::lingering) return true;
-    return in_.size() + dropped_ <= header_most + body_;
+    return input_.size() + discarded_bytes_ <= header_most + max_body_bytes_;
 }
 
-bool ServerMachine::between() const {
-    return state_ == ServerState::reading && in_.empty() && !reader_ && out_.empty() && !peer_ended_;
+bool ServerMachine::between_requests() const {
+    return state_ == ServerState::reading && input_.empty() && !reader_ && output_.empty() && !client_ended_;
 }
 
 }  // namespace flaxdoor::http
--- a/src/http/server_machine.h
+++ b/src/http/server_machine.h
@@ -1,15 +1,17 @@
-// One client's connection, without its socket: bytes in, events and bytes out. No clock: the owner minds
-// time.
+// The protocol state of one client connection, without its socket: received bytes in, events and response bytes out.
+// It has no clock: the owner enforces time-outs.
 //
-// Threading: one thread at a time; no locks.   Ownership: nothing is borrowed beyond a call.
-// Use:       after receive(), receive_end(), wrote() and answer(), pull next() until it is empty, then write
-//            output() and tell wrote(). state() and the other looks hold once next() is empty.
-// Errors:    what can't be used is answered here (400, 413) and ends the connection; the event tells why.
+// Threading: one thread at a time; no locks.
+// Ownership: borrows nothing beyond a call.
+// Use:       after receive(), receive_end(), wrote() and answer(), the owner calls next() until it returns nothing,
+//            then writes output() and reports it with wrote(). state() and the other queries are valid once next() has
+//            returned nothing.
+// Errors:    the machine itself responds to a malformed request (400, 413) and then ends the connection; the event
+//            holds the error.
 // Format:    RFC 9112.
 //
-// The owner closes the socket when the state is `over`, and shuts down its sending side when it is
-// `lingering`: to close while bytes of the client are unread would reset the connection, and the answer be
-// lost on its way.
+// The owner closes the socket when the state is `over`, and shuts down its sending side when it is `lingering`: closing
+// a socket with unread client bytes would reset the connection, and the response could be lost in transit.
 #pragma once
 
 #include <cstddef>
@@ -25,110 +27,108 @@
 namespace flaxdoor::http {
 
 enum class ServerState : std::uint8_t {
-    reading,    // between requests, or a request is coming in
-    waiting,    // a request was taken, its answer is due
-    writing,    // the answer is on its way out
-    lingering,  // the last answer is out; what still comes is dropped until the client ends
+    reading,    // between requests, or receiving a request
+    waiting,    // a request was received, and its response is due
+    writing,    // a response is being written
+    lingering,  // the last response was written; received bytes are discarded until the client closes
     over,
 };
 
 enum class ServerSignal : std::uint8_t {
-    request_taken,
-    request_refused,  // by the machine itself
+    request_received,
+    request_rejected,  // by the machine itself
     answer_given,
-    answer_written,       // and another request may follow
-    last_answer_written,  // and none may
-    peer_done,            // the client has ended, and nothing that it sent is left to answer
-    enough_dropped,
+    answer_written,         // another request may follow
+    last_answer_written,    // no other request may follow
+    client_done,            // the client has ended its sending, and no received request is left to respond to
+    discard_limit_reached,  // while lingering
     broken,
 };
 
 [[nodiscard]] std::string_view text_of(ServerState state);
-// The only place that knows which state follows on which. A signal that means nothing in a state changes
-// nothing.
+// The state transition table. A signal that does not apply to a state leaves the state unchanged.
 [[nodiscard]] ServerState after(ServerState state, ServerSignal signal);
 
 struct ServerEvent {
     enum class Kind : std::uint8_t {
-        request,      // whole, and its answer is due
-        malformed,    // what came is no request; it is answered already
-        half_closed,  // the client has ended its sending while its request waits: once for each such request
-        answered,     // the answer to a request, or to what was none, is written whole
+        request,      // a complete request, whose response is due
+        malformed,    // an invalid request; the machine has already responded
+        half_closed,  // the client has ended its sending while its request waits; once for each such request
+        answered,     // the response to a request, valid or malformed, was written completely
     };
     Kind kind = Kind::request;
     Request request;  // of kind `request`
-    int status = 0;   // of kind `malformed`: what the client is told
-    std::string why;  // and what is wrong, in words
+    int status = 0;   // of kind `malformed`: status of the response
+    std::string why;  // of kind `malformed`: the error, for people
 };
 
 class ServerMachine {
 public:
-    static constexpr std::size_t ahead_most = header_most + body_most;  // sent beyond the request that waits,
-                                                                        // with the usual limit of a body
-    static constexpr std::size_t linger_most = 256 * 1024;
+    // Bytes accepted beyond the request that waits, with the default limit of a body.
+    static constexpr std::size_t max_pipelined_bytes = header_most + body_most;
+    static constexpr std::size_t max_linger_bytes = 256 * 1024;
 
-    // `linger`: bytes that are dropped at the end of a connection until it is over; `body`: of a request.
-    explicit ServerMachine(std::size_t linger = linger_most, std::size_t body = body_most)
-        : linger_(linger), body_(body) {}
+    // `linger`: bytes discarded while lingering before the connection is over; `body`: longest request body, in bytes.
+    explicit ServerMachine(std::size_t linger = max_linger_bytes, std::size_t body = body_most)
+        : linger_limit_(linger), max_body_bytes_(body) {}
     ServerMachine(const ServerMachine&) = delete;
     ServerMachine& operator=(const ServerMachine&) = delete;
 
-    // What has come. Any amount is taken: it is for the owner to heed wants_read().
+    // Handles received bytes. Accepts any number of bytes: the owner enforces wants_read().
     void receive(std::string_view bytes);
-    // The client has ended its sending (its FIN came). Whole requests that came ahead of it are still
-    // answered.
+    // Handles the end of the client's sending (its FIN). Complete requests received before it are still served.
     void receive_end();
-    // The connection is broken: nothing can be written any more.
+    // Handles a broken connection: nothing can be written any more.
     void reset();
 
     [[nodiscard]] std::optional<ServerEvent> next();
 
-    // The one final answer (200 to 599) of the request that waits; its framing and Connection are worded
-    // here. `last`: the connection ends with it. False, and nothing is written, when no request waits.
+    // Gives the final response (200 to 599) to the request that waits; the machine generates the framing and
+    // Connection fields. `last`: the connection ends with it. Returns false without effect when no request waits.
     [[nodiscard]] bool answer(const Response& response, bool last = false);
-    // The same with a plain text, `why` or the usual words; the connection ends with it: whoever sends what
-    // can't be used would send it again.
-    [[nodiscard]] bool turn_away(int status, std::string_view why = {});
-    // Asks for a 100 Continue to be written to a client that has ended its sending while its request waits
-    // (the owner may know that ahead of the bytes that are still unread): one that is really gone answers it
-    // with a reset. False when that would not be allowed (HTTP/1.0 knows none) or is of no use.
-    [[nodiscard]] bool interim();
-
-    // To be written next; holds until the next call that changes the machine.
-    std::string_view output() const { return std::string_view(out_).substr(out_at_); }
+    // Responds with plain text, `why` or the standard reason phrase, and ends the connection, because a client that
+    // sends an unusable request would send it again.
+    [[nodiscard]] bool reject(int status, std::string_view why = {});
+    // Queues a 100 Continue to a client that has ended its sending while its request waits (which the owner may know
+    // before the unread bytes ahead of the end are read): a client that has disconnected responds with a reset.
+    // Returns false when no request waits, or when the client uses HTTP/1.0, which has no 100 Continue.
+    [[nodiscard]] bool send_continue();
+
+    // Bytes to write next; valid until the next call that changes the machine.
+    std::string_view output() const { return std::string_view(output_).substr(output_offset_); }
     void wrote(std::size_t n);
 
     ServerState state() const { return state_; }
-    // Whether more should be read. A client that sends too far ahead is left waiting in its socket.
+    // Whether the owner should read more. The bytes of a client that sends too far ahead stay in its socket.
     bool wants_read() const;
-    // Nothing of a request has come, nothing is to be written: the connection may be closed or kept.
-    bool between() const;
-    // An answer was written whole on this connection before.
+    // Whether no part of a request was received and no output is left: the connection may be closed or kept.
+    bool between_requests() const;
+    // Whether a response was written completely on this connection.
     bool served() const { return served_; }
 
 private:
-    std::optional<ServerEvent> take_request();
-    void give(const Response& response, bool last);
-    void move(ServerSignal signal);
-
-    ByteQueue in_;
-    std::string out_;
-    std::size_t out_at_ = 0;
-    std::unique_ptr<Reader<Request>> reader_;  // while a request is coming in
-    std::size_t linger_;
-    std::size_t body_;
-    std::size_t dropped_ = 0;
+    std::optional<ServerEvent> parse_request();
+    void write_response(const Response& response, bool last);
+    void apply(ServerSignal signal);
+
+    ByteQueue input_;
+    std::string output_;
+    std::size_t output_offset_ = 0;
+    std::unique_ptr<Reader<Request>> reader_;  // set while a request is being received
+    std::size_t linger_limit_;
+    std::size_t max_body_bytes_;
+    std::size_t discarded_bytes_ = 0;
     ServerState state_ = ServerState::reading;
-    bool peer_ended_ = false;
-    bool half_close_told_ = false;  // of the request that waits
-    bool answered_ = false;         // still to be told
+    bool client_ended_ = false;
+    bool half_close_reported_ = false;  // for the request that waits
+    bool answered_event_due_ = false;
     bool served_ = false;
-    bool last_ = false;       // the answer that is given ends the connection
-    bool continued_ = false;  // the request that is coming in has had its 100 Continue
-    // Of the request that waits.
-    bool old_ = false;  // HTTP/1.0
+    bool last_response_ = false;  // the response in progress ends the connection
+    bool continue_sent_ = false;  // for the request that is being received
+    // Properties of the request that waits.
+    bool is_http_1_0_ = false;
     bool keep_alive_ = false;
-    bool head_ = false;  // its answer has no body
+    bool is_head_ = false;  // the response has no body
 };
 
 }  // namespace flaxdoor::http
--- a/src/ingress/router.cpp
+++ b/src/ingress/router.cpp
@@ -133,7 +133,7 @@
 
 Response answer(core::Final final, const Routed& routed) {
     const auto homeward = [&](Response message) {
-        if (routed.head) message.told_length = message.fields["Content-Length"];
+        if (routed.head) message.head_content_length = message.fields["Content-Length"];
         http::strip_hop_by_hop(message.fields);
         message.version = 11;
         routes::edit(message.fields, routed.rule->response);
--- a/tests/fuzz/answers.cpp
+++ b/tests/fuzz/answers.cpp
@@ -40,7 +40,7 @@
         require(parser.is_done(), "answer that is not whole");
         rest.remove_prefix(used);
         if (parser.get().result_int() < 200) {
-            require(turn < ClientMachine::interim_most, "too many interim answers");
+            require(turn < ClientMachine::max_interim_responses, "too many interim answers");
             continue;
         }
         require(static_cast<int>(parser.get().result_int()) == result->answer.status, "another status");
@@ -61,7 +61,7 @@
     if (!result || result->kind != ClientResult::Kind::answered) return;
     make_homeward(result->answer);
     std::string on;
-    append(on, result->answer, Persistence::unsaid);
+    append(on, result->answer, Persistence::unspecified);
     const Exchange seen = ask({on});
     require(seen.reusable, "what goes on is not one answer");
     if (result->answer.status != 204 && result->answer.status != 304) {
--- a/tests/http/back_test.cpp
+++ b/tests/http/back_test.cpp
@@ -1,5 +1,6 @@
-// The HTTP back over real connections, with a core and no front of its own: which of its kept connections it takes, and
-// what it tells its upstream. What must not depend on the machine's speed is set so long that it never comes.
+// Tests of the HTTP upstream connection pool over real connections, with a core and without a listener: which idle
+// connection it reuses, and how it treats unsolicited bytes. Time-outs that must not fire are set to an hour, so that the
+// tests do not depend on the machine's speed.
 #include "http/back.h"
 
 #include <gtest/gtest.h>
@@ -20,7 +21,7 @@
 using standins::peers::Listener;
 using standins::peers::ok;
 using standins::peers::Wire;
-using Link = std::shared_ptr<Wire>;
+using WirePtr = std::shared_ptr<Wire>;
 
 struct Answers final : core::Front {
     void on_started(std::uint64_t, std::unique_ptr<core::Payload>) override {}
@@ -32,7 +33,7 @@
     std::map<std::uint64_t, std::string> bodies;
 };
 
-// One upstream, and connections that have rested once `rest` has passed.
+// One upstream, and a pool with the given reuse delay (BackOptions::rest).
 class BackTest : public OnCore {
 protected:
     void start(Micros rest) {
@@ -40,7 +41,8 @@
         options.rest = rest;
         back = std::make_unique<Back>(loop.get_executor(), core, clock, budget, options);
         Settings settings = flaxdoor::test::plain_settings();
-        for (auto& c : settings.classes) c.aim = c.deadline = std::chrono::hours(1);
+        for (auto& class_settings : settings.classes)
+            class_settings.aim = class_settings.deadline = std::chrono::hours(1);
         pool = core.add_pool({"api", settings, 1}, *back, nullptr);
         core::MemberList list;
         list.members.emplace_back();
@@ -50,8 +52,8 @@
     }
     void TearDown() override { core.remove_pool(pool); }
 
-    // A request, and the connection on which it is at the upstream.
-    Link ask() {
+    // Sends a request and returns the connection on which the upstream receives it.
+    WirePtr ask() {
         Request message;
         message.method = "GET";
         message.target = "/api";
@@ -59,18 +61,18 @@
         call.pool = pool;
         call.budget = std::chrono::hours(1);
         call.payload = std::make_shared<RequestPayload>(std::move(message));
-        EXPECT_EQ(core.take(std::move(call), answers, ++asked), core::Taken::yes);
-        Link on;
+        EXPECT_EQ(core.take(std::move(call), answers, ++calls_sent), core::Taken::yes);
+        WirePtr connection;
         EXPECT_TRUE(until([&] {
-            for (const Link& wire : upstream.wires) {
-                if (!wire->take().empty()) on = wire;
+            for (const WirePtr& wire : upstream.wires) {
+                if (!wire->take().empty()) connection = wire;
             }
-            return on != nullptr;
+            return connection != nullptr;
         }));
-        return on;
+        return connection;
     }
-    void serve(const Link& on, std::uint64_t token, std::string_view further = "") {
-        on->say(ok("a" + std::to_string(token)) + std::string(further));
+    void serve(const WirePtr& connection, std::uint64_t token, std::string_view extra = "") {
+        connection->say(ok("a" + std::to_string(token)) + std::string(extra));
         EXPECT_TRUE(until([&] { return answers.verdicts.contains(token); }));
         EXPECT_EQ(answers.bodies[token], "a" + std::to_string(token));
     }
@@ -80,56 +82,57 @@
     Listener upstream{loop};
     std::unique_ptr<Back> back;
     core::PoolId pool = 0;
-    std::uint64_t asked = 0;
+    std::uint64_t calls_sent = 0;
 };
 
-// Of two connections the one that carried an answer last is taken where both have rested, and the other one where
-// neither has: a second answer that is still on its way is the likelier on the later.
-TEST_F(BackTest, AConnectionRestsBeforeItIsUsedAgain) {
-    for (const bool rested : {true, false}) {
-        SCOPED_TRACE(rested);
-        start(rested ? Micros{0} : std::chrono::hours(1));
-        const Link first = ask(), second = ask();
+// Of two idle connections, the most recently used one is reused when both have passed the reuse delay. When neither has,
+// the other one is reused: a duplicate response in transit is more likely on the most recently used connection.
+TEST_F(BackTest, AConnectionIsReusedAfterTheReuseDelay) {
+    for (const bool delay_passed : {true, false}) {
+        SCOPED_TRACE(delay_passed);
+        start(delay_passed ? Micros{0} : std::chrono::hours(1));
+        const WirePtr first = ask(), second = ask();
         ASSERT_NE(first, second);
-        serve(first, asked - 1);
-        serve(second, asked);
-        EXPECT_EQ(ask(), rested ? second : first);
+        serve(first, calls_sent - 1);
+        serve(second, calls_sent);
+        EXPECT_EQ(ask(), delay_passed ? second : first);
         core.remove_pool(pool);
         upstream.wires.clear();
     }
 }
 
-// What comes on a connection that carries nothing ends it, and its server is in doubt: from then on none that has not
-// rested is used, and the next request has a new one. Its answer is its own, whatever comes on the old ones.
-TEST_F(BackTest, AServerThatSpeaksUnaskedIsGivenTime) {
+// Unsolicited bytes on an idle connection close it and put the upstream in doubt: connections that have not passed the
+// reuse delay are no longer reused, so the next request gets a new connection. Bytes on the old ones do not become its
+// response.
+TEST_F(BackTest, UnsolicitedBytesPutTheUpstreamInDoubt) {
     start(std::chrono::hours(1));
-    const Link first = ask(), second = ask();
+    const WirePtr first = ask(), second = ask();
     serve(first, 1);
     serve(second, 2);
     first->say(ok("a1"));
     ASSERT_TRUE(until([&] { return first->ended; }));
-    const Link third = ask();
+    const WirePtr third = ask();
     EXPECT_NE(third, second);
     second->say(ok("a2"));
     ASSERT_TRUE(until([&] { return second->ended; }));
     serve(third, 3);
 }
 
-// The same where both come at once: unread bytes on a resting connection are seen before it is taken.
-TEST_F(BackTest, UnreadBytesPutTheirServerInDoubtToo) {
+// The same when the bytes have arrived but are unread: they are noticed before the connection is reused.
+TEST_F(BackTest, UnreadUnsolicitedBytesPutTheUpstreamInDoubt) {
     start(std::chrono::hours(1));
-    const Link first = ask(), second = ask();
+    const WirePtr first = ask(), second = ask();
     serve(first, 1);
     serve(second, 2);
-    first->say(ok("a1"));  // it is in this machine's buffers, and the loop has not looked
-    const Link third = ask();
+    first->say(ok("a1"));  // in the socket's buffer; the event loop has not read it
+    const WirePtr third = ask();
     EXPECT_NE(third, first);
     EXPECT_NE(third, second);
     serve(third, 3);
 }
 
-// Ahead of a listener's close: who has come can be accepted, and who comes now is not heard.
-TEST(Sockets, AListenerThatTakesNoMoreKeepsWhoHasCome) {
+// After take_no_more(), connections in the backlog can still be accepted, and no further connection is established.
+TEST(Sockets, AListenerThatTakesNoMoreKeepsItsBacklog) {
     boost::asio::io_context loop{1};
     loop::tcp::acceptor acceptor(loop, standins::peers::loopback());
     acceptor.non_blocking(true);
--- a/tests/http/cases.cpp
+++ b/tests/http/cases.cpp
@@ -27,7 +27,7 @@
 std::string ok(const std::string& body = "served", const std::string& fields = "") {
     return "HTTP/1.1 200 OK\r\n" + fields + length_of(body) + "\r\n" + body;
 }
-// A header of exactly this size.
+// Returns a request whose header has exactly this size.
 std::string sized_get(std::size_t size) {
     const auto start = "GET /api HTTP/1.1\r\nX-Long: "s;
     return start + std::string(size - start.size() - 4, 'x') + "\r\n\r\n";
@@ -105,7 +105,7 @@
         {"continue_old",
          {{"POST /a HTTP/1.0\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\nbody", "POST /a [body]"}},
          false},
-        // chunks
+        // chunked bodies
         {"chunked", {{chunked + "4\r\nbody\r\n0\r\n\r\n", in_chunks + "body]"}, {look(), "GET /api?q=1 []"}}},
         {"chunked_empty", {{chunked + "0\r\n\r\n", in_chunks + "]"}, {look(), "GET /api?q=1 []"}}},
         {"chunked_many",
@@ -143,7 +143,7 @@
         {"chunked_bad_trailer", {{chunked + "0\r\nno trailer\r\n\r\n" + hidden, bad}}, false},
         {"chunked_long_extension", {{chunked + "1;" + std::string(17000, 'x') + "\r\nx", bad}}, false},
         {"chunked_long_trailers", {{chunked + "0\r\nX: " + std::string(17000, 'x'), bad}}, false},
-        // no request
+        // malformed requests
         {"nonsense", {{"nonsense\r\n\r\n", bad}}, false},
         {"nonsense_line", {{"nonsense\r\n", bad}}, false},
         {"binary", {{"\x16\x03\x01\x02", bad}}, false},
@@ -165,7 +165,7 @@
         {"header_endless", {{"GET /api HTTP/1.1\r\nX-Long: " + std::string(20000, 'x'), bad}}, false},
         {"header_full", {{"GET /api HTTP/1.1\r\nX: " + std::string(header_limit - 22, 'x'), bad}}, false},
         {"target_endless", {{"GET /" + std::string(20000, 'x'), bad}}, false},
-        // lengths
+        // Content-Length and Transfer-Encoding
         {"largest_body",
          {{good + "Content-Length: 65536\r\n\r\n" + std::string(body_limit, 'x'),
            in_chunks + std::string(body_limit, 'x') + "]"}}},
@@ -209,7 +209,7 @@
          {{good + "Transfer-Encoding: chunked\r\nTransfer-Encoding: identity\r\n\r\n0\r\n\r\n" + hidden,
            bad}},
          false},
-        // whole requests to this machine, for the platform to turn down
+        // requests that are valid HTTP; the platform layer rejects them
         {"get_with_body", {{get + length + "\r\n" + hidden, "GET /api [" + hidden + "]"}}},
         {"get_with_chunks",
          {{get + "Transfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n", "GET /api [body]"},
@@ -258,10 +258,10 @@
          "200 [ok]"},
         {"largest", ok(std::string(body_limit, 'x')), "200 [" + std::string(body_limit, 'x') + "]"},
         {"header_at_limit", sized_ok(header_limit), "200 [ok]"},
-        // no answer
+        // malformed responses
         {"nonsense", "nonsense\r\n\r\n", "spoilt"},
         {"nonsense_start", "HTTP/2", "spoilt"},
-        // Found by fuzzing: a status below 100 was skipped as if it were an interim one.
+        // Found by fuzzing: a response with a status below 100 was skipped as if it were an interim response.
         {"status_below_100", "HTTP/1.1 013 Early Hints\r\n\r\n" + ok(), "spoilt"},
         {"status_zero", "HTTP/1.1 000 Nothing\r\nContent-Length: 0\r\n\r\n", "spoilt"},
         {"bad_status", "HTTP/1.1 20x OK\r\n\r\n", "spoilt"},
--- a/tests/http/cases.h
+++ b/tests/http/cases.h
@@ -1,5 +1,5 @@
-// The messages that the tests of the HTTP machines share, good and bad, with what must come of each, written
-// by hand. The fuzz targets start from their bytes.
+// Valid and invalid messages with their expected results, shared by the tests of the HTTP protocol machines. The fuzz
+// targets use their bytes as the seed corpus.
 #pragma once
 
 #include <ostream>
@@ -8,8 +8,8 @@
 
 namespace flaxdoor::http::test {
 
-// What a client sends on one connection. An event is "METHOD target [body]" or "malformed STATUS", or empty
-// when a part is never whole, or stands behind one that ended the connection.
+// The input of one client connection. The event of a part is "METHOD target [body]" or "malformed STATUS"; it is empty
+// when the part is incomplete, or follows a part that ended the connection.
 struct Part {
     std::string bytes;
     std::string event;
@@ -17,20 +17,20 @@
 struct RequestCase {
     std::string name;
     std::vector<Part> parts;
-    bool lasts = true;  // the last answer leaves the connection open
+    bool lasts = true;  // the connection stays open after the last response
     std::string bytes() const;
 };
 inline std::ostream& operator<<(std::ostream& out, const RequestCase& c) { return out << c.name; }
 std::vector<RequestCase> request_cases();
 
-// What an upstream sends for one request. `result` is "STATUS [body]", "spoilt", or empty when the answer is
-// not whole yet.
+// An upstream's response to one request. `result` is "STATUS [body]", "spoilt" for a malformed response, or empty for an
+// incomplete one.
 struct AnswerCase {
     std::string name;
     std::string bytes;
     std::string result;
     bool reusable = true;
-    std::string beyond{};  // sent behind the answer, unasked
+    std::string beyond{};  // unsolicited bytes after the response
 };
 inline std::ostream& operator<<(std::ostream& out, const AnswerCase& c) { return out << c.name; }
 std::vector<AnswerCase> answer_cases();
--- a/tests/http/client_machine_test.cpp
+++ b/tests/http/client_machine_test.cpp
@@ -1,5 +1,5 @@
-// The client machine: every answer of the suite in every split, cut at every byte of the request and of the
-// answer. What may have run must never be told as never run: it would be sent again.
+// Tests of ClientMachine: every response of cases.h in every split, and truncated at every byte of the request and of the
+// response. A request that may have executed must never be reported as never executed, because it would be retried.
 #include "http/client_machine.h"
 
 #include <gtest/gtest.h>
@@ -15,38 +15,38 @@
 
 class AnswersOf : public testing::TestWithParam<AnswerCase> {};
 
-TEST_P(AnswersOf, GiveWhatIsWrittenDown) {
-    const auto& c = GetParam();
-    const Exchange seen = ask({c.bytes + c.beyond});
-    EXPECT_EQ(seen.result, c.result);
-    EXPECT_EQ(seen.results, c.result.empty() ? 0 : 1);
-    const bool answered = !c.result.empty() && c.result != "spoilt";
-    EXPECT_EQ(seen.reusable, answered && c.reusable);
-    EXPECT_EQ(seen.state, c.result.empty()         ? ClientState::exchanging
-                          : answered && c.reusable ? ClientState::idle
-                                                   : ClientState::over);
+TEST_P(AnswersOf, GiveTheExpectedResult) {
+    const auto& test_case = GetParam();
+    const Exchange seen = ask({test_case.bytes + test_case.beyond});
+    EXPECT_EQ(seen.result, test_case.result);
+    EXPECT_EQ(seen.results, test_case.result.empty() ? 0 : 1);
+    const bool answered = !test_case.result.empty() && test_case.result != "spoilt";
+    EXPECT_EQ(seen.reusable, answered && test_case.reusable);
+    EXPECT_EQ(seen.state, test_case.result.empty()         ? ClientState::exchanging
+                          : answered && test_case.reusable ? ClientState::idle
+                                                           : ClientState::over);
 }
 
-// Where the split falls right behind the answer, what follows it is unasked: the connection is done as well.
-TEST_P(AnswersOf, AreTheSameInEverySplit) {
-    expect_the_same_in_splits(GetParam().bytes + GetParam().beyond, seed,
-                              [](const Pieces& pieces) { return text_of(ask(pieces)); });
+// Includes the split directly after the response: the bytes that follow are then unsolicited, and end the connection too.
+TEST_P(AnswersOf, DoNotDependOnTheSplit) {
+    expect_same_for_every_split(GetParam().bytes + GetParam().beyond, seed,
+                                [](const Pieces& pieces) { return text_of(ask(pieces)); });
 }
 
-// After the request's last byte, whatever ends the exchange: it may have run.
-TEST_P(AnswersOf, CutAnywhereMayHaveRun) {
-    const auto& c = GetParam();
-    for (std::size_t n = 0; n <= c.bytes.size(); ++n) {
+// After its last byte is written, the request may have executed, however the exchange ends.
+TEST_P(AnswersOf, TruncatedMayHaveExecuted) {
+    const auto& test_case = GetParam();
+    for (std::size_t n = 0; n <= test_case.bytes.size(); ++n) {
         for (const auto end : {End::ended, End::reset}) {
-            const Exchange seen = ask({std::string_view(c.bytes).substr(0, n)}, end);
+            const Exchange seen = ask({std::string_view(test_case.bytes).substr(0, n)}, end);
             ASSERT_EQ(seen.state, ClientState::over) << "cut at " << n;
             ASSERT_EQ(seen.results, 1) << "cut at " << n;
-            if (n == c.bytes.size() && !c.result.empty()) {
-                ASSERT_EQ(seen.result, c.result);
-            } else if (c.result == "spoilt") {
-                // One that tells no length ends wherever its connection does: a test of its own has these.
+            if (n == test_case.bytes.size() && !test_case.result.empty()) {
+                ASSERT_EQ(seen.result, test_case.result);
+            } else if (test_case.result == "spoilt") {
+                // A response without a length ends wherever its connection does; a separate test covers these.
                 const bool ended =
-                    end == End::ended && c.name == std::string_view("over_limit_without_length");
+                    end == End::ended && test_case.name == std::string_view("over_limit_without_length");
                 ASSERT_TRUE(seen.result == "spoilt" || seen.result == "may_have_run" || ended)
                     << "cut at " << n;
             } else {
@@ -56,19 +56,19 @@
     }
 }
 
-// Before it, only a broken connection says that it never ran: an answer that comes too early proves nothing,
-// and its connection is not used again.
-TEST_P(AnswersOf, AheadOfTheWholeRequest) {
-    const auto& c = GetParam();
-    const std::size_t most = std::min<std::size_t>(c.bytes.size(), small);
-    for (std::size_t n = 0; n <= most; n = n < 8 || n + 8 >= most ? n + 1 : n + 7) {
+// Before its last byte is written, a broken connection means that the request never executed. An early response proves
+// nothing about that, and its connection is not reused.
+TEST_P(AnswersOf, BeforeTheCompleteRequest) {
+    const auto& test_case = GetParam();
+    const std::size_t max_cut = std::min<std::size_t>(test_case.bytes.size(), small_message_bytes);
+    for (std::size_t n = 0; n <= max_cut; n = n < 8 || n + 8 >= max_cut ? n + 1 : n + 7) {
         const Exchange seen =
-            ask({std::string_view(c.bytes).substr(0, n)}, End::reset, request.size() - 1, request);
+            ask({std::string_view(test_case.bytes).substr(0, n)}, End::reset, request.size() - 1, request);
         ASSERT_EQ(seen.results, 1);
-        if (n == c.bytes.size() && !c.result.empty()) {
-            ASSERT_EQ(seen.result, c.result);
+        if (n == test_case.bytes.size() && !test_case.result.empty()) {
+            ASSERT_EQ(seen.result, test_case.result);
             ASSERT_FALSE(seen.reusable);
-        } else if (seen.result != "spoilt" || c.result != "spoilt") {
+        } else if (seen.result != "spoilt" || test_case.result != "spoilt") {
             ASSERT_EQ(seen.result, "never_ran") << "cut at " << n;
         }
     }
@@ -97,7 +97,7 @@
     EXPECT_EQ(text_of(S::over), "over");
 }
 
-// The whole line between what never ran and what may have: the last byte.
+// The last byte is the exact boundary between a request that never executed and one that may have.
 TEST(Client, CutAtEveryByteOfTheRequest) {
     for (std::size_t handed = 0; handed <= request.size(); ++handed) {
         for (const bool ends : {true, false}) {
@@ -105,14 +105,14 @@
             ASSERT_TRUE(machine.begin(request));
             for (std::size_t i = 0; i < handed; ++i) {
                 ASSERT_EQ(machine.output(), std::string_view(request).substr(i));
-                ASSERT_FALSE(machine.whole());
+                ASSERT_FALSE(machine.request_written());
                 machine.wrote(1);
             }
-            ASSERT_EQ(machine.whole(), handed == request.size());
+            ASSERT_EQ(machine.request_written(), handed == request.size());
             const auto result = ends ? machine.receive_end() : machine.reset();
             ASSERT_TRUE(result);
-            EXPECT_EQ(result->kind, handed == request.size() ? ClientResult::Kind::may_have_run
-                                                             : ClientResult::Kind::never_ran)
+            EXPECT_EQ(result->kind, handed == request.size() ? ClientResult::Kind::may_have_executed
+                                                             : ClientResult::Kind::never_executed)
                 << handed;
             EXPECT_EQ(machine.state(), ClientState::over);
             EXPECT_FALSE(machine.receive("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"));
@@ -122,7 +122,7 @@
     }
 }
 
-TEST(Client, CarriesOneExchangeAfterTheOther) {
+TEST(Client, CarriesSuccessiveExchanges) {
     ClientMachine machine;
     for (int i = 0; i < 3; ++i) {
         Request message;
@@ -148,30 +148,30 @@
     }
 }
 
-// A kept connection that speaks or ends by itself is done, and no request is told as anything.
-TEST(Client, UnaskedEndsAKeptConnection) {
-    for (const int how : {0, 1, 2}) {
+// Unsolicited bytes or the end of an idle connection end it, without a result for any request.
+TEST(Client, UnsolicitedInputEndsAnIdleConnection) {
+    for (const int input_kind : {0, 1, 2}) {
         ClientMachine machine;
-        const auto result = how == 0   ? machine.receive("x")
-                            : how == 1 ? machine.receive_end()
-                                       : machine.reset();
+        const auto result = input_kind == 0   ? machine.receive("x")
+                            : input_kind == 1 ? machine.receive_end()
+                                              : machine.reset();
         ASSERT_TRUE(result);
-        EXPECT_EQ(result->kind, ClientResult::Kind::unasked);
+        EXPECT_EQ(result->kind, ClientResult::Kind::unsolicited);
         EXPECT_EQ(machine.state(), ClientState::over);
         EXPECT_FALSE(machine.begin(request));
     }
 }
 
-// An answer that tells no length is whole when its connection ends in order, wherever that is: a reset is no end, nor is
-// an end within its header.
-TEST(Client, AnAnswerWithNoLengthEndsWithItsConnection) {
+// A response without a declared length is complete when its connection ends in order at any byte of the body. A reset, or
+// an end within the header, does not complete it.
+TEST(Client, AResponseWithoutLengthEndsWithItsConnection) {
     for (const std::string head :
          {"HTTP/1.1 200 OK\r\n\r\n", "HTTP/1.1 103 Early\r\n\r\nHTTP/1.0 200 OK\r\nX: y\r\n\r\n"}) {
         const std::string all = head + "no length";
         for (std::size_t n = 0; n <= all.size(); ++n) {
-            const std::string_view came = std::string_view(all).substr(0, n);
+            const std::string_view received = std::string_view(all).substr(0, n);
             for (std::size_t split = 0; split <= n; ++split) {
-                const Pieces pieces{came.substr(0, split), came.substr(split)};
+                const Pieces pieces{received.substr(0, split), received.substr(split)};
                 EXPECT_EQ(ask(pieces, End::reset).result, "may_have_run") << n;
                 const Exchange ended = ask(pieces, End::ended);
                 EXPECT_EQ(ended.result, n < head.size()
@@ -181,15 +181,15 @@
                 EXPECT_FALSE(ended.reusable);
                 EXPECT_EQ(ended.state, ClientState::over);
                 EXPECT_EQ(ended.results, 1);
-                EXPECT_EQ(ask(pieces).result, "") << "open: it may go on";
+                EXPECT_EQ(ask(pieces).result, "") << "open: the response may continue";
             }
         }
     }
 }
 
-TEST(Client, WhyIsToldInWords) {
+TEST(Client, ReportsTheError) {
     EXPECT_EQ(ask({"HTTP/1.1 x OK\r\n\r\n"}).full.substr(0, 8), "spoilt: ");
-    EXPECT_EQ(ask({"HTTP/1.1 101 X\r\n\r\n"}).full, "spoilt: another protocol that nobody asked for");
+    EXPECT_EQ(ask({"HTTP/1.1 101 X\r\n\r\n"}).full, "spoilt: unrequested switch to another protocol");
 }
 
 }  // namespace
--- a/tests/http/drive.h
+++ b/tests/http/drive.h
@@ -1,5 +1,5 @@
-// Drives a machine with bytes in pieces, and tells what came of them as lines of text. Lines are the same for
-// all ways to split the same bytes, or the machine is wrong.
+// Drivers that feed a protocol machine with bytes in pieces and record the results as text. The text must not depend on
+// how the bytes were split.
 #pragma once
 
 #include <algorithm>
@@ -14,8 +14,8 @@
 
 using Pieces = std::vector<std::string_view>;
 
-enum class End { open, ended, reset };       // how the peer's bytes end
-enum class Answers { at_once, at_the_end };  // when a request's answer is given
+enum class End { open, ended, reset };       // how the input ends
+enum class Answers { at_once, at_the_end };  // when a request is responded to
 
 inline Pieces pieces_of(std::string_view bytes, std::vector<std::size_t> cuts) {
     std::sort(cuts.begin(), cuts.end());
@@ -47,8 +47,8 @@
 inline std::string brief(const Response& r) { return std::to_string(r.status) + " [" + r.body + "]"; }
 
 struct Trace {
-    std::vector<std::string> events;  // in brief
-    std::string full;                 // with all fields, and why
+    std::vector<std::string> events;  // in short form
+    std::string full;                 // with all fields and errors
     std::string written;              // without 100 Continue
     int continues = 0;
     int taken = 0;
@@ -58,7 +58,7 @@
     ServerState state = ServerState::reading;
 };
 
-// All that must be the same for every split.
+// The part of a trace that must not depend on the split.
 inline std::string text_of(const Trace& trace) {
     std::string text;
     for (const auto& event : trace.events) text += event + "\n";
@@ -71,15 +71,15 @@
 
     void feed(std::string_view bytes) {
         machine_.receive(bytes);
-        pull();
+        collect();
     }
     Trace finish(End end) {
         if (end == End::ended) machine_.receive_end();
         if (end == End::reset) machine_.reset();
-        pull();
+        collect();
         while (machine_.state() == ServerState::waiting) {
-            give();
-            pull();
+            respond();
+            collect();
         }
         trace_.state = machine_.state();
         return std::move(trace_);
@@ -87,30 +87,30 @@
     ServerMachine& machine() { return machine_; }
 
 private:
-    void give() {
+    void respond() {
         Response response;
         response.body = "served";
-        if (!machine_.answer(response)) trace_.events.push_back("answer not taken");
+        if (!machine_.answer(response)) trace_.events.push_back("answer not accepted");
     }
-    void pull() {
+    void collect() {
         for (;;) {
             auto event = machine_.next();
             drain();
             if (!event) {
-                event = machine_.next();  // draining may have brought one
+                event = machine_.next();  // draining may have caused one
                 if (!event) return;
             }
-            take(*event);
+            record(*event);
             drain();
         }
     }
-    void take(const ServerEvent& event) {
+    void record(const ServerEvent& event) {
         switch (event.kind) {
             case ServerEvent::Kind::request:
                 ++trace_.taken;
                 trace_.events.push_back(brief(event.request));
                 trace_.full += brief(event.request) + fields_of(event.request.fields) + "\n";
-                if (answers_ == Answers::at_once) give();
+                if (answers_ == Answers::at_once) respond();
                 return;
             case ServerEvent::Kind::malformed:
                 ++trace_.malformed;
@@ -152,11 +152,11 @@
 }
 
 struct Exchange {
-    std::string result;  // in brief: "STATUS [body]", "spoilt", "never_ran", "may_have_run", or empty
-    std::string full;    // with all fields, and why
+    std::string result;  // in short form: "STATUS [body]", "spoilt", "never_ran", "may_have_run", or empty
+    std::string full;    // with all fields and errors
     bool reusable = false;
     ClientState state = ClientState::idle;  // at the end
-    int results = 0;                        // for one begin(), without `unasked`
+    int results = 0;                        // for one begin(), excluding `unsolicited`
 };
 
 inline std::string text_of(const Exchange& seen) {
@@ -164,14 +164,14 @@
            std::string(text_of(seen.state));
 }
 
-// A request of which `handed` bytes are written ahead of the answer's pieces; all by default.
+// Writes `handed` bytes of the request (all by default), then feeds the response in pieces.
 inline Exchange ask(const Pieces& pieces, End end = End::open, std::size_t handed = std::string::npos,
                     const std::string& request = "GET / HTTP/1.1\r\n\r\n") {
     ClientMachine machine;
     Exchange seen;
-    const auto take = [&](std::optional<ClientResult> result) {
+    const auto record = [&](std::optional<ClientResult> result) {
         using Kind = ClientResult::Kind;
-        if (!result || (result->kind == Kind::unasked && seen.results == 1)) return;
+        if (!result || (result->kind == Kind::unsolicited && seen.results == 1)) return;
         ++seen.results;
         switch (result->kind) {
             case Kind::answered:
@@ -179,20 +179,20 @@
                 seen.full = seen.result + result->answer.reason + fields_of(result->answer.fields);
                 seen.reusable = result->reusable;
                 break;
-            case Kind::spoilt:
+            case Kind::malformed:
                 seen.result = "spoilt";
                 seen.full = "spoilt: " + result->why;
                 break;
-            case Kind::never_ran: seen.result = "never_ran"; break;
-            case Kind::may_have_run: seen.result = "may_have_run"; break;
-            case Kind::unasked: seen.result = "unasked"; break;
+            case Kind::never_executed: seen.result = "never_ran"; break;
+            case Kind::may_have_executed: seen.result = "may_have_run"; break;
+            case Kind::unsolicited: seen.result = "unasked"; break;
         }
     };
     if (!machine.begin(request)) return seen;
     machine.wrote(std::min(handed, request.size()));
-    for (const auto piece : pieces) take(machine.receive(piece));
-    if (end == End::ended) take(machine.receive_end());
-    if (end == End::reset) take(machine.reset());
+    for (const auto piece : pieces) record(machine.receive(piece));
+    if (end == End::ended) record(machine.receive_end());
+    if (end == End::reset) record(machine.reset());
     seen.state = machine.state();
     return seen;
 }
--- a/tests/http/front_test.cpp
+++ b/tests/http/front_test.cpp
@@ -1,5 +1,5 @@
-// The HTTP front over real connections, whose loop runs only when the test says: what has come and is not read yet when
-// something is closed.
+// Tests of the HTTP listener over real connections. The event loop runs only when a test runs it, so that data can be
+// unread when the listener closes a connection.
 #include "http/front.h"
 
 #include <gtest/gtest.h>
@@ -14,14 +14,14 @@
 
 using standins::peers::Client;
 
-// Answers each request with its target.
+// Responds to each request with its target.
 struct Echo final : Handler {
     std::variant<Answer, Ask> on_request(Request message, const From&) override {
-        Answer told;
-        told.message.status = 200;
-        told.message.reason = "OK";
-        told.message.body = message.target;
-        return told;
+        Answer response;
+        response.message.status = 200;
+        response.message.reason = "OK";
+        response.message.body = message.target;
+        return response;
     }
     Response on_final(core::Final, Asked*) override { return {}; }
     Answer on_not_taken(core::Taken, Asked*) override { return {}; }
@@ -48,11 +48,11 @@
     std::unique_ptr<Front> front;
 };
 
-// The loop has not looked since: a request, whole or half, lies unread on a connection at rest, another one on a connection
-// that waits to be accepted. Whoever has nothing there is closed, the others are served first.
-TEST_F(FrontTest, WhatLiesUnreadWhenItWindsDownIsServed) {
+// When draining starts, a complete and a partial request are unread on idle connections, and another request on a
+// connection in the backlog. The listener serves all of them, and closes the idle connection without a request.
+TEST_F(FrontTest, UnreadRequestsAreServedWhenDrainingStarts) {
     FrontLimits limits;
-    limits.request = std::chrono::milliseconds(800);  // looked at each tenth of a second
+    limits.request = std::chrono::milliseconds(800);  // swept every 100 ms
     limits.linger = std::chrono::milliseconds(1);
     start(limits);
     const auto address = front->address();
@@ -74,8 +74,9 @@
     EXPECT_TRUE(std::make_shared<Client>(loop, address)->refused);
 }
 
-// At the cap the one idle longest gives way to a new client: not one whose next request lies unread, or came just before.
-TEST_F(FrontTest, AConnectionInUseGivesWayToNobody) {
+// At the connection limit a new client replaces the connection idle longest, but not one whose next request is unread or
+// was received just before.
+TEST_F(FrontTest, AConnectionInUseIsNotEvicted) {
     FrontLimits limits;
     limits.most = 2;
     start(limits);
--- a/tests/http/message_test.cpp
+++ b/tests/http/message_test.cpp
@@ -1,4 +1,4 @@
-// Messages as values and as bytes.
+// Tests of header fields and of the serialization of messages.
 #include "http/message.h"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 namespace flaxdoor::http::test {
 namespace {
 
-TEST(Fields, KeepOrderAndAreFoundWhateverTheirCase) {
+TEST(Fields, KeepTheirOrderAndIgnoreCase) {
     Fields fields;
     fields.add("Host", "x");
     fields.add("X-One", "1");
@@ -28,8 +28,8 @@
     EXPECT_EQ(fields_of(fields), "Empty=|X-ONE=3|");
 }
 
-// Views into the object itself stay good while it grows, copies stand by themselves.
-TEST(Fields, MayBeFilledFromThemselves) {
+// Adding a name or value that points into the object itself is safe, and a copy is independent of the original.
+TEST(Fields, MayPointIntoThemselves) {
     Fields fields(std::string("Name: value"));
     fields.add(fields.block().substr(0, 4), fields.block().substr(6));
     for (int i = 0; i < 50; ++i) {
@@ -75,7 +75,7 @@
     EXPECT_EQ(to_bytes(response), "HTTP/1.1 204 No Content\r\n\r\n");
 }
 
-TEST(Bytes, OfWhatWasReadAreTheSame) {
+TEST(Bytes, OfAParsedRequestAreUnchanged) {
     const std::string bytes =
         "POST /a HTTP/1.1\r\nA: 1\r\nb:\r\nA: two  words\r\nContent-Length: 3\r\n\r\nxyz";
     ServerMachine machine;
@@ -86,7 +86,7 @@
               "POST /a HTTP/1.1\r\nA: 1\r\nb: \r\nA: two  words\r\nContent-Length: 3\r\n\r\nxyz");
 }
 
-// What was folded is put behind the bytes that are still being parsed.
+// An unfolded value is appended to the block that is still being parsed.
 TEST(Bytes, FoldedValuesBecomeOneLine) {
     const std::string longest(300, 'v');
     ServerMachine machine;
@@ -97,7 +97,7 @@
     EXPECT_EQ(fields_of(event->request.fields), "X=one two three|Y=" + longest + " " + longest + "|Z=1|");
 }
 
-TEST(HopByHop, IsTakenOut) {
+TEST(HopByHop, FieldsAreRemoved) {
     Fields fields;
     for (const char* name : {"Host", "Connection", "X-Hop", "Keep-Alive", "Proxy-Connection", "TE", "Trailer",
                              "Transfer-Encoding", "Upgrade", "Expect", "Content-Length", "Proxy-Authenticate",
@@ -113,13 +113,13 @@
     EXPECT_EQ(fields_of(kept), "Host=1|X-Call-Id=1|");
 }
 
-TEST(HopByHop, OptionsAreWholeWords) {
+TEST(HopByHop, OptionsAreCompleteTokens) {
     Fields fields;
     fields.add("Connection", "closed, keep-alive");
-    EXPECT_FALSE(connection_says(fields, "close"));
-    EXPECT_TRUE(connection_says(fields, "Keep-Alive"));
+    EXPECT_FALSE(has_connection_option(fields, "close"));
+    EXPECT_TRUE(has_connection_option(fields, "Keep-Alive"));
     fields.add("Connection", "Close");
-    EXPECT_TRUE(connection_says(fields, "close"));
+    EXPECT_TRUE(has_connection_option(fields, "close"));
 }
 
 }  // namespace
--- a/tests/http/on_core.h
+++ b/tests/http/on_core.h
@@ -1,4 +1,5 @@
-// A core on a loop and a clock of this machine, without a log: for the HTTP front and back over real connections.
+// Fixture with a core on an event loop and the system clock, without a log, for tests of the HTTP listener and the
+// upstream connection pool over real connections.
 #pragma once
 
 #include "../on_loop.h"
--- a/tests/http/platform_test.cpp
+++ b/tests/http/platform_test.cpp
@@ -1,4 +1,4 @@
-// What is this platform's own: which requests are understood, and what answers mean.
+// Tests of the platform's message conventions: which requests are valid, and what responses mean.
 #include "http/platform.h"
 
 #include <gtest/gtest.h>
@@ -26,12 +26,12 @@
     return s;
 }
 
-Request message(const std::string& method, const std::string& its_class) {
+Request message(const std::string& method, const std::string& class_name) {
     Request m;
     m.method = method;
     m.target = "/api";
     m.fields.add("X-Call-Id", "9b1f03aa5c7e2d41");
-    m.fields.add("X-Call-Class", its_class);
+    m.fields.add("X-Call-Class", class_name);
     m.fields.add("X-Budget-Ms", "480");
     return m;
 }
@@ -62,7 +62,7 @@
     EXPECT_EQ(request.message.body, "body");
 }
 
-TEST(Understand, LeavesOutWhatIsNotThere) {
+TEST(Understand, OmitsMissingOrInvalidFields) {
     Request m = message("GET", "look");
     m.fields.add("X-Caller", "nobody");
     m.fields.add("X-Call-Cost", "much");
@@ -77,7 +77,7 @@
     EXPECT_EQ(request.budget, milliseconds(5000));
 }
 
-TEST(Understand, KeysThatAreNoNumbersCountToo) {
+TEST(Understand, HashesKeysThatAreNotNumbers) {
     const auto key = [](const char* cookies) {
         Request m = message("GET", "look");
         m.fields.add("Cookie", cookies);
@@ -91,17 +91,16 @@
     EXPECT_NE(key("key=user-7"), key("key=user-8"));
 }
 
-TEST(Understand, SaysWhatIsWrong) {
+TEST(Understand, ReportsTheError) {
     struct Row {
         const char* method;
-        const char* its_class;
-        const char* name;  // a field that is set, or added when it begins with '+'
+        const char* class_name;
+        const char* name;  // the field to set; added instead when the name begins with '+'
         const char* value;
         const char* why;
     };
-    const char* const id =
-        "X-Call-Id must be a word of 1 to 64 letters, digits, dots, dashes and underscores";
-    const char* const budget = "X-Budget-Ms must be a whole number from 1 on";
+    const char* const id = "X-Call-Id must be 1 to 64 letters, digits, dots, dashes or underscores";
+    const char* const budget = "X-Budget-Ms must be an integer of at least 1";
     const std::string long_id(65, 'x');
     for (const Row& row : std::vector<Row>{
              {"GET", "look", "Host", "x", ""},
@@ -111,9 +110,9 @@
              {"GET", "look", "X-Call-Id", "a b", id},
              {"GET", "look", "X-Call-Id", "a/b", id},
              {"GET", "look", "X-Call-Id", long_id.c_str(), id},
-             {"GET", "look", "+X-Call-Id", "b", "X-Call-Id is there more than once"},
-             {"GET", "look", "+x-call-class", "look", "X-Call-Class is there more than once"},
-             {"GET", "look", "+X-Budget-Ms", "480", "X-Budget-Ms is there more than once"},
+             {"GET", "look", "+X-Call-Id", "b", "X-Call-Id occurs more than once"},
+             {"GET", "look", "+x-call-class", "look", "X-Call-Class occurs more than once"},
+             {"GET", "look", "+X-Budget-Ms", "480", "X-Budget-Ms occurs more than once"},
              {"GET", "other", "Host", "x", "X-Call-Class is missing or names no class"},
              {"GET", "", "Host", "x", "X-Call-Class is missing or names no class"},
              {"GET", "look", "X-Budget-Ms", "", budget},
@@ -122,30 +121,30 @@
              {"GET", "look", "X-Budget-Ms", "soon", budget},
              {"GET", "look", "X-Budget-Ms", "1e3", budget},
              {"GET", "look", "X-Budget-Ms", "99999999999999999999", budget},
-             {"POST", "look", "Host", "x", "this X-Call-Class is asked for with GET"},
-             {"GET", "once", "Host", "x", "this X-Call-Class is asked for with POST"},
-             {"GET", "book it", "Host", "x", "this X-Call-Class is asked for with POST"},
-             {"POST", "book it", "Host", "x", "this X-Call-Class needs an Idempotency-Key"},
-             {"POST", "once", "Idempotency-Key", "k", "this X-Call-Class takes no Idempotency-Key"},
+             {"POST", "look", "Host", "x", "this X-Call-Class requires GET"},
+             {"GET", "once", "Host", "x", "this X-Call-Class requires POST"},
+             {"GET", "book it", "Host", "x", "this X-Call-Class requires POST"},
+             {"POST", "book it", "Host", "x", "this X-Call-Class requires an Idempotency-Key"},
+             {"POST", "once", "Idempotency-Key", "k", "this X-Call-Class allows no Idempotency-Key"},
          }) {
-        Request m = message(row.method, row.its_class);
+        Request m = message(row.method, row.class_name);
         if (row.name[0] == '+') {
             m.fields.add(row.name + 1, row.value);
         } else {
             m.fields.set(row.name, row.value);
         }
-        EXPECT_EQ(why(m), row.why) << row.method << " " << row.its_class << " " << row.name << row.value;
+        EXPECT_EQ(why(m), row.why) << row.method << " " << row.class_name << " " << row.name << row.value;
     }
     Request m = message("GET", "look");
     m.body = "body";
-    EXPECT_EQ(why(m), "a GET has no body");
+    EXPECT_EQ(why(m), "a GET request must have no body");
     m = message("POST", "book it");
     m.fields.add("Idempotency-Key", "k");
     m.fields.add("Idempotency-Key", "l");
-    EXPECT_EQ(why(m), "Idempotency-Key is there more than once");
+    EXPECT_EQ(why(m), "Idempotency-Key occurs more than once");
 }
 
-TEST(Routes, GoByMethodAndPath) {
+TEST(Routes, DependOnMethodAndPath) {
     const auto route = [](const char* method, const char* target) {
         Request m;
         m.method = method;
@@ -162,8 +161,8 @@
     EXPECT_EQ(route("GET", "/"), Route::unknown);
 }
 
-// Without its key a keyed request would be run anew with each attempt.
-TEST(Onward, NamesAndKeysCanNotBeTakenOut) {
+// Without its key, a keyed request would be executed again by each attempt.
+TEST(Onward, IdsAndKeysCannotBeRemoved) {
     Request m = message("POST", "book it");
     m.fields.add("Idempotency-Key", "k");
     m.fields.add("X-Hop", "1");
@@ -180,7 +179,7 @@
     EXPECT_EQ(m.fields["X-Budget-Ms"], "1");
 }
 
-TEST(Homeward, LoadReportsStayHere) {
+TEST(Homeward, LoadReportsAreRemoved) {
     Response r;
     r.fields.add("X-Load-Report", "active=1,avg_ms=2");
     r.fields.add("Connection", "X-Hop");
@@ -193,7 +192,7 @@
     EXPECT_TRUE(report_of(r, {"active"}).empty());
 }
 
-TEST(Meaning, OnlyAMarkedRejectionHasNotRun) {
+TEST(Meaning, OnlyAMarkedRejectionWasNotExecuted) {
     const auto outcome = [](int status, const char* mark) {
         Response r;
         r.status = status;
@@ -212,7 +211,7 @@
     EXPECT_EQ(outcome(429, "1"), Outcome::error);
 }
 
-TEST(Meaning, LoadReportsThatDoNotParseAreDropped) {
+TEST(Meaning, InvalidLoadReportsAreDiscarded) {
     const std::vector<std::string> fields = {"active", "avg_ms"};
     EXPECT_EQ(parse_report("avg_ms=2.5,active=3", fields), (Report{3, 2.5}));
     EXPECT_EQ(parse_report("active=3, avg_ms=2.5, other=9", fields), (Report{3, 2.5}));
@@ -224,7 +223,7 @@
     }
 }
 
-TEST(Own, AnswersAreWorded) {
+TEST(Own, ResponsesAreSerialized) {
     EXPECT_EQ(to_bytes(refusal(milliseconds(50))),
               "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.050\r\nContent-Length: 0\r\n\r\n");
     EXPECT_EQ(to_bytes(refusal(Micros{0})), "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
