--- a/tests/http/server_machine_test.cpp
+++ b/tests/http/server_machine_test.cpp
@@ -1,5 +1,5 @@
-// The server machine: every message of the suite in every split, cut at every byte, and what an owner relies
-// on.
+// Tests of ServerMachine: every request of cases.h in every split and truncated at every byte, and the guarantees that
+// its owner relies on.
 #include "http/server_machine.h"
 
 #include <gtest/gtest.h>
@@ -33,22 +33,23 @@
     return event ? std::optional(event->kind) : std::nullopt;
 }
 
-// The machine has taken a request, and waits for its answer.
+// Feeds a request to the machine, which then waits for the response.
 void ask(ServerMachine& machine, const std::string& bytes = get) {
     machine.receive(bytes);
     EXPECT_EQ(kind_of(machine), ServerEvent::Kind::request);
 }
-// All that was to be written goes out, and with it the answer.
+// Writes all output, and expects the response to be complete by that.
 void expect_answered(ServerMachine& machine) {
     drain(machine);
     EXPECT_EQ(kind_of(machine), ServerEvent::Kind::answered);
 }
 
-// What the parts that are whole within the first `n` bytes must give, when their answers wait for the end.
-std::vector<std::string> expected(const RequestCase& c, std::size_t n, bool half_closed) {
+// Returns the events expected of the parts that are complete within the first `n` bytes, when responses are given at the
+// end of input.
+std::vector<std::string> expected(const RequestCase& test_case, std::size_t n, bool half_closed) {
     std::vector<std::string> events;
     std::size_t end = 0;
-    for (const auto& part : c.parts) {
+    for (const auto& part : test_case.parts) {
         end += part.bytes.size();
         if (end > n || part.event.empty()) break;
         const bool malformed = part.event.starts_with("malformed");
@@ -59,10 +60,10 @@
     return events;
 }
 
-// The part that holds byte n is one that gets refused.
-bool refused_within(const RequestCase& c, std::size_t n) {
+// Whether byte `n` belongs to a malformed part.
+bool is_in_malformed_part(const RequestCase& test_case, std::size_t n) {
     std::size_t end = 0;
-    for (const auto& part : c.parts) {
+    for (const auto& part : test_case.parts) {
         end += part.bytes.size();
         if (end > n) return part.event.starts_with("malformed");
     }
@@ -71,48 +72,51 @@
 
 class Requests : public testing::TestWithParam<RequestCase> {};
 
-TEST_P(Requests, GiveWhatIsWrittenDown) {
-    const auto& c = GetParam();
+TEST_P(Requests, GiveTheExpectedEvents) {
+    const auto& test_case = GetParam();
     for (const auto answers : {Answers::at_once, Answers::at_the_end}) {
-        const Trace trace = serve({c.bytes()}, answers);
-        EXPECT_EQ(trace.events, expected(c, c.bytes().size(), false));
-        EXPECT_EQ(trace.state, c.lasts ? ServerState::reading : ServerState::lingering);
+        const Trace trace = serve({test_case.bytes()}, answers);
+        EXPECT_EQ(trace.events, expected(test_case, test_case.bytes().size(), false));
+        EXPECT_EQ(trace.state, test_case.lasts ? ServerState::reading : ServerState::lingering);
         EXPECT_FALSE(trace.spoke_after_last);
-        EXPECT_EQ(trace.written.find("Connection: close") != std::string::npos, !c.lasts);
+        EXPECT_EQ(trace.written.find("Connection: close") != std::string::npos, !test_case.lasts);
     }
 }
 
-TEST_P(Requests, AreTheSameInEverySplit) {
+TEST_P(Requests, DoNotDependOnTheSplit) {
     const std::string bytes = GetParam().bytes();
     for (const auto answers : {Answers::at_once, Answers::at_the_end}) {
-        if (answers == Answers::at_the_end && bytes.size() > small) break;  // the other shows it
-        expect_the_same_in_splits(bytes, seed,
-                                  [&](const Pieces& pieces) { return text_of(serve(pieces, answers)); });
+        // Answers::at_once covers large messages.
+        if (answers == Answers::at_the_end && bytes.size() > small_message_bytes) break;
+        expect_same_for_every_split(bytes, seed,
+                                    [&](const Pieces& pieces) { return text_of(serve(pieces, answers)); });
         if (HasFatalFailure()) return;
     }
 }
 
-// A client that ends is owed the answers to its whole requests and nothing else; one that breaks, nothing.
-TEST_P(Requests, AreTakenOnlyWhole) {
-    const auto& c = GetParam();
-    const std::string bytes = c.bytes();
+// A client that ends its sending gets the responses to its complete requests and nothing else. A client whose connection
+// breaks gets nothing.
+TEST_P(Requests, AreReceivedOnlyWhenComplete) {
+    const auto& test_case = GetParam();
+    const std::string bytes = test_case.bytes();
     for (std::size_t n = 0; n <= bytes.size(); ++n) {
         const auto piece = std::string_view(bytes).substr(0, n);
-        auto must = expected(c, n, true);
+        auto expected_events = expected(test_case, n, true);
         const Trace ended = serve({piece}, Answers::at_the_end, End::ended);
-        if (refused_within(c, n) && ended.events.size() > must.size()) {
-            must.push_back(ended.events[must.size()]);
-            ASSERT_TRUE(must.back().starts_with("malformed")) << "cut at " << n;
-            must.push_back("answered");
+        if (is_in_malformed_part(test_case, n) && ended.events.size() > expected_events.size()) {
+            expected_events.push_back(ended.events[expected_events.size()]);
+            ASSERT_TRUE(expected_events.back().starts_with("malformed")) << "cut at " << n;
+            expected_events.push_back("answered");
         }
-        ASSERT_EQ(ended.events, must) << "cut at " << n;
+        ASSERT_EQ(ended.events, expected_events) << "cut at " << n;
         ASSERT_EQ(ended.state, ServerState::over) << "cut at " << n;
         ASSERT_FALSE(ended.spoke_after_last) << "cut at " << n;
 
         const Trace broken = serve({piece}, Answers::at_the_end, End::reset);
         ASSERT_EQ(broken.state, ServerState::over) << "cut at " << n;
         ASSERT_LE(broken.taken, 1) << "cut at " << n;
-        ASSERT_EQ(broken.taken, !must.empty() && !must[0].starts_with("malformed")) << "cut at " << n;
+        ASSERT_EQ(broken.taken, !expected_events.empty() && !expected_events[0].starts_with("malformed"))
+            << "cut at " << n;
         ASSERT_LE(broken.answered, broken.taken == 0 ? 1 : 0) << "cut at " << n;
     }
 }
@@ -120,9 +124,9 @@
 INSTANTIATE_TEST_SUITE_P(Http, Requests, testing::ValuesIn(request_cases()),
                          [](const auto& info) { return info.param.name; });
 
-// -------------------------------------------------------------------------------------------------- states
+// State transitions
 
-// All of it by hand: no other pair changes anything.
+// The complete transition table; no other pair of state and signal changes the state.
 TEST(ServerStates, FollowTheTable) {
     using S = ServerState;
     using G = ServerSignal;
@@ -132,14 +136,14 @@
         S to;
     };
     const std::vector<Row> rows = {
-        {S::reading, G::request_taken, S::waiting},  {S::reading, G::request_refused, S::writing},
-        {S::reading, G::peer_done, S::over},         {S::waiting, G::answer_given, S::writing},
-        {S::writing, G::answer_written, S::reading}, {S::writing, G::last_answer_written, S::lingering},
-        {S::lingering, G::peer_done, S::over},       {S::lingering, G::enough_dropped, S::over},
+        {S::reading, G::request_received, S::waiting}, {S::reading, G::request_rejected, S::writing},
+        {S::reading, G::client_done, S::over},         {S::waiting, G::answer_given, S::writing},
+        {S::writing, G::answer_written, S::reading},   {S::writing, G::last_answer_written, S::lingering},
+        {S::lingering, G::client_done, S::over},       {S::lingering, G::discard_limit_reached, S::over},
     };
     for (const S from : {S::reading, S::waiting, S::writing, S::lingering, S::over}) {
-        for (const G signal : {G::request_taken, G::request_refused, G::answer_given, G::answer_written,
-                               G::last_answer_written, G::peer_done, G::enough_dropped, G::broken}) {
+        for (const G signal : {G::request_received, G::request_rejected, G::answer_given, G::answer_written,
+                               G::last_answer_written, G::client_done, G::discard_limit_reached, G::broken}) {
             S to = signal == G::broken ? S::over : from;
             for (const auto& row : rows) {
                 if (row.from == from && row.signal == signal) to = row.to;
@@ -154,16 +158,16 @@
     EXPECT_EQ(names, "reading waiting writing lingering over ");
 }
 
-// ------------------------------------------------------------------------------------------------- answers
+// Responses
 
-TEST(ServerAnswers, AreFramedAndKept) {
+TEST(ServerAnswers, AreFramedAndKeepTheConnection) {
     ServerMachine machine;
-    EXPECT_TRUE(machine.between());
+    EXPECT_TRUE(machine.between_requests());
     EXPECT_FALSE(machine.served());
     EXPECT_FALSE(machine.answer(served()));
     ask(machine);
     EXPECT_EQ(machine.state(), ServerState::waiting);
-    EXPECT_FALSE(machine.between());
+    EXPECT_FALSE(machine.between_requests());
     Response response = served("x\r\ny");
     response.status = 503;
     response.fields.add("Retry-After", "0.050");
@@ -182,10 +186,10 @@
     EXPECT_EQ(kind_of(machine), ServerEvent::Kind::answered);
     EXPECT_EQ(kind_of(machine), std::nullopt);
     EXPECT_TRUE(machine.served());
-    EXPECT_TRUE(machine.between());
+    EXPECT_TRUE(machine.between_requests());
 }
 
-TEST(ServerAnswers, TellWhetherTheConnectionGoesOn) {
+TEST(ServerAnswers, TellWhetherTheConnectionPersists) {
     struct Row {
         std::string request;
         bool last;
@@ -224,13 +228,13 @@
     EXPECT_TRUE(machine.output().ends_with("\r\n\r\nserved"));
 }
 
-// One who is turned away hears why, and is listened to only until it ends.
-TEST(ServerAnswers, TurningAwayEndsTheConnection) {
+// A rejected client gets the error, and its further bytes are discarded until it closes.
+TEST(ServerAnswers, ARejectionEndsTheConnection) {
     for (const bool ends : {true, false}) {
         ServerMachine machine(1000);
-        EXPECT_FALSE(machine.turn_away(404));
+        EXPECT_FALSE(machine.reject(404));
         ask(machine, get + get);
-        EXPECT_TRUE(machine.turn_away(409, "this X-Call-Id is open"));
+        EXPECT_TRUE(machine.reject(409, "this X-Call-Id is open"));
         EXPECT_EQ(machine.output(),
                   "HTTP/1.1 409 Conflict\r\nContent-Type: text/plain\r\nConnection: close\r\nContent-Length: "
                   "23\r\n\r\nthis X-Call-Id is open\n");
@@ -252,7 +256,7 @@
     }
 }
 
-TEST(ServerAnswers, MalformedIsToldInWords) {
+TEST(ServerAnswers, AMalformedRequestGetsTheError) {
     ServerMachine machine;
     machine.receive("GET / HTTP/1.1\r\nContent-Length: 4\r\nContent-Length: 4\r\n\r\nbody");
     const auto event = machine.next();
@@ -265,7 +269,7 @@
     EXPECT_TRUE(machine.output().ends_with(event->why + "\n"));
 }
 
-// ---------------------------------------------------------------------------------------------- 100-continue
+// Expect: 100-continue
 
 TEST(ServerContinue, IsSentOnceAndOnlyWhileTheBodyIsAwaited) {
     const std::string head = "POST / HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n";
@@ -278,25 +282,25 @@
     machine.receive(head);
     EXPECT_EQ(kind_of(machine), std::nullopt);
     EXPECT_EQ(machine.output(), "HTTP/1.1 100 Continue\r\n\r\n");
-    machine.wrote(10);  // the rest of it must not be lost when the answer follows
+    machine.wrote(10);  // the rest must not be lost when the response follows
     ask(machine, "body");
     EXPECT_TRUE(machine.answer(served()));
     EXPECT_EQ(machine.output(), "00 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nserved");
-    // The next request has its own.
+    // The next request gets its own 100 Continue.
     drain(machine);
     machine.receive(head);
     EXPECT_EQ(kind_of(machine), ServerEvent::Kind::answered);
     EXPECT_EQ(kind_of(machine), std::nullopt);
     EXPECT_EQ(machine.output(), "HTTP/1.1 100 Continue\r\n\r\n");
-    ServerMachine old;
-    old.receive("POST / HTTP/1.0\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n");
-    EXPECT_EQ(kind_of(old), std::nullopt);
-    EXPECT_TRUE(old.output().empty());
+    ServerMachine old_client;
+    old_client.receive("POST / HTTP/1.0\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n");
+    EXPECT_EQ(kind_of(old_client), std::nullopt);
+    EXPECT_TRUE(old_client.output().empty());
 }
 
-// -------------------------------------------------------------------------------------------- half-closed
+// Clients that end their sending
 
-TEST(ServerHalfClosed, IsStillOwedItsAnswers) {
+TEST(ServerHalfClosed, StillGetsItsResponses) {
     ServerMachine machine;
     machine.receive(get + post + get.substr(0, 9));
     machine.receive_end();
@@ -313,7 +317,7 @@
     EXPECT_EQ(machine.state(), ServerState::over);
 }
 
-TEST(ServerHalfClosed, LastAnswerSaysSo) {
+TEST(ServerHalfClosed, LastResponseClosesTheConnection) {
     ServerMachine machine;
     ask(machine);
     machine.receive_end();
@@ -324,7 +328,7 @@
     EXPECT_EQ(machine.state(), ServerState::over);
 }
 
-// An answer that is on its way out when the client ends is written whole.
+// A response that is being written when the client ends its sending is still written completely.
 TEST(ServerHalfClosed, WhileTheAnswerIsWritten) {
     for (const bool last : {true, false}) {
         ServerMachine machine;
@@ -340,33 +344,33 @@
     }
 }
 
-TEST(ServerHalfClosed, InterimProbesWhoeverKnowsIt) {
+TEST(ServerHalfClosed, ContinueProbesHttp11Clients) {
     ServerMachine machine;
-    EXPECT_FALSE(machine.interim());
+    EXPECT_FALSE(machine.send_continue());
     ask(machine);
-    EXPECT_TRUE(machine.interim());  // the owner may know of an end that is still unread
+    EXPECT_TRUE(machine.send_continue());  // the owner may know of an unread end
     machine.receive_end();
-    EXPECT_TRUE(machine.interim());  // one at a time
+    EXPECT_TRUE(machine.send_continue());  // no second 100 Continue while the first is unwritten
     EXPECT_EQ(machine.output(), "HTTP/1.1 100 Continue\r\n\r\n");
     drain(machine);
-    EXPECT_EQ(kind_of(machine), ServerEvent::Kind::half_closed);  // and no answer was written
+    // Writing the 100 Continue causes no `answered` event.
+    EXPECT_EQ(kind_of(machine), ServerEvent::Kind::half_closed);
     EXPECT_EQ(kind_of(machine), std::nullopt);
-    EXPECT_TRUE(machine.interim());
+    EXPECT_TRUE(machine.send_continue());
     EXPECT_TRUE(machine.answer(served()));
     EXPECT_TRUE(machine.output().starts_with("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\n"));
-    EXPECT_FALSE(machine.interim());
-    ServerMachine old;
-    ask(old, "GET / HTTP/1.0\r\n\r\n");
-    old.receive_end();
-    EXPECT_FALSE(old.interim());
-    EXPECT_TRUE(old.output().empty());
+    EXPECT_FALSE(machine.send_continue());
+    ServerMachine old_client;
+    ask(old_client, "GET / HTTP/1.0\r\n\r\n");
+    old_client.receive_end();
+    EXPECT_FALSE(old_client.send_continue());
+    EXPECT_TRUE(old_client.output().empty());
 }
 
-// -------------------------------------------------------------------------------------------------- bounds
+// Limits on memory and unread input
 
-// A client that sends on and on while its request waits is left waiting, and every request is served in the
-// end.
-TEST(ServerBounds, RequestsAheadAreBounded) {
+// Reading is suspended while a client sends too far ahead, and every request is served in the end.
+TEST(ServerBounds, PipelinedInputIsBounded) {
     ServerMachine machine;
     const std::string one(1000, 'x');
     const std::string request = "POST / HTTP/1.1\r\nContent-Length: 1000\r\n\r\n" + one;
@@ -376,7 +380,7 @@
     std::string_view rest = bytes;
     int taken = 0;
     constexpr std::size_t piece = 8192;
-    std::size_t in_hand = 0;  // given to the machine while one request waited
+    std::size_t received_bytes = 0;  // bytes received while one request waited
     for (;;) {
         while (auto event = machine.next()) {
             if (event->kind != ServerEvent::Kind::request) continue;
@@ -384,8 +388,8 @@
             EXPECT_EQ(event->request.body, one);
         }
         if (machine.state() == ServerState::waiting && (!machine.wants_read() || rest.empty())) {
-            EXPECT_LE(in_hand, ServerMachine::ahead_most + 2 * piece);
-            in_hand = 0;
+            EXPECT_LE(received_bytes, ServerMachine::max_pipelined_bytes + 2 * piece);
+            received_bytes = 0;
             EXPECT_TRUE(machine.answer(served()));
             drain(machine);
             continue;
@@ -393,14 +397,14 @@
         if (rest.empty()) break;
         ASSERT_TRUE(machine.wants_read());
         machine.receive(rest.substr(0, piece));
-        in_hand += std::min(piece, rest.size());
+        received_bytes += std::min(piece, rest.size());
         rest.remove_prefix(std::min(piece, rest.size()));
     }
     EXPECT_EQ(taken, sent);
-    EXPECT_TRUE(machine.between());
+    EXPECT_TRUE(machine.between_requests());
 }
 
-TEST(ServerBounds, WhatFollowsALastAnswerIsDropped) {
+TEST(ServerBounds, InputAfterTheLastResponseIsDiscarded) {
     ServerMachine machine;
     ask(machine);
     EXPECT_TRUE(machine.answer(served(), true));
@@ -411,20 +415,20 @@
     EXPECT_TRUE(machine.wants_read());
 }
 
-TEST(ServerBounds, ResetEndsIt) {
+TEST(ServerBounds, AResetEndsTheConnection) {
     ServerMachine machine;
     ask(machine, get + get);
     machine.reset();
     EXPECT_EQ(machine.state(), ServerState::over);
     EXPECT_FALSE(machine.answer(served()));
-    EXPECT_FALSE(machine.turn_away(400));
-    EXPECT_FALSE(machine.interim());
+    EXPECT_FALSE(machine.reject(400));
+    EXPECT_FALSE(machine.send_continue());
     machine.receive(get);
     EXPECT_EQ(kind_of(machine), std::nullopt);
     EXPECT_TRUE(machine.output().empty());
 }
 
-// Thousands of clients keep their connections: between requests each costs next to nothing.
+// Thousands of clients keep idle connections, so an idle machine must use little memory.
 TEST(ServerBounds, IdleConnectionsAreSmall) {
     EXPECT_LT(sizeof(ServerMachine), 400U);
 #ifdef FLAXDOOR_COUNTS_MEMORY
@@ -445,7 +449,7 @@
                 EXPECT_EQ(kind_of(machine), std::nullopt);
             }
         }
-        EXPECT_TRUE(machine.between());
+        EXPECT_TRUE(machine.between_requests());
     }
     EXPECT_LT((::mallinfo2().uordblks - before) / connections, 400U);
 #endif
--- a/tests/http/splits.h
+++ b/tests/http/splits.h
@@ -1,4 +1,4 @@
-// The same bytes in every split that both machines' tests go through.
+// Checks that a machine's results do not depend on how its input is split.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -11,35 +11,37 @@
 
 namespace flaxdoor::http::test {
 
-constexpr std::size_t small = 4096;  // messages up to this size are tried in still more ways
+constexpr std::size_t small_message_bytes =
+    4096;  // messages up to this size are also split into single bytes
 
-// How far apart the places are where a message is cut: one byte. The sanitizers' build, which has no optimizer, looks at
-// every seventeenth place of a large one; the Release build, which the suite runs too, at each.
+// Distance in bytes between the positions at which a message is cut. The sanitizer build, which is not optimized, cuts
+// large messages at every seventeenth byte only; the Release build, which runs the same tests, cuts at every byte.
 constexpr std::size_t stride_of([[maybe_unused]] std::size_t bytes) {
 #ifdef __SANITIZE_ADDRESS__
-    return bytes > small ? 17 : 1;
+    return bytes > small_message_bytes ? 17 : 1;
 #else
     return 1;
 #endif
 }
 
-// What `play` tells of the bytes, cut at every place, at two places by chance, and byte by byte.
-template <typename Play>
-void expect_the_same_in_splits(const std::string& bytes, unsigned seed, Play play) {
-    const std::string whole = play({bytes});
+// Expects the same result of `run` for the complete bytes, for a cut at every position, for random pairs of cuts, and
+// for single bytes.
+template <typename Run>
+void expect_same_for_every_split(const std::string& bytes, unsigned seed, Run run) {
+    const std::string whole = run({bytes});
     for (std::size_t cut = 0; cut <= bytes.size(); cut += stride_of(bytes.size())) {
-        ASSERT_EQ(play(pieces_of(bytes, {cut})), whole) << "cut at " << cut;
+        ASSERT_EQ(run(pieces_of(bytes, {cut})), whole) << "cut at " << cut;
     }
     testing::Test::RecordProperty("seed", static_cast<int>(seed));
-    std::mt19937 chance(seed);
+    std::mt19937 generator(seed);
     std::uniform_int_distribution<std::size_t> at(0, bytes.size());
     for (int i = 0; i < 300; ++i) {
-        const auto first = at(chance), second = at(chance);
-        ASSERT_EQ(play(pieces_of(bytes, {first, second})), whole)
+        const auto first = at(generator), second = at(generator);
+        ASSERT_EQ(run(pieces_of(bytes, {first, second})), whole)
             << "cut at " << first << " and " << second << ", seed " << seed;
     }
-    if (bytes.size() <= small) {
-        ASSERT_EQ(play(bytes_of(bytes)), whole) << "byte by byte";
+    if (bytes.size() <= small_message_bytes) {
+        ASSERT_EQ(run(bytes_of(bytes)), whole) << "byte by byte";
     }
 }
 
