--- a/tests/suite/configuration_test.cpp
+++ b/tests/suite/configuration_test.cpp
@@ -1,53 +1,53 @@
-// The configuration at the start and under way: taken whole, or not at all.
+// Tests of the configuration at the start and while running: it is applied completely or not at all.
 #include "peers.h"
 
 namespace flaxdoor::test {
 namespace {
 
-// One line tells what is wrong, and it ends at once.
-TEST(Configuration, WhatIsWrongEndsTheStart) {
-    Stage good;
-    json short_of = good.config;
-    short_of["settings"].erase("siblings");
-    json elsewhere = good.config;
-    elsewhere["listen"] = text_of(good.discovery.address());  // taken
-    json senseless = good.config;
-    senseless["settings"]["services"][0]["worth"] = -1;
+// An invalid configuration makes the balancer log one line with the error and exit.
+TEST(Configuration, AnInvalidConfigurationPreventsTheStart) {
+    Stage valid;
+    json missing_key = valid.config;
+    missing_key["settings"].erase("siblings");
+    json address_in_use = valid.config;
+    address_in_use["listen"] = text_of(valid.discovery.address());  // an address in use
+    json invalid_value = valid.config;
+    invalid_value["settings"]["services"][0]["worth"] = -1;
     for (const std::string& text : {std::string("{\"settings\":"), std::string("[]"), std::string(),
-                                    short_of.dump(), elsewhere.dump(), senseless.dump()}) {
-        Stage s;
-        EXPECT_FALSE(s.form->start({text, {}, {}}));
-        EXPECT_EQ(s.form->status(), 1) << text;
-        EXPECT_EQ(s.form->log().size(), 1U) << text;
-        EXPECT_EQ(s.logged("flaxdoor: "), 1U) << text;
+                                    missing_key.dump(), address_in_use.dump(), invalid_value.dump()}) {
+        Stage fixture;
+        EXPECT_FALSE(fixture.form->start({text, {}, {}}));
+        EXPECT_EQ(fixture.form->status(), 1) << text;
+        EXPECT_EQ(fixture.form->log().size(), 1U) << text;
+        EXPECT_EQ(fixture.logged("flaxdoor: "), 1U) << text;
     }
 }
 
-// A broken file changes nothing and costs one line; the old configuration stays, and the next good one is
-// taken.
-TEST(Configuration, ABrokenOneLeavesTheOldOne) {
-    Stage s;
-    Listener other(s.loop);
-    s.start();
-    const auto watch = s.watch();
-    const auto client = s.client();
-    const auto wire = s.send(*client, s.look());
-    json named_twice = s.config;
-    named_twice["settings"]["services"][1]["name"] = "look";
-    const std::string twice = named_twice.dump();
-    for (const char* broken : {"{\"settings\":", "", "[]", "{}", twice.c_str()}) {
-        const auto lines = s.form->log().size();
-        s.form->take(broken);
-        s.until([&] { return s.form->log().size() > lines; });
-        s.settle();
-        EXPECT_EQ(s.form->log().size(), lines + 1) << broken;
-        EXPECT_TRUE(s.form->log()[lines].starts_with("the old configuration stays: ")) << broken;
+// An invalid new configuration changes nothing and logs one line; the previous one stays active, and the next valid one is
+// applied.
+TEST(Configuration, AnInvalidConfigurationKeepsThePreviousOne) {
+    Stage fixture;
+    Listener other(fixture.loop);
+    fixture.start();
+    const auto watch = fixture.watch();
+    const auto client = fixture.client();
+    const auto wire = fixture.send(*client, fixture.look());
+    json duplicate_name = fixture.config;
+    duplicate_name["settings"]["services"][1]["name"] = "look";
+    const std::string duplicate_name_text = duplicate_name.dump();
+    for (const char* invalid : {"{\"settings\":", "", "[]", "{}", duplicate_name_text.c_str()}) {
+        const auto line_count = fixture.form->log().size();
+        fixture.form->take(invalid);
+        fixture.until([&] { return fixture.form->log().size() > line_count; });
+        fixture.settle();
+        EXPECT_EQ(fixture.form->log().size(), line_count + 1) << invalid;
+        EXPECT_TRUE(fixture.form->log()[line_count].starts_with("the old configuration stays: ")) << invalid;
     }
     EXPECT_FALSE(watch->ended);
-    s.pass(*wire, *client);
-    s.config["discovery"] = text_of(other.address());
-    s.take();
-    EXPECT_TRUE(has(s.watch(other)->in, "index=7 "));
+    fixture.pass(*wire, *client);
+    fixture.config["discovery"] = text_of(other.address());
+    fixture.take();
+    EXPECT_TRUE(has(fixture.watch(other)->in, "index=7 "));
 }
 
 }  // namespace
--- a/tests/suite/crossings_test.cpp
+++ b/tests/suite/crossings_test.cpp
@@ -1,5 +1,5 @@
-// Two events that cross: each row of docs/design/crossings.md that takes real connections. The bad order is made to
-// happen every time, by a peer that holds something back until the other event is known to have passed.
+// Tests of pairs of events that race: the rows of docs/design/crossings.md that need real connections. A fake client or
+// server forces the critical order by holding one event back until the other is known to have happened.
 #include <unistd.h>
 
 #include "peers.h"
@@ -11,287 +11,296 @@
 using standins::connecting_to;
 using standins::peers::DeafPeer;
 
-// Lets so much time pass on the balancer's clock, which is this machine's.
-void pass(Stage& s, std::chrono::milliseconds length, int where = __builtin_LINE()) {
-    bool over = false;
-    asio::steady_timer clock(s.loop, length);
-    clock.async_wait([&](auto) { over = true; });
-    s.until([&] { return over; }, where);
+// Waits for this time. The balancer uses the system clock.
+void wait_for(Stage& fixture, std::chrono::milliseconds length, int where = __builtin_LINE()) {
+    bool elapsed = false;
+    asio::steady_timer clock(fixture.loop, length);
+    clock.async_wait([&](auto) { elapsed = true; });
+    fixture.until([&] { return elapsed; }, where);
 }
 
 constexpr auto window = std::chrono::milliseconds(400);
 
-// A keyed request may have run at the first server, and is to be repeated at the second, which is listed only then.
-struct Repeat {
-    Repeat(Stage& stage, const json& second, std::string_view body = "body") : s(stage) {
-        s.config["settings"]["services"][1]["window"] = window.count();
-        s.config["known"]["hosts"] = json::array({s.upstream(0)});
-        client = s.start_with_client();
-        first = s.send(*client, s.keyed(5000, {}, body));
-        s.watch()->say(watch_head + Stage::news(8, false, json::array({second})) + chunk("\n"));
-        s.settle();
+// A keyed request that may have executed at the first upstream and is to be retried at the second one, which is listed only
+// then.
+struct RetryScenario {
+    RetryScenario(Stage& stage, const json& second, std::string_view body = "body") : fixture(stage) {
+        fixture.config["settings"]["services"][1]["window"] = window.count();
+        fixture.config["known"]["hosts"] = json::array({fixture.upstream(0)});
+        client = fixture.start_with_client();
+        first = fixture.send(*client, fixture.keyed(5000, {}, body));
+        fixture.watch()->say(watch_head + Stage::news(8, false, json::array({second})) + chunk("\n"));
+        fixture.settle();
         first->say("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n");
     }
-    void is_told_failed() {
-        const auto answer = s.answer(*client);
+    void expect_client_failure() {
+        const auto answer = fixture.answer(*client);
         EXPECT_TRUE(failed(answer)) << answer;
     }
 
-    Stage& s;
+    Stage& fixture;
     std::shared_ptr<Wire> client, first;
 };
 
-// The repeat's connection comes up when the window is over: by then servers have forgotten the first attempt, and this
-// one would run a second time. So nothing of it is sent.
-TEST(Crossings, AConnectionComesUpAfterTheWindow) {
-    Stage s(2);
-    s.upstreams[1]->vanish();
-    Repeat repeat(s, s.upstream(1));
-    s.until([&] { return connecting_to(s.upstreams[1]->address()); });
-    pass(s, window);
-    s.upstreams[1]->reappear();
-    s.until([&] { return !s.upstreams[1]->wires.empty(); });
-    repeat.is_told_failed();
-    EXPECT_EQ(s.upstreams[1]->wires[0]->in, "");
+// The retry's connection is established after the idempotency window has ended. Servers may have forgotten the first attempt
+// by then and would execute the request again, so nothing is sent.
+TEST(Crossings, AConnectionIsEstablishedAfterTheWindow) {
+    Stage fixture(2);
+    fixture.upstreams[1]->vanish();
+    RetryScenario scenario(fixture, fixture.upstream(1));
+    fixture.until([&] { return connecting_to(fixture.upstreams[1]->address()); });
+    wait_for(fixture, window);
+    fixture.upstreams[1]->reappear();
+    fixture.until([&] { return !fixture.upstreams[1]->wires.empty(); });
+    scenario.expect_client_failure();
+    EXPECT_EQ(fixture.upstreams[1]->wires[0]->in, "");
 }
 
-// The connection is there in time, and the server takes the request's bytes slowly: the last ones stay here.
-TEST(Crossings, TheLastBytesFindRoomAfterTheWindow) {
-    Stage s(1);
-    DeafPeer slow(s.loop);
+// The retry's connection is established in time, but the server accepts the bytes slowly: the last ones are not sent after
+// the window.
+TEST(Crossings, TheLastBytesBecomeWritableAfterTheWindow) {
+    Stage fixture(1);
+    DeafPeer slow(fixture.loop);
     const std::string body(60000, 'x');
-    Repeat repeat(s, Stage::entry("s-1", slow.endpoint()), body);
-    s.until([&] { return slow.something_came(); });
-    pass(s, window);
+    RetryScenario scenario(fixture, Stage::entry("s-1", slow.endpoint()), body);
+    fixture.until([&] { return slow.something_came(); });
+    wait_for(fixture, window);
     slow.read_all();
-    s.until([&] { return slow.ended(); });
-    repeat.is_told_failed();
+    fixture.until([&] { return slow.ended(); });
+    scenario.expect_client_failure();
     EXPECT_LT(slow.bytes().size(), body.size());
 }
 
-// A connection that takes long to come up: what its server is told is what is left by then.
-TEST(Crossings, TheTimeToldIsWhatIsLeftOnceItIsConnected) {
-    Stage s(1);
-    s.upstreams[0]->vanish();
-    const auto client = s.start_with_client();
-    client->say(s.once(5000));
-    s.until([&] { return connecting_to(s.upstreams[0]->address()); });
-    pass(s, std::chrono::milliseconds(300));
-    s.upstreams[0]->reappear();
-    const auto [wire, request] = s.request();
+// When a connection takes long to be established, X-Budget-Ms is the time left at that point.
+TEST(Crossings, TheBudgetSentIsTheTimeLeftOnceConnected) {
+    Stage fixture(1);
+    fixture.upstreams[0]->vanish();
+    const auto client = fixture.start_with_client();
+    client->say(fixture.once(5000));
+    fixture.until([&] { return connecting_to(fixture.upstreams[0]->address()); });
+    wait_for(fixture, std::chrono::milliseconds(300));
+    fixture.upstreams[0]->reappear();
+    const auto [wire, request] = fixture.request();
     EXPECT_LE(std::stoi(header(request, "X-Budget-Ms")), 5000 - 300);
-    s.pass(*wire, *client);
+    fixture.pass(*wire, *client);
 }
 
-// An answer that tells no length is the client's once its connection has ended in order, however late that is.
-TEST(Crossings, AnAnswerWithNoLengthIsWholeAtItsEnd) {
-    Stage s(1);
-    const auto client = s.start_with_client();
-    const auto wire = s.send(*client, s.once());
+// A response without a declared length is forwarded once its connection has ended in order, however late that is.
+TEST(Crossings, AResponseWithoutLengthIsCompleteAtItsEnd) {
+    Stage fixture(1);
+    const auto client = fixture.start_with_client();
+    const auto wire = fixture.send(*client, fixture.once());
     wire->say("HTTP/1.1 200 OK\r\n\r\nser");
-    s.settle();
+    fixture.settle();
     wire->say("ved");
-    s.settle();
-    EXPECT_EQ(client->in, "") << "nothing before its end";
+    fixture.settle();
+    EXPECT_EQ(client->in, "") << "nothing is forwarded before the end of the response";
     wire->close();
-    EXPECT_EQ(body(s.answer(*client)), "served");
-    s.serve(*client, s.once());
-    EXPECT_EQ(s.connections(), 2U);
+    EXPECT_EQ(body(fixture.answer(*client)), "served");
+    fixture.serve(*client, fixture.once());
+    EXPECT_EQ(fixture.connections(), 2U);
 }
 
-// ---------------------------------------------------------------------------------------------- a client leaves
+// A client disconnects
 
-// Whatever a request waits for when its client closes: nothing of it begins any more, though what it waited for comes.
-TEST(Crossings, NothingBeginsForAClientThatHasGone) {
-    enum class WaitsFor { a_server, a_connection, its_retry };
-    for (const auto waits_for : {WaitsFor::a_server, WaitsFor::a_connection, WaitsFor::its_retry}) {
-        SCOPED_TRACE(static_cast<int>(waits_for));
-        Stage s(2);
-        s.config["known"]["hosts"] = json::array();
-        if (waits_for != WaitsFor::a_server) s.config["known"]["hosts"].push_back(s.upstream(0));
-        if (waits_for == WaitsFor::a_connection) s.upstreams[0]->vanish();
-        const auto client = s.start_with_client();
-        client->say(s.look());
-        if (waits_for == WaitsFor::a_connection) {
-            s.until([&] { return connecting_to(s.upstreams[0]->address()); });
-        } else if (waits_for == WaitsFor::its_retry) {
-            s.request().first->say("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
+// Whatever a request waits for when its client disconnects, nothing is sent for it even if the awaited event follows.
+TEST(Crossings, NothingIsSentForADisconnectedClient) {
+    enum class Awaited { an_upstream, a_connection, a_retry };
+    for (const auto awaited : {Awaited::an_upstream, Awaited::a_connection, Awaited::a_retry}) {
+        SCOPED_TRACE(static_cast<int>(awaited));
+        Stage fixture(2);
+        fixture.config["known"]["hosts"] = json::array();
+        if (awaited != Awaited::an_upstream) fixture.config["known"]["hosts"].push_back(fixture.upstream(0));
+        if (awaited == Awaited::a_connection) fixture.upstreams[0]->vanish();
+        const auto client = fixture.start_with_client();
+        client->say(fixture.look());
+        if (awaited == Awaited::a_connection) {
+            fixture.until([&] { return connecting_to(fixture.upstreams[0]->address()); });
+        } else if (awaited == Awaited::a_retry) {
+            fixture.request().first->say("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
         }
-        s.settle();
+        fixture.settle();
         client->close();
-        s.settle();
-        s.settle();  // what it was written after its end has come back as a reset by now
-        if (waits_for == WaitsFor::a_connection) s.upstreams[0]->reappear();
-        s.watch()->say(watch_head + Stage::news(9, true, json::array({s.upstream(0), s.upstream(1)})) +
-                       chunk("\n"));
-        // Longer than any gap of its class and than a connection takes that is asked for anew.
-        const auto other = s.client();
-        const auto held = s.send(*other, s.once(1500));
-        EXPECT_TRUE(failed(s.answer(*other)));
-        EXPECT_TRUE(s.nothing_sent());
+        fixture.settle();
+        fixture.settle();  // by now the balancer's probe of the client has caused a reset
+        if (awaited == Awaited::a_connection) fixture.upstreams[0]->reappear();
+        fixture.watch()->say(watch_head +
+                             Stage::news(9, true, json::array({fixture.upstream(0), fixture.upstream(1)})) +
+                             chunk("\n"));
+        // Longer than any back-off of the class, and than a retransmitted connection request takes.
+        const auto other = fixture.client();
+        const auto held = fixture.send(*other, fixture.once(1500));
+        EXPECT_TRUE(failed(fixture.answer(*other)));
+        EXPECT_TRUE(fixture.nothing_sent());
     }
 }
 
-// ---------------------------------------------------------------------------------------------- the end
+// Shutdown
 
-// What was accepted, or lay unread on a connection at rest, when the end was told, and nothing further is accepted from
-// then on: each is served. One that had not come whole by then too.
+// Requests that are in the backlog, or unread on an idle connection, when shutdown starts are served, although no further
+// connection is accepted from then on.
 TEST(Crossings, WhatLayUnreadAtTheEndIsServed) {
-    Stage s(1);
-    s.operators = "[drain]\nkeep_accepting = \"0s\"\n";
-    s.start();
-    const auto resting = s.client();
-    s.serve(*resting);
-    const std::string first = s.once(), second = s.once();
-    s.form->hold();
-    const auto fresh = s.client();
+    Stage fixture(1);
+    fixture.operators = "[drain]\nkeep_accepting = \"0s\"\n";
+    fixture.start();
+    const auto idle = fixture.client();
+    fixture.serve(*idle);
+    const std::string first = fixture.once(), second = fixture.once();
+    fixture.form->hold();
+    const auto fresh = fixture.client();
     fresh->say(first);
-    resting->say(second);
-    s.form->end();
-    s.form->go_on();
-    for (const auto& client : {fresh, resting}) {
-        const auto wire = s.request().first;
+    idle->say(second);
+    fixture.form->end();
+    fixture.form->go_on();
+    for (const auto& client : {fresh, idle}) {
+        const auto wire = fixture.request().first;
         wire->say(ok("served"));
         (void)client;
     }
-    for (const auto& client : {fresh, resting}) {
-        EXPECT_EQ(body(s.answer(*client)), "served");
-        s.until([&c = client] { return c->ended; });
+    for (const auto& client : {fresh, idle}) {
+        EXPECT_EQ(body(fixture.answer(*client)), "served");
+        fixture.until([&c = client] { return c->ended; });
         client->close();
     }
-    s.until_ended();
+    fixture.until_ended();
 }
 
-// Killed right behind an accept, with a request whole, half, or none: its client sees the end and not a byte of an
-// answer, and whoever starts in its place serves. (One that is ended at once within its host is in tests/library/life_test.)
+// A balancer that is killed right after an accept, with a complete, partial or missing request: the client sees the end of
+// its connection and no response byte, and the next process serves. (tests/library/life_test covers a library that is
+// closed immediately.)
 TEST(Crossings, AKillRightAfterAnAccept) {
-    Stage s(1);
-    s.start();
-    if (s.form->process() == ::getpid()) return;  // a process of its own is what can be killed
-    const std::string request = s.once();
+    Stage fixture(1);
+    fixture.start();
+    if (fixture.form->process() == ::getpid()) return;  // only a separate process can be killed
+    const std::string request = fixture.once();
     std::vector<std::shared_ptr<Wire>> clients;
-    for (const std::size_t said : {request.size(), std::size_t{30}, std::size_t{0}}) {
-        clients.push_back(s.client());
-        clients.back()->say(request.substr(0, said));
+    for (const std::size_t sent_bytes : {request.size(), std::size_t{30}, std::size_t{0}}) {
+        clients.push_back(fixture.client());
+        clients.back()->say(request.substr(0, sent_bytes));
     }
-    s.form.reset();
+    fixture.form.reset();
     for (const auto& client : clients) {
-        s.until([&] { return client->ended; });
+        fixture.until([&] { return client->ended; });
         EXPECT_EQ(client->in, "");
     }
-    s.form = make_form(s.loop);
-    s.upstreams[0]->wires.clear();
-    s.start();
-    const auto client = s.client();
-    s.serve(*client, s.once());
+    fixture.form = make_form(fixture.loop);
+    fixture.upstreams[0]->wires.clear();
+    fixture.start();
+    const auto client = fixture.client();
+    fixture.serve(*client, fixture.once());
 }
 
-// A new configuration and the end come together, either one first: it ends in order, and what is held is answered.
-TEST(Crossings, AConfigurationAndTheEndComeTogether) {
+// A new configuration and the shutdown request arrive together, in either order: the shutdown is graceful, and pending
+// requests are answered.
+TEST(Crossings, AConfigurationAndAShutdownArriveTogether) {
     for (const bool end_first : {true, false}) {
-        Stage s(1);
-        Listener other(s.loop);
-        const auto client = s.start_with_client();
-        const auto wire = s.send(*client, s.once());
-        s.config["discovery"] = text_of(other.address());
-        s.form->hold();
-        if (end_first) s.form->end();
-        if (s.form->process() != ::getpid())
-            s.form->take(s.config.dump());  // a library's host waits for its own
-        if (!end_first) s.form->end();
-        s.form->go_on();
-        s.pass(*wire, *client, "held");
+        Stage fixture(1);
+        Listener other(fixture.loop);
+        const auto client = fixture.start_with_client();
+        const auto wire = fixture.send(*client, fixture.once());
+        fixture.config["discovery"] = text_of(other.address());
+        fixture.form->hold();
+        if (end_first) fixture.form->end();
+        if (fixture.form->process() != ::getpid())
+            fixture.form->take(fixture.config.dump());  // in-process, take() waits for the suspended thread
+        if (!end_first) fixture.form->end();
+        fixture.form->go_on();
+        fixture.pass(*wire, *client, "held");
         client->close();
-        s.until_ended();
+        fixture.until_ended();
     }
 }
 
-// ---------------------------------------------------------------------------------------------- watches
+// Discovery watches
 
-// Clients who say nothing take all that is theirs while discovery does not answer and is called again and again: the calls
-// and the upstreams keep what they need, and once discovery is back all goes on by itself.
-TEST(Crossings, IdleClientsFillTheDescriptorsWhileDiscoveryIsAway) {
-    Stage s(2);
-    s.config["limits"]["sockets"] = 96;
-    s.config["known"]["hosts"] = json::array({s.upstream(0)});
-    s.operators = "[membership]\nanswer_timeout = \"100ms\"\n";
-    s.discovery.vanish();
-    const auto client = s.start_with_client();
-    const auto held = s.send(*client, s.once());
-    std::vector<std::shared_ptr<Wire>> crowd;
-    for (int i = 0; i < 200; ++i) crowd.push_back(s.client());
-    s.line("discovery: watch failed: silence", 3);
-    s.pass(*held, *client, "held");
-    s.discovery.reappear();
-    s.until([&] { return !s.discovery.wires.empty() && has(s.discovery.wires.back()->in, "\r\n\r\n"); });
-    s.discovery.wires.back()->say(watch_head + Stage::news(9, true, json::array({s.upstream(1)})) +
-                                  chunk("\n"));
-    s.until([&] { return held->ended; });  // its upstream is listed no more
-    s.serve(*client, s.once());
-    EXPECT_EQ(s.upstreams[1]->wires.size(), 1U);
+// Silent clients occupy all client connections while discovery does not respond and is retried. Pending calls and upstream
+// connections keep their descriptors, and everything continues once discovery responds again.
+TEST(Crossings, SilentClientsFillTheDescriptorsWhileDiscoveryIsDown) {
+    Stage fixture(2);
+    fixture.config["limits"]["sockets"] = 96;
+    fixture.config["known"]["hosts"] = json::array({fixture.upstream(0)});
+    fixture.operators = "[membership]\nanswer_timeout = \"100ms\"\n";
+    fixture.discovery.vanish();
+    const auto client = fixture.start_with_client();
+    const auto held = fixture.send(*client, fixture.once());
+    std::vector<std::shared_ptr<Wire>> silent_clients;
+    for (int i = 0; i < 200; ++i) silent_clients.push_back(fixture.client());
+    fixture.line("discovery: watch failed: silence", 3);
+    fixture.pass(*held, *client, "held");
+    fixture.discovery.reappear();
+    fixture.until([&] {
+        return !fixture.discovery.wires.empty() && has(fixture.discovery.wires.back()->in, "\r\n\r\n");
+    });
+    fixture.discovery.wires.back()->say(
+        watch_head + Stage::news(9, true, json::array({fixture.upstream(1)})) + chunk("\n"));
+    fixture.until([&] { return held->ended; });  // the new list omits its upstream
+    fixture.serve(*client, fixture.once());
+    EXPECT_EQ(fixture.upstreams[1]->wires.size(), 1U);
 }
 
-// The watch is reset just ahead of a drain, discovery has moved meanwhile, and the first word of the new one is a whole
-// list that leaves out who drains: it gets nothing more, neither on the connection that it kept nor on one that comes up.
-TEST(Crossings, AWholeListAfterAResetLeavesOutWhoDrains) {
-    Stage s(2);
-    Listener moved(s.loop);
-    s.config["known"]["hosts"] = json::array({s.upstream(0)});
-    const auto client = s.start_with_client();
-    const auto late = s.client();
-    s.watch()->say(watch_head + chunk("\n"));
-    const auto kept = s.serve(*client);
-    s.upstreams[0]->vanish();
-    const auto busy = s.send(*client, s.look());  // on the kept one, so that the next needs a connection
-    late->say(s.once());
-    s.until([&] { return connecting_to(s.upstreams[0]->address()); });
-    s.watch()->reset();
-    s.config["discovery"] = text_of(moved.address());
-    s.take();
+// The watch is reset just before an upstream drains, the discovery address changes, and the new service's first message is a
+// complete list without that upstream. The upstream gets no further request, neither on its idle connection nor on one that
+// is being established.
+TEST(Crossings, ACompleteListAfterAResetOmitsADrainingUpstream) {
+    Stage fixture(2);
+    Listener moved(fixture.loop);
+    fixture.config["known"]["hosts"] = json::array({fixture.upstream(0)});
+    const auto client = fixture.start_with_client();
+    const auto late = fixture.client();
+    fixture.watch()->say(watch_head + chunk("\n"));
+    const auto kept = fixture.serve(*client);
+    fixture.upstreams[0]->vanish();
+    const auto busy = fixture.send(
+        *client, fixture.look());  // occupies the idle connection, so that the next request needs a new one
+    late->say(fixture.once());
+    fixture.until([&] { return connecting_to(fixture.upstreams[0]->address()); });
+    fixture.watch()->reset();
+    fixture.config["discovery"] = text_of(moved.address());
+    fixture.take();
     const std::string text =
-        json{{"seq", 9}, {"whole", true}, {"hosts", json::array({s.upstream(1)})}}.dump(2) + "\n";
-    const auto watch = s.watch(moved);
+        json{{"seq", 9}, {"whole", true}, {"hosts", json::array({fixture.upstream(1)})}}.dump(2) + "\n";
+    const auto watch = fixture.watch(moved);
     watch->say(watch_head + chunk(text.substr(0, 40)) + chunk(text.substr(40)) + chunk("\n"));
-    s.settle();
-    s.upstreams[0]->reappear();
-    s.pass(*busy, *client, "to the end");
-    s.until([&] { return kept->ended; });
-    const auto wire = s.request().first;
-    EXPECT_EQ(s.upstreams[1]->wires.size(), 1U);
-    s.pass(*wire, *late);
-    for (const auto& each : s.upstreams[0]->wires) EXPECT_EQ(each->in, "");
+    fixture.settle();
+    fixture.upstreams[0]->reappear();
+    fixture.pass(*busy, *client, "to the end");
+    fixture.until([&] { return kept->ended; });
+    const auto wire = fixture.request().first;
+    EXPECT_EQ(fixture.upstreams[1]->wires.size(), 1U);
+    fixture.pass(*wire, *late);
+    for (const auto& each : fixture.upstreams[0]->wires) EXPECT_EQ(each->in, "");
 }
 
-// Where lists are pushed, a watch that ends, or falls silent, is opened anew at once: before a request that came after
-// that is over by its own, short, time.
-TEST(Crossings, AWatchThatEndsIsOpenedAnewAtOnce) {
+// A watch that ends or becomes silent is opened again at once: before the short deadline of a request sent after that.
+TEST(Crossings, AWatchThatEndsIsReopenedAtOnce) {
     struct Row {
         const char* what;
         const char* registry;
-        bool silent;  // it says nothing more; else it ends
+        bool silent;  // the service sends nothing more; otherwise it closes the watch
     };
     for (const Row& row : {Row{"pushed, ends", "push", false}, Row{"pushed, silent", "push", true},
                            Row{"asked for, silent", "ask", true}}) {
         SCOPED_TRACE(row.what);
-        Stage s(1);
-        s.config["settings"]["registry_mode"] = row.registry;
-        s.operators = "[membership]\nsilence_timeout = \"100ms\"\nanswer_timeout = \"10s\"\n";
-        const auto client = s.start_with_client();
-        const auto watch = s.watch();
-        // It waits for its first answer for longer than it may be silent after that.
-        const auto silent = s.send(*client, s.once(300));
-        EXPECT_TRUE(failed(s.answer(*client)));
-        EXPECT_EQ(s.discovery.wires.size(), 1U);
+        Stage fixture(1);
+        fixture.config["settings"]["registry_mode"] = row.registry;
+        fixture.operators = "[membership]\nsilence_timeout = \"100ms\"\nanswer_timeout = \"10s\"\n";
+        const auto client = fixture.start_with_client();
+        const auto watch = fixture.watch();
+        // The balancer waits longer for the first response (answer_timeout) than for later data (silence_timeout).
+        const auto silent = fixture.send(*client, fixture.once(300));
+        EXPECT_TRUE(failed(fixture.answer(*client)));
+        EXPECT_EQ(fixture.discovery.wires.size(), 1U);
         watch->say(watch_head + chunk("\n"));
         if (!row.silent) watch->close();
-        s.send(*client, s.once(300));
-        EXPECT_TRUE(failed(s.answer(*client)));
-        s.drink();
-        ASSERT_EQ(s.discovery.wires.size(), 2U);
-        s.watch(s.discovery, 2)->say(watch_head + Stage::news(9, true, json::array()) + chunk("\n"));
-        s.settle();
-        EXPECT_TRUE(refused(s.ask(*client, s.once(300)))) << "nobody is listed any more";
-        EXPECT_TRUE(s.nothing_here());
+        fixture.send(*client, fixture.once(300));
+        EXPECT_TRUE(failed(fixture.answer(*client)));
+        fixture.drink();
+        ASSERT_EQ(fixture.discovery.wires.size(), 2U);
+        fixture.watch(fixture.discovery, 2)
+            ->say(watch_head + Stage::news(9, true, json::array()) + chunk("\n"));
+        fixture.settle();
+        EXPECT_TRUE(refused(fixture.ask(*client, fixture.once(300)))) << "no upstream is listed any more";
+        EXPECT_TRUE(fixture.no_request_received());
     }
 }
 
--- a/tests/suite/discovery_test.cpp
+++ b/tests/suite/discovery_test.cpp
@@ -1,4 +1,4 @@
-// The list of upstreams: watched, resumed, heeded, and moved to another service.
+// Tests of service discovery: the watch, its resumption, the application of lists, and a change of the service's address.
 #include <algorithm>
 
 #include "peers.h"
@@ -6,137 +6,139 @@
 namespace flaxdoor::test {
 namespace {
 
-TEST(Discovery, WatchesFromTheKnownVersion) {
-    Stage s;
-    s.start();
-    const auto watch = s.watch();
+TEST(Discovery, WatchesFromTheLastKnownVersion) {
+    Stage fixture;
+    fixture.start();
+    const auto watch = fixture.watch();
     EXPECT_TRUE(has(watch->in, "GET /v1/endpoints?stream=1&index=7 HTTP/1.1\r\n"));
 }
 
-// Whatever way a watch ends, the next one resumes after the last version heard.
+// However a watch ends, the next one resumes after the last version received.
 TEST(Discovery, ResumesAWatchThatFailed) {
-    for (const std::string end : {"cut", "503", "nonsense", "bad line"}) {
-        Stage s;
-        s.start();
-        const auto first = s.watch();
-        const std::string news = s.list(9, false).dump();
+    for (const std::string ending : {"cut", "503", "nonsense", "bad line"}) {
+        Stage fixture;
+        fixture.start();
+        const auto first = fixture.watch();
+        const std::string news = fixture.list(9, false).dump();
         first->say(watch_head + chunk(news.substr(0, 20)) + chunk(news.substr(20) + "\n") + chunk("\n"));
         std::size_t failed = 1;
-        if (end == "503" || end == "nonsense") {
+        if (ending == "503" || ending == "nonsense") {
             first->close();
-            s.watch(s.discovery, 2)
-                ->say(end == "503" ? "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
-                                   : "nonsense\r\n\r\n");
+            fixture.watch(fixture.discovery, 2)
+                ->say(ending == "503" ? "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
+                                      : "nonsense\r\n\r\n");
             failed = 2;
-        } else if (end == "cut") {
+        } else if (ending == "cut") {
             first->close();
         } else {
-            first->say(chunk("{\"seq\":11,\n\n"));  // an indented list could go on; the empty line ends that
+            first->say(chunk("{\"seq\":11,\n\n"));  // an indented list could continue; the empty line ends it
         }
-        EXPECT_TRUE(has(s.watch(s.discovery, failed + 1)->in, "index=9 ")) << end;
+        EXPECT_TRUE(has(fixture.watch(fixture.discovery, failed + 1)->in, "index=9 ")) << ending;
     }
 }
 
-// What a watch says of an upstream holds from then on: one that leaves gets nothing new. An entry that can't
-// be used makes nobody deaf to the one beside it.
-TEST(Discovery, ListsArePassedOn) {
-    for (const bool unusable_beside : {false, true}) {
-        Stage s;
-        s.start();
-        const auto watch = s.watch();
-        json hosts = json::array({s.upstream(0, "leaving")});
-        if (unusable_beside) {
-            hosts.push_back(s.upstream(0));
+// A change received on a watch applies to all later requests: an upstream that is leaving gets no new ones. An unusable entry
+// does not affect the other entries of its list.
+TEST(Discovery, AppliesChanges) {
+    for (const bool with_unusable_entry : {false, true}) {
+        Stage fixture;
+        fixture.start();
+        const auto watch = fixture.watch();
+        json hosts = json::array({fixture.upstream(0, "leaving")});
+        if (with_unusable_entry) {
+            hosts.push_back(fixture.upstream(0));
             hosts[1]["host"] = "s-new";
             hosts[1]["site"] = "nowhere";
         }
         watch->say(watch_head + Stage::news(9, false, hosts) + chunk("\n"));
-        if (unusable_beside) s.line("discovery: left out: s-new: unknown zone");
-        s.settle();
-        const auto client = s.client();
-        for (int i = 0; i < 6; ++i) s.serve(*client);
-        EXPECT_TRUE(s.upstreams[0]->wires.empty());
+        if (with_unusable_entry) fixture.line("discovery: left out: s-new: unknown zone");
+        fixture.settle();
+        const auto client = fixture.client();
+        for (int i = 0; i < 6; ++i) fixture.serve(*client);
+        EXPECT_TRUE(fixture.upstreams[0]->wires.empty());
         EXPECT_FALSE(watch->ended);
     }
 }
 
-// A new configuration names another service: it is asked at once from where the old one had got to, and the
-// old one is heard until the new one speaks. As often as it comes, also while draining.
-TEST(Discovery, MovesWithoutAGap) {
-    Stage s;
+// When a new configuration names another discovery service, the balancer at once opens a watch there from the last version,
+// and applies the old service's changes until the new one responds. This works repeatedly and while draining.
+TEST(Discovery, MovesToAnotherServiceWithoutAGap) {
+    Stage fixture;
     std::vector<std::unique_ptr<Listener>> services;
-    for (int i = 0; i < 3; ++i) services.push_back(std::make_unique<Listener>(s.loop));
-    s.config["discovery"] = text_of(services[0]->address());
-    s.start();
+    for (int i = 0; i < 3; ++i) services.push_back(std::make_unique<Listener>(fixture.loop));
+    fixture.config["discovery"] = text_of(services[0]->address());
+    fixture.start();
     const auto move_to = [&](std::size_t i) {
-        s.config["discovery"] = text_of(services[i]->address());
-        s.take();
+        fixture.config["discovery"] = text_of(services[i]->address());
+        fixture.take();
     };
-    const auto first = s.watch(*services[0]);
-    first->say(watch_head + chunk(s.list(9, false).dump() + "\n"));
-    const auto client = s.client();
-    s.serve(*client);
+    const auto first = fixture.watch(*services[0]);
+    first->say(watch_head + chunk(fixture.list(9, false).dump() + "\n"));
+    const auto client = fixture.client();
+    fixture.serve(*client);
     move_to(1);
-    const auto second = s.watch(*services[1]);
+    const auto second = fixture.watch(*services[1]);
     EXPECT_TRUE(has(second->in, "index=9 ")) << second->in;
-    first->say(Stage::news(10, false, json::array({s.upstream(0, "leaving")})));
-    s.settle();
-    const auto before = s.upstreams[0]->wires.size();
+    first->say(Stage::news(10, false, json::array({fixture.upstream(0, "leaving")})));
+    fixture.settle();
+    const auto before = fixture.upstreams[0]->wires.size();
     for (int i = 0; i < 6; ++i) {
-        const auto wire = s.send(*client, s.look());
-        EXPECT_EQ(std::count(s.upstreams[0]->wires.begin(), s.upstreams[0]->wires.end(), wire), 0);
-        s.pass(*wire, *client);
+        const auto wire = fixture.send(*client, fixture.look());
+        EXPECT_EQ(std::count(fixture.upstreams[0]->wires.begin(), fixture.upstreams[0]->wires.end(), wire),
+                  0);
+        fixture.pass(*wire, *client);
     }
-    EXPECT_EQ(s.upstreams[0]->wires.size(), before);
+    EXPECT_EQ(fixture.upstreams[0]->wires.size(), before);
     EXPECT_FALSE(first->ended);
-    const auto held = s.send(*client, s.look());
-    s.end();
-    second->say(watch_head + chunk(s.list(8, true).dump() + "\n"));  // it counts anew
-    s.until([&] { return first->ended; });
-    move_to(1);  // nothing new: nothing happens
+    const auto held = fixture.send(*client, fixture.look());
+    fixture.end();
+    second->say(watch_head +
+                chunk(fixture.list(8, true).dump() + "\n"));  // the new service has its own version numbers
+    fixture.until([&] { return first->ended; });
+    move_to(1);  // unchanged, so no new watch is opened
     move_to(2);
-    const auto third = s.watch(*services[2]);
+    const auto third = fixture.watch(*services[2]);
     EXPECT_TRUE(has(third->in, "index=8 ")) << third->in;
     second->close();
-    s.pass(*held, *client);
+    fixture.pass(*held, *client);
     client->close();
-    s.until_ended();
+    fixture.until_ended();
     for (const auto& service : services) EXPECT_EQ(service->wires.size(), 1U);
 }
 
-// Nothing of an upstream that has gone, or has moved, is used again: neither the connection that was kept nor
-// the one that was busy. Whoever comes to its address is met anew.
-TEST(Discovery, WhoHasGoneIsLetGoOf) {
+// No connection of an upstream that was removed or has moved is reused, whether it was idle or busy. A new upstream at the
+// same address gets new connections.
+TEST(Discovery, ARemovedUpstreamsConnectionsAreClosed) {
     struct Case {
-        const char* what;
+        const char* description;
         bool whole;
-        const char* name;  // at the address that is listed now
+        const char* name;  // of the upstream that is listed now
         std::size_t address;
-        bool left;  // the old one is told to have left
+        bool left;  // the list reports the old upstream as left
     };
-    for (const Case& now :
-         {Case{"left out of a whole list", true, "s-new", 0, false},
-          Case{"left among changes", false, "s-new", 0, true}, Case{"moved", false, "s-0", 1, false}}) {
-        SCOPED_TRACE(now.what);
-        Stage s;
-        s.config["known"]["hosts"] = json::array({s.upstream(0)});
-        s.start();
-        const auto watch = s.watch();
-        const auto client = s.client();
-        const auto other = s.client();
-        const auto idle = s.send(*client, s.look(5000, "kept"));
-        const auto busy = s.send(*other, s.look(5000, "under-way"));
-        s.pass(*idle, *client);
-        json hosts = json::array({Stage::entry(now.name, s.upstreams[now.address]->address())});
-        if (now.left) hosts.push_back(s.upstream(0, "left"));
+    for (const Case& now : {Case{"omitted from a complete list", true, "s-new", 0, false},
+                            Case{"reported as left in a change", false, "s-new", 0, true},
+                            Case{"moved", false, "s-0", 1, false}}) {
+        SCOPED_TRACE(now.description);
+        Stage fixture;
+        fixture.config["known"]["hosts"] = json::array({fixture.upstream(0)});
+        fixture.start();
+        const auto watch = fixture.watch();
+        const auto client = fixture.client();
+        const auto other = fixture.client();
+        const auto idle = fixture.send(*client, fixture.look(5000, "kept"));
+        const auto busy = fixture.send(*other, fixture.look(5000, "under-way"));
+        fixture.pass(*idle, *client);
+        json hosts = json::array({Stage::entry(now.name, fixture.upstreams[now.address]->address())});
+        if (now.left) hosts.push_back(fixture.upstream(0, "left"));
         watch->say(watch_head + Stage::news(9, now.whole, hosts));
-        s.until([&] { return idle->ended; });
+        fixture.until([&] { return idle->ended; });
         EXPECT_FALSE(busy->ended);
-        s.pass(*busy, *other, "to the end");
-        s.until([&] { return busy->ended; });
-        s.serve(*client);
-        EXPECT_EQ(s.upstreams[now.address]->wires.size(), now.address == 0 ? 3U : 1U);
-        EXPECT_EQ(s.connections(), 3U);
+        fixture.pass(*busy, *other, "to the end");
+        fixture.until([&] { return busy->ended; });
+        fixture.serve(*client);
+        EXPECT_EQ(fixture.upstreams[now.address]->wires.size(), now.address == 0 ? 3U : 1U);
+        EXPECT_EQ(fixture.connections(), 3U);
     }
 }
 
--- a/tests/suite/drain_test.cpp
+++ b/tests/suite/drain_test.cpp
@@ -1,128 +1,128 @@
-// The end of a balancer that was told to end.
+// Tests of the graceful shutdown.
 #include "peers.h"
 
 namespace flaxdoor::test {
 namespace {
 
-// Requests are still taken for a while, on old connections and on new ones; then what is held is answered,
-// with the connection's end told, and the balancer ends.
-TEST(Drain, ServesWhatComesAndThenEnds) {
-    Stage s;
-    s.start();
-    const auto held = s.client();
-    const auto wire = s.send(*held, s.once());
-    s.form->end();
-    const auto late = s.client();
-    s.serve(*late, s.once(), "late");
-    s.until_refused();
+// Requests are still accepted for a while, on existing and new connections. Then pending requests are answered with
+// Connection: close, and the balancer exits.
+TEST(Drain, ServesLateRequestsAndThenExits) {
+    Stage fixture;
+    fixture.start();
+    const auto held = fixture.client();
+    const auto wire = fixture.send(*held, fixture.once());
+    fixture.form->end();
+    const auto late = fixture.client();
+    fixture.serve(*late, fixture.once(), "late");
+    fixture.until_connections_refused();
     wire->say(ok("held"));
-    const auto answer = s.answer(*held);
+    const auto answer = fixture.answer(*held);
     EXPECT_EQ(body(answer), "held");
     EXPECT_EQ(header(answer, "Connection"), "close");
-    s.until([&] { return held->ended; });
+    fixture.until([&] { return held->ended; });
     held->close();
     late->close();
-    s.until_ended();
+    fixture.until_ended();
 }
 
-// Whoever has nothing to ask is not waited for.
+// The shutdown does not wait for idle connections.
 TEST(Drain, ClosesIdleConnections) {
-    Stage s;
-    s.start();
-    const auto idle = s.client();
-    const auto held = s.client();
-    EXPECT_EQ(status(s.ask(*idle, ready)), 200);
-    const auto wire = s.send(*held, s.once());
-    s.form->end();
-    s.until([&] { return idle->ended; });
+    Stage fixture;
+    fixture.start();
+    const auto idle = fixture.client();
+    const auto held = fixture.client();
+    EXPECT_EQ(status(fixture.ask(*idle, ready)), 200);
+    const auto wire = fixture.send(*held, fixture.once());
+    fixture.form->end();
+    fixture.until([&] { return idle->ended; });
     EXPECT_FALSE(held->ended);
-    s.pass(*wire, *held, "held");
+    fixture.pass(*wire, *held, "held");
     held->close();
-    s.until_ended();
+    fixture.until_ended();
 }
 
-// A request that is only half here when nobody new is taken any more is still taken and answered.
-TEST(Drain, WaitsForARequestThatIsComing) {
-    Stage s;
-    const auto client = s.start_with_client();
-    const auto request = s.once();
+// A request that is partially received when the balancer stops accepting connections is still received and answered.
+TEST(Drain, WaitsForAPartiallyReceivedRequest) {
+    Stage fixture;
+    const auto client = fixture.start_with_client();
+    const auto request = fixture.once();
     client->say(request.substr(0, 30));
-    s.form->end();
-    s.until_refused();
-    EXPECT_FALSE(s.form->ended());
-    s.serve(*client, request.substr(30), "in time");
-    s.until([&] { return client->ended; });
+    fixture.form->end();
+    fixture.until_connections_refused();
+    EXPECT_FALSE(fixture.form->ended());
+    fixture.serve(*client, request.substr(30), "in time");
+    fixture.until([&] { return client->ended; });
     client->close();
-    s.until_ended();
+    fixture.until_ended();
 }
 
-// A request that was whole only shortly before the end is answered with the end: its client is told
-// something, and what may have run is not called refused.
+// A request that is completely received only shortly before the end of the shutdown is answered at that end. It may have
+// executed, so the response is a failure and not a refusal.
 TEST(Drain, AnswersWhatIsStillOpenAtItsEnd) {
-    Stage s(1);
-    s.set_deadline(500);
-    s.operators = "[drain]\nkeep_accepting = \"0s\"\nend_slack = \"0s\"\n";
-    s.start();
-    const auto idle = s.client();
-    const auto client = s.client();
-    EXPECT_EQ(status(s.ask(*idle, ready)), 200);
-    const auto request = s.once(500);
+    Stage fixture(1);
+    fixture.set_deadline(500);
+    fixture.operators = "[drain]\nkeep_accepting = \"0s\"\nend_slack = \"0s\"\n";
+    fixture.start();
+    const auto idle = fixture.client();
+    const auto client = fixture.client();
+    EXPECT_EQ(status(fixture.ask(*idle, ready)), 200);
+    const auto request = fixture.once(500);
     client->say(request.substr(0, 30));
-    s.end();
-    s.until([&] { return idle->ended; });
-    s.stall(std::chrono::milliseconds(100), [&] { client->say(request.substr(30)); });
-    const auto wire = s.request().first;  // and its upstream is silent
-    const auto answer = s.answer(*client);
+    fixture.end();
+    fixture.until([&] { return idle->ended; });
+    fixture.stall(std::chrono::milliseconds(100), [&] { client->say(request.substr(30)); });
+    const auto wire = fixture.request().first;  // the upstream does not respond
+    const auto answer = fixture.answer(*client);
     EXPECT_TRUE(failed(answer)) << answer;
-    s.until([&] { return client->ended; });
+    fixture.until([&] { return client->ended; });
     client->close();
-    s.until_ended();
+    fixture.until_ended();
 }
 
-// What was taken whole before the drain is answered at its own deadline, although its upstream says nothing.
-TEST(Drain, AnswersWhatWasTakenThoughItsUpstreamIsSilent) {
-    Stage s(1);
-    const auto client = s.start_with_client();
-    const auto wire = s.send(*client, s.once(500));
-    s.form->end();
-    const auto answer = s.answer(*client);
+// A request received completely before the shutdown is answered at its own deadline when its upstream does not respond.
+TEST(Drain, AnswersReceivedRequestsOfASilentUpstream) {
+    Stage fixture(1);
+    const auto client = fixture.start_with_client();
+    const auto wire = fixture.send(*client, fixture.once(500));
+    fixture.form->end();
+    const auto answer = fixture.answer(*client);
     EXPECT_TRUE(failed(answer)) << answer;
-    s.until([&] { return client->ended; });
+    fixture.until([&] { return client->ended; });
     client->close();
-    s.until_ended();
-    EXPECT_TRUE(client->in.empty()) << "something came after the final answer";
+    fixture.until_ended();
+    EXPECT_TRUE(client->in.empty()) << "bytes followed the final response";
 }
 
-// Whoever tells it twice means the same: it drains once, and what is held is answered.
-TEST(Drain, ToldTwiceIsToldOnce) {
-    Stage s;
-    s.start();
-    const auto held = s.client();
-    const auto wire = s.send(*held, s.once());
-    s.end();
-    s.form->end();
-    s.until_refused();
-    s.form->end();  // and once more, when it has begun to close
+// A repeated shutdown request has no further effect: the balancer drains once, and pending requests are answered.
+TEST(Drain, ARepeatedShutdownRequestHasNoEffect) {
+    Stage fixture;
+    fixture.start();
+    const auto held = fixture.client();
+    const auto wire = fixture.send(*held, fixture.once());
+    fixture.end();
+    fixture.form->end();
+    fixture.until_connections_refused();
+    fixture.form->end();  // again, after it has stopped accepting connections
     EXPECT_FALSE(held->ended);
-    s.pass(*wire, *held, "held");
+    fixture.pass(*wire, *held, "held");
     held->close();
-    s.until_ended();
-    EXPECT_EQ(s.logged("draining"), 1U);
+    fixture.until_ended();
+    EXPECT_EQ(fixture.logged("draining"), 1U);
 }
 
-// A configuration that comes meanwhile is taken like any other, and holds up nothing.
-TEST(Drain, TakesAConfiguration) {
-    Stage s;
-    Listener other(s.loop);
-    const auto client = s.start_with_client();
-    const auto wire = s.send(*client, s.once());
-    s.end();
-    s.config["discovery"] = text_of(other.address());
-    s.take();
-    s.watch(other);
-    s.pass(*wire, *client, "held");
+// A configuration received during the shutdown is applied as usual, and does not delay the shutdown.
+TEST(Drain, AppliesAConfiguration) {
+    Stage fixture;
+    Listener other(fixture.loop);
+    const auto client = fixture.start_with_client();
+    const auto wire = fixture.send(*client, fixture.once());
+    fixture.end();
+    fixture.config["discovery"] = text_of(other.address());
+    fixture.take();
+    fixture.watch(other);
+    fixture.pass(*wire, *client, "held");
     client->close();
-    s.until_ended();
+    fixture.until_ended();
 }
 
 }  // namespace
--- a/tests/suite/faults_test.cpp
+++ b/tests/suite/faults_test.cpp
@@ -1,5 +1,5 @@
-// Reproducers of known faults, one test each. They are run when FLAXDOOR_SUITE_FAULTS is on; one that passes
-// belongs among the tests of its concern.
+// Reproducers of faults, one test each. They run when FLAXDOOR_SUITE_FAULTS is on; a test that passes belongs with the other
+// tests of its subject.
 #include <sys/resource.h>
 #include <unistd.h>
 
@@ -11,92 +11,94 @@
 namespace flaxdoor::test {
 namespace {
 
-// Fault: at the end of a drain connections are cut that have been accepted and hold, or are about to hold, a
-// request. Clients go on coming until they are refused; each one that got in gets a whole answer.
+// Fault: at the end of a drain, accepted connections with a request, or with one in transit, were closed. Clients connect
+// until they are refused; each accepted client must get a complete response.
 TEST(Faults, LateClientsAreAnsweredOrRefused) {
-    Stage s;
-    s.set_deadline(600);
-    s.start();
-    s.end();
+    Stage fixture;
+    fixture.set_deadline(600);
+    fixture.start();
+    fixture.end();
     std::vector<std::shared_ptr<Wire>> late;
-    s.until_refused([&](const auto& client) {
-        client->say(s.once(600));  // the upstreams stay silent: it is answered at its deadline
+    fixture.until_connections_refused([&](const auto& client) {
+        client->say(fixture.once(600));  // the upstreams do not respond, so it is answered at its deadline
         late.push_back(client);
     });
     std::size_t lost = 0;
-    for (const auto& client : late) lost += s.answer(*client).empty();
+    for (const auto& client : late) lost += fixture.answer(*client).empty();
     EXPECT_EQ(lost, 0U) << "of " << late.size();
     for (const auto& client : late) client->close();
-    s.until_ended();
+    fixture.until_ended();
 }
 
-// Fault: /ready says 200 for 450 ms after the order to end, so that the front goes on choosing this balancer.
-TEST(Faults, NotReadyFromTheOrderToEnd) {
-    Stage s;
-    s.start();
-    const auto before = s.client();
-    EXPECT_EQ(status(s.ask(*before, ready)), 200);
-    s.end();
-    EXPECT_EQ(status(s.ask(*before, ready)), 503);
-    const auto after = s.client();
-    EXPECT_EQ(status(s.ask(*after, ready)), 503);
+// Fault: /ready returned 200 for 450 ms after the shutdown request, so that the load balancer in front kept choosing this
+// balancer.
+TEST(Faults, NotReadyFromTheShutdownRequest) {
+    Stage fixture;
+    fixture.start();
+    const auto before = fixture.client();
+    EXPECT_EQ(status(fixture.ask(*before, ready)), 200);
+    fixture.end();
+    EXPECT_EQ(status(fixture.ask(*before, ready)), 503);
+    const auto after = fixture.client();
+    EXPECT_EQ(status(fixture.ask(*after, ready)), 503);
 }
 
-// Fault: an attempt whose connection is still coming up when its server is told to drain is written once it
-// is up, after the grace. The server here accepts nothing more until the notice has been heard: its machine
-// drops what knocks, and the balancer's knocks again after a second.
-TEST(Faults, NothingGoesOutOnAConnectionThatComesUpAfterTheNotice) {
-    Stage s;
-    tcp::acceptor stuck(s.loop);
-    stuck.open(tcp::v4());
-    stuck.bind(loopback());
-    stuck.listen(0);
-    tcp::socket filler(s.loop);
-    filler.connect(stuck.local_endpoint());
-    s.config["known"]["hosts"] = json::array({Stage::entry("s-stuck", stuck.local_endpoint())});
-    s.config["settings"]["invariants"]["drain_grace"] = 50.0;
-    s.start();
-    const auto watch = s.watch();
-    const auto client = s.client();
-    client->say(s.once());  // unsafe: it goes elsewhere only when this attempt has ended
-    s.settle();
-    const json hosts = {Stage::entry("s-stuck", stuck.local_endpoint(), "leaving"), s.upstream(1)};
+// Fault: an attempt whose connection was being established when its upstream began to drain was sent once the connection was
+// up, after the drain grace. The upstream here accepts nothing until the change was received: its full backlog drops the
+// connection request, which the balancer's kernel retransmits after a second.
+TEST(Faults, NothingIsSentOnAConnectionEstablishedAfterTheDrainNotice) {
+    Stage fixture;
+    tcp::acceptor full_listener(fixture.loop);
+    full_listener.open(tcp::v4());
+    full_listener.bind(loopback());
+    full_listener.listen(0);
+    tcp::socket filler(fixture.loop);
+    filler.connect(full_listener.local_endpoint());
+    fixture.config["known"]["hosts"] = json::array({Stage::entry("s-stuck", full_listener.local_endpoint())});
+    fixture.config["settings"]["invariants"]["drain_grace"] = 50.0;
+    fixture.start();
+    const auto watch = fixture.watch();
+    const auto client = fixture.client();
+    client->say(fixture.once());  // unsafe: it is retried elsewhere only after this attempt has ended
+    fixture.settle();
+    const json hosts = {Stage::entry("s-stuck", full_listener.local_endpoint(), "leaving"),
+                        fixture.upstream(1)};
     watch->say(watch_head + Stage::news(9, false, hosts) + chunk("\n"));
-    s.settle();
-    stuck.accept();  // room for one more
-    std::vector<std::shared_ptr<Wire>> came;
+    fixture.settle();
+    full_listener.accept();  // makes room for one connection
+    std::vector<std::shared_ptr<Wire>> accepted;
     const std::function<void()> accept = [&] {
-        stuck.async_accept([&](boost::system::error_code error, tcp::socket socket) {
+        full_listener.async_accept([&](boost::system::error_code error, tcp::socket socket) {
             if (error) return;
-            came.push_back(std::make_shared<Wire>(std::move(socket)));
-            came.back()->start();
+            accepted.push_back(std::make_shared<Wire>(std::move(socket)));
+            accepted.back()->start();
             accept();
         });
     };
     accept();
     const auto written = [&] {
-        for (const auto& wire : came)
+        for (const auto& wire : accepted)
             if (!wire->in.empty()) return true;
         return false;
     };
-    s.until([&] { return written() || !s.nothing_here(); });
-    EXPECT_FALSE(written()) << came[0]->in;
+    fixture.until([&] { return written() || !fixture.no_request_received(); });
+    EXPECT_FALSE(written()) << accepted[0]->in;
     if (!written()) {
-        s.pass(*s.request().first, *client);
+        fixture.pass(*fixture.request().first, *client);
     } else {
-        came[0]->say(ok());
-        s.answer(*client);
+        accepted[0]->say(ok());
+        fixture.answer(*client);
     }
     client->close();
-    s.end();
-    s.until_ended();
-    s.drink();
+    fixture.end();
+    fixture.until_ended();
+    fixture.drink();
     EXPECT_FALSE(written());
-    stuck.close();
-    s.drink();
+    full_listener.close();
+    fixture.drink();
 }
 
-// The lowest descriptor that a process does not hold.
+// Returns the lowest descriptor number that a process does not use.
 rlim_t first_free_descriptor(pid_t process) {
     const std::filesystem::path held = "/proc/" + std::to_string(process) + "/fd";
     rlim_t n = 0;
@@ -104,113 +106,113 @@
     return n;
 }
 
-// Fault: when this side has no descriptor left for a connection, that counts against the server as one that
-// refuses connections, and it is put out for a while.
-TEST(Faults, AShortageOfOurOwnCountsAgainstNoServer) {
-    Stage s(1);
-    s.start();
+// Fault: when the balancer had no descriptor for a connection, that counted as a refused connection, and the upstream was
+// ejected for a while.
+TEST(Faults, ALocalShortageEjectsNoUpstream) {
+    Stage fixture(1);
+    fixture.start();
     std::vector<std::shared_ptr<Wire>> clients;
-    for (int i = 0; i < 2; ++i) clients.push_back(s.client());
-    // Two calls at once reach the server together, each on a connection of its own.
+    for (int i = 0; i < 2; ++i) clients.push_back(fixture.client());
+    // Two concurrent calls reach the upstream, each on its own connection.
     const auto served_together = [&] {
-        for (const auto& client : clients) client->say(s.once(1000));
+        for (const auto& client : clients) client->say(fixture.once(1000));
         std::vector<std::shared_ptr<Wire>> asked;
         bool answered = false;
-        s.until([&] {
-            if (const auto wire = s.request_here().first) asked.push_back(wire);
+        fixture.until([&] {
+            if (const auto wire = fixture.request_here().first) asked.push_back(wire);
             for (const auto& client : clients) answered = answered || !client->in.empty() || client->ended;
             return asked.size() == clients.size() || answered;
         });
         EXPECT_EQ(asked.size(), clients.size());
         for (const auto& wire : asked) {
             wire->say(ok("served", "Connection: close\r\n"));
-            s.until([&] { return wire->ended; });
+            fixture.until([&] { return wire->ended; });
         }
-        for (const auto& client : clients) EXPECT_EQ(status(s.answer(*client)), 200);
+        for (const auto& client : clients) EXPECT_EQ(status(fixture.answer(*client)), 200);
     };
     served_together();
-    // Not by a client of its own: its end would free a descriptor later on.
-    EXPECT_EQ(status(s.ask(*clients[0], ready)), 200);
-    rlimit usual{};
-    ASSERT_EQ(::prlimit(s.form->process(), RLIMIT_NOFILE, nullptr, &usual), 0);
-    const rlimit none{first_free_descriptor(s.form->process()), usual.rlim_max};
-    ASSERT_EQ(::prlimit(s.form->process(), RLIMIT_NOFILE, &none, nullptr), 0);
-    for (const auto& client : clients) client->say(s.once(100));
-    for (const auto& client : clients) EXPECT_TRUE(refused(s.answer(*client)));
-    EXPECT_TRUE(s.nothing_here());
-    ASSERT_EQ(::prlimit(s.form->process(), RLIMIT_NOFILE, &usual, nullptr), 0);
+    // Uses an existing client: the close of a new one would free a descriptor later.
+    EXPECT_EQ(status(fixture.ask(*clients[0], ready)), 200);
+    rlimit usual_limit{};
+    ASSERT_EQ(::prlimit(fixture.form->process(), RLIMIT_NOFILE, nullptr, &usual_limit), 0);
+    const rlimit no_free_descriptor{first_free_descriptor(fixture.form->process()), usual_limit.rlim_max};
+    ASSERT_EQ(::prlimit(fixture.form->process(), RLIMIT_NOFILE, &no_free_descriptor, nullptr), 0);
+    for (const auto& client : clients) client->say(fixture.once(100));
+    for (const auto& client : clients) EXPECT_TRUE(refused(fixture.answer(*client)));
+    EXPECT_TRUE(fixture.no_request_received());
+    ASSERT_EQ(::prlimit(fixture.form->process(), RLIMIT_NOFILE, &usual_limit, nullptr), 0);
     served_together();
-    EXPECT_EQ(s.logged("upstream put out"), 0U);
+    EXPECT_EQ(fixture.logged("upstream put out"), 0U);
 }
 
-// Fault: the id of a call is free again once it has been answered, though an attempt of it may run yet at a
-// server that is silent: the same id would reach a server a second time.
-TEST(Faults, AnIdStaysTakenWhileItsAttemptMayRun) {
-    Stage s;
-    const auto client = s.start_with_client();
-    client->say(s.once(100, "body", "x7"));
-    s.request();
-    EXPECT_TRUE(failed(s.answer(*client)));
-    const auto other = s.client();
-    other->say(s.once(5000, "body", "x7"));
-    s.until([&] { return !other->in.empty() || !s.nothing_here(); });
-    EXPECT_TRUE(s.nothing_here());
-    if (s.nothing_here()) {
-        EXPECT_EQ(status(s.answer(*other)), 409);
+// Fault: the id of a call could be used again once the call was answered, although one of its attempts might still be
+// executing at a silent upstream: the same id would reach an upstream twice.
+TEST(Faults, AnIdStaysInUseWhileItsAttemptMayBeExecuting) {
+    Stage fixture;
+    const auto client = fixture.start_with_client();
+    client->say(fixture.once(100, "body", "x7"));
+    fixture.request();
+    EXPECT_TRUE(failed(fixture.answer(*client)));
+    const auto other = fixture.client();
+    other->say(fixture.once(5000, "body", "x7"));
+    fixture.until([&] { return !other->in.empty() || !fixture.no_request_received(); });
+    EXPECT_TRUE(fixture.no_request_received());
+    if (fixture.no_request_received()) {
+        EXPECT_EQ(status(fixture.answer(*other)), 409);
     }
 }
 
-// Fault: nothing more is read of a client that has sent more than 80 KiB ahead, and so its end is not seen:
-// its attempt runs on. Its deadline is beyond any patience here.
+// Fault: a client that has sent more than 80 KiB ahead is not read, so its disconnect went unnoticed and its attempt
+// continued. The deadline is longer than the test may take.
 TEST(Faults, AnEndBehindMuchThatWasSentAheadIsSeen) {
-    Stage s;
-    s.set_deadline(600000);
-    s.operators =
-        "[http]\nrequest_timeout = \"10m\"\n";  // what is looked at now and then is looked at too seldom
-    const auto client = s.start_with_client();
-    std::string ahead = s.look(600000);
-    while (ahead.size() < 120 * 1024) ahead += s.look(600000);
-    const auto wire = s.send(*client, ahead);
-    s.until([&] { return client->all_said(); });
-    s.settle();
+    Stage fixture;
+    fixture.set_deadline(600000);
+    fixture.operators =
+        "[http]\nrequest_timeout = \"10m\"\n";  // makes the periodic sweep too rare to notice the disconnect
+    const auto client = fixture.start_with_client();
+    std::string ahead = fixture.look(600000);
+    while (ahead.size() < 120 * 1024) ahead += fixture.look(600000);
+    const auto wire = fixture.send(*client, ahead);
+    fixture.until([&] { return client->all_said(); });
+    fixture.settle();
     client->close();
-    s.until([&] { return wire->ended; });
-    s.settle();
-    EXPECT_EQ(s.connections(), 1U);
+    fixture.until([&] { return wire->ended; });
+    fixture.settle();
+    EXPECT_EQ(fixture.connections(), 1U);
 }
 
-// Fault: a client that ends only its sending, as it may with HTTP/1.1, is taken for one that has gone. (One
-// that closes wholly ends its attempt: Serving.ClientThatLeavesEndsItsAttempt.)
-TEST(Faults, AClientThatOnlyStopsSendingIsAnswered) {
-    Stage s;
-    const auto client = s.start_with_client();
-    client->say(s.once());
+// Fault: a client that ends only its sending, as HTTP/1.1 allows, was treated as disconnected. (A client that disconnects
+// cancels its attempt: Serving.AClientsDisconnectCancelsItsAttempt.)
+TEST(Faults, AHalfClosedClientIsAnswered) {
+    Stage fixture;
+    const auto client = fixture.start_with_client();
+    client->say(fixture.once());
     client->end_sending();
     std::shared_ptr<Wire> wire;
-    s.until([&] { return (wire = s.request_here().first) || client->ended; });
-    ASSERT_TRUE(wire) << "it was let go of";
-    s.settle();
+    fixture.until([&] { return (wire = fixture.request_here().first) || client->ended; });
+    ASSERT_TRUE(wire) << "the client was treated as disconnected";
+    fixture.settle();
     EXPECT_FALSE(wire->ended);
-    s.pass(*wire, *client);
+    fixture.pass(*wire, *client);
 }
 
-// Fault: a list that is longer than 256 KiB in one line is turned down, and with it every later one.
-TEST(Faults, AListOfFiveThousandIsTaken) {
-    Stage s;
-    s.config["known"]["hosts"] = json::array({s.upstream(0)});
-    s.start();
-    const auto watch = s.watch();
-    const auto client = s.client();
-    const auto kept = s.serve(*client);
-    json hosts = json::array({s.upstream(1)});
+// Fault: a list of more than 256 KiB in one line was rejected, and with it every later one.
+TEST(Faults, AListOfFiveThousandEntriesIsApplied) {
+    Stage fixture;
+    fixture.config["known"]["hosts"] = json::array({fixture.upstream(0)});
+    fixture.start();
+    const auto watch = fixture.watch();
+    const auto client = fixture.client();
+    const auto kept = fixture.serve(*client);
+    json hosts = json::array({fixture.upstream(1)});
     for (int i = 0; i < 4999; ++i)
         hosts.push_back(Stage::entry("s-far-" + std::to_string(i), loopback(9), "leaving"));
     watch->say(watch_head + Stage::news(9, true, hosts) + chunk("\n"));
-    s.until([&] { return kept->ended || watch->ended; });
-    EXPECT_TRUE(kept->ended) << "the watch was given up";
-    const auto wire = s.send(*client, s.look());
-    EXPECT_EQ(s.upstreams[1]->wires.size(), 1U);
-    s.pass(*wire, *client);
+    fixture.until([&] { return kept->ended || watch->ended; });
+    EXPECT_TRUE(kept->ended) << "the watch was closed";
+    const auto wire = fixture.send(*client, fixture.look());
+    EXPECT_EQ(fixture.upstreams[1]->wires.size(), 1U);
+    fixture.pass(*wire, *client);
 }
 
 }  // namespace
--- a/tests/suite/form.h
+++ b/tests/suite/form.h
@@ -1,9 +1,9 @@
-// What the suite knows of the balancer under test: one that is started with a configuration, told of another,
-// told to end, and ends. The same tests run over every form of it: a program, a library in this process, or a
-// web framework's server that passes its requests to the library.
+// The suite's interface to the balancer under test: start it with a configuration, reconfigure it, shut it down, and
+// observe its exit. The same tests run against every form of the balancer: a program, a library in the test's process,
+// or a web framework's server that passes its requests to the library.
 //
-// Threading: everything that is told here happens in the caller's thread, while it runs the loop.
-// Ownership: the loop is borrowed and must outlive the form. Destroying a form ends its balancer at once.
+// Threading: results are reported in the caller's thread, while it runs the event loop.
+// Ownership: borrows the loop, which must outlive the form. Destroying a form stops its balancer at once.
 #pragma once
 
 #include <sys/types.h>
@@ -19,10 +19,10 @@
 
 namespace flaxdoor::test {
 
-struct Launch {
-    std::string config;                    // JSON, as NODE_CONFIG names it
-    std::optional<std::string> operators;  // the operator's file, TOML
-    // Further variables. A form in this process heeds those alone that make its calls on sockets fail (see
+struct LaunchOptions {
+    std::string config;                    // JSON, the content of the NODE_CONFIG file
+    std::optional<std::string> operators;  // the operator's configuration file, TOML
+    // Additional environment variables. A form in the test's process uses only those that inject socket failures (see
     // standins/socket_faults/faults.cpp).
     std::vector<std::pair<std::string, std::string>> environment;
 };
@@ -31,36 +31,37 @@
 public:
     virtual ~Form() = default;
 
-    // Which process it is in, once started: its own, or this one.
+    // The balancer's process, once started: its own, or the test's.
     virtual pid_t process() const = 0;
 
-    // Returns when it listens (the address), or has ended instead (nothing; the log tells why). Once only.
-    virtual std::optional<boost::asio::ip::tcp::endpoint> start(const Launch& launch) = 0;
-    // A new configuration is there; whether it was taken stands in the log.
+    // Starts the balancer and waits until it listens. Returns its address, or nothing if it has exited instead; the log
+    // then holds the error. May be called once.
+    virtual std::optional<boost::asio::ip::tcp::endpoint> start(const LaunchOptions& options) = 0;
+    // Hands over a new configuration. The log shows whether it was applied.
     virtual void take(const std::string& config) = 0;
-    // Told to end, as often as it is called.
+    // Requests a graceful shutdown. May be called repeatedly.
     virtual void end() = 0;
 
-    // It does nothing between the two: what is sent meanwhile is all there before it looks.
+    // Suspends and resumes the balancer. Everything sent in between has arrived before the balancer reads any of it.
     virtual void hold() = 0;
     virtual void go_on() = 0;
 
     virtual bool ended() const = 0;
-    // Once it has ended: 0 after an orderly end, else what it ended with; negative: the signal that ended it.
+    // The exit status once it has ended: 0 after a graceful shutdown; negative: the signal that terminated it.
     virtual int status() const = 0;
-    // The lines that it has logged so far, in order.
+    // The lines logged so far, in order.
     virtual const std::vector<std::string>& log() const = 0;
 };
 
-// A test that a form cannot hold, and why. The list is kept true by the suite's main: each entry names a test
-// that there is (a final '*' stands for any ending), and no form may be without more than one test in ten.
-struct CannotHold {
+// A test that a form does not support, with the reason. main.cpp verifies the list: each entry must match a test (a final
+// '*' matches any suffix), and a form may leave out at most one test in ten.
+struct UnsupportedTest {
     std::string_view test;  // "Limits.IdleClientsMakeRoom"
     std::string_view why;
 };
 
-// Defined once for each form, beside it.
+// Defined once by each form.
 std::unique_ptr<Form> make_form(boost::asio::io_context& loop);
-std::vector<CannotHold> cannot_hold();
+std::vector<UnsupportedTest> unsupported_tests();
 
 }  // namespace flaxdoor::test
--- a/tests/suite/form_daemon.cpp
+++ b/tests/suite/form_daemon.cpp
@@ -1,4 +1,5 @@
-// The balancer as a program: its own process, configuration by file and environment, signals, log on stderr.
+// The balancer as a program: a separate process, configured by files and environment variables, controlled by signals,
+// with its log on stderr.
 #include <unistd.h>
 
 #include <csignal>
@@ -18,15 +19,16 @@
 
 namespace asio = boost::asio;
 
-constexpr std::string_view listening = "listening on ";
+constexpr std::string_view listening_prefix = "listening on ";
 
-std::vector<std::string> environment_with(const std::vector<std::pair<std::string, std::string>>& more) {
+std::vector<std::string> environment_with(
+    const std::vector<std::pair<std::string, std::string>>& additional) {
     std::vector<std::string> all;
-    for (char** at = environ; *at; ++at) {
-        const std::string_view entry = *at;
+    for (char** variable = environ; *variable; ++variable) {
+        const std::string_view entry = *variable;
         if (!entry.starts_with("NODE_")) all.emplace_back(entry);
     }
-    for (const auto& [name, value] : more) all.push_back(name + "=" + value);
+    for (const auto& [name, value] : additional) all.push_back(name + "=" + value);
     return all;
 }
 
@@ -36,25 +38,25 @@
 
     pid_t process() const override { return program_.process(); }
 
-    std::optional<asio::ip::tcp::endpoint> start(const Launch& launch) override {
-        const char* const chosen = std::getenv("FLAXDOOR_SUITE_PROGRAM");
-        std::vector<std::string> words = {chosen ? chosen : SUITE_PROGRAM};
-        if (launch.operators) {
-            words.emplace_back("--operator");
-            words.push_back(put("operators.toml", *launch.operators));
+    std::optional<asio::ip::tcp::endpoint> start(const LaunchOptions& options) override {
+        const char* const selected_program = std::getenv("FLAXDOOR_SUITE_PROGRAM");
+        std::vector<std::string> arguments = {selected_program ? selected_program : SUITE_PROGRAM};
+        if (options.operators) {
+            arguments.emplace_back("--operator");
+            arguments.push_back(write_file("operators.toml", *options.operators));
         }
-        auto variables = environment_with(launch.environment);
-        variables.push_back("NODE_CONFIG=" + put("config.json", launch.config));
-        program_.start(std::move(words), std::move(variables));
+        auto variables = environment_with(options.environment);
+        variables.push_back("NODE_CONFIG=" + write_file("config.json", options.config));
+        program_.start(std::move(arguments), std::move(variables));
         std::optional<asio::ip::tcp::endpoint> address;
-        if (!standins::run_until(loop_, [&] { return (address = address_told()) || ended(); })) {
-            throw std::runtime_error("it never listened");
+        if (!standins::run_until(loop_, [&] { return (address = logged_address()) || ended(); })) {
+            throw std::runtime_error("the balancer did not start listening in time");
         }
         return address;
     }
 
     void take(const std::string& config) override {
-        put("config.json", config);
+        write_file("config.json", config);
         program_.signal(SIGHUP);
     }
     void end() override { program_.signal(SIGTERM); }
@@ -66,19 +68,19 @@
     const std::vector<std::string>& log() const override { return program_.log(); }
 
 private:
-    // Whoever reads the file at any time finds one text or the other, whole.
-    std::string put(const std::string& name, const std::string& text) const {
+    // Writes a file atomically: a reader finds either the previous or the new content.
+    std::string write_file(const std::string& name, const std::string& text) const {
         const std::string path = folder_.path() + "/" + name;
         std::filesystem::rename(folder_.write(name + ".new", text), path);
         return path;
     }
 
-    std::optional<asio::ip::tcp::endpoint> address_told() const {
+    std::optional<asio::ip::tcp::endpoint> logged_address() const {
         for (const auto& line : log()) {
-            if (!line.starts_with(listening)) continue;
+            if (!line.starts_with(listening_prefix)) continue;
             const auto colon = line.rfind(':');
             return asio::ip::tcp::endpoint(
-                asio::ip::make_address(line.substr(listening.size(), colon - listening.size())),
+                asio::ip::make_address(line.substr(listening_prefix.size(), colon - listening_prefix.size())),
                 static_cast<unsigned short>(std::stoul(line.substr(colon + 1))));
         }
         return std::nullopt;
@@ -92,6 +94,6 @@
 }  // namespace
 
 std::unique_ptr<Form> make_form(asio::io_context& loop) { return std::make_unique<Daemon>(loop); }
-std::vector<CannotHold> cannot_hold() { return {}; }
+std::vector<UnsupportedTest> unsupported_tests() { return {}; }
 
 }  // namespace flaxdoor::test
--- a/tests/suite/form_library.cpp
+++ b/tests/suite/form_library.cpp
@@ -1,5 +1,5 @@
-// The balancer as a library in this process, with the embedded listener: the whole suite passes through the
-// instance that its host holds. And that it is this instance which serves is seen from inside.
+// The balancer as a library in the test's process, with its embedded listener. An additional test verifies from inside
+// that the host's instance serves the listener.
 #include <gtest/gtest.h>
 
 #include "form_hosted.h"
@@ -35,38 +35,40 @@
 }  // namespace
 
 std::unique_ptr<Form> make_form(asio::io_context& loop) {
-    return std::make_unique<Hosted>(loop, [](asio::io_context& its_loop, const BalancerOptions& options) {
-        return std::make_unique<LibraryHost>(its_loop, options);
+    return std::make_unique<Hosted>(loop, [](asio::io_context& host_loop, const BalancerOptions& options) {
+        return std::make_unique<LibraryHost>(host_loop, options);
     });
 }
-std::vector<CannotHold> cannot_hold() { return {}; }
+std::vector<UnsupportedTest> unsupported_tests() { return {}; }
 
 namespace {
 
-// What clients bring to the listener and what the host itself asks for are calls of one instance, in this
-// very process: they share its upstreams' connections and stand in its figures, each once.
-TEST(LibraryForm, ListenerAndOwnCallsAreOneInstances) {
-    Stage s(1);
-    s.start();
-    Balancer& balancer = dynamic_cast<Hosted&>(*s.form).balancer();
-    EXPECT_EQ(balancer.address(), text_of(s.address));
-    const auto client = s.client();
-    s.serve(*client, s.look(), "the client's");
+// Requests received by the listener and calls made by the host go through one instance: they share its upstream
+// connections, and each is counted once in its figures.
+TEST(LibraryForm, ListenerAndHostCallsShareAnInstance) {
+    Stage fixture(1);
+    fixture.start();
+    Balancer& balancer = dynamic_cast<Hosted&>(*fixture.form).balancer();
+    EXPECT_EQ(balancer.address(), text_of(fixture.address));
+    const auto client = fixture.client();
+    fixture.serve(*client, fixture.look(), "the client's");
 
     std::optional<CallResult> result;
-    CallRequest own{.class_name = "once", .budget = std::chrono::seconds(5), .id = "own-1"};
-    own.body = "body";
-    balancer.async_call(own, asio::bind_executor(s.loop, [&](CallResult its) { result = std::move(its); }));
-    const auto [wire, request] = s.request();
+    CallRequest host_call{.class_name = "once", .budget = std::chrono::seconds(5), .id = "own-1"};
+    host_call.body = "body";
+    balancer.async_call(host_call, asio::bind_executor(fixture.loop, [&](CallResult call_result) {
+                            result = std::move(call_result);
+                        }));
+    const auto [wire, request] = fixture.request();
     EXPECT_EQ(header(request, "X-Call-Id"), "own-1");
-    // Its id is open: the listener knows of the call that did not come by it.
-    EXPECT_EQ(status(s.ask(*client, s.once(5000, "body", "own-1"))), 409);
+    // The id is open: the listener knows of a call that was not received by it.
+    EXPECT_EQ(status(fixture.ask(*client, fixture.once(5000, "body", "own-1"))), 409);
     wire->say(ok("the host's"));
-    s.until([&] { return result.has_value(); });
+    fixture.until([&] { return result.has_value(); });
     EXPECT_EQ(result->verdict, CallVerdict::served);
     EXPECT_EQ(result->body, "the host's");
-    EXPECT_EQ(s.connections(), 1U);  // the second went over the first one's connection
-    s.until([&] { return balancer.figures().served == 2; });
+    EXPECT_EQ(fixture.connections(), 1U);  // the second call reused the connection of the first
+    fixture.until([&] { return balancer.figures().served == 2; });
     const BalancerFigures figures = balancer.figures();
     EXPECT_EQ(figures.taken, 2U);
     EXPECT_EQ(figures.attempts, 2U);
--- a/tests/suite/form_middleware.cpp
+++ b/tests/suite/form_middleware.cpp
@@ -1,7 +1,7 @@
-// The balancer behind a web framework's server in this process: a RESTinio host that knows nothing of what it
-// passes on, and an application that answers all else. The whole suite speaks to the framework's address.
+// The balancer behind a web framework's server in the test's process: a RESTinio host with a mounted balancer, and an
+// application that responds to all other requests. The suite connects to the framework's address.
 //
-// What RESTinio does with its sockets is its own; the tests that this leaves out stand at the end.
+// RESTinio manages its own sockets, so some tests are not supported; they are listed at the end.
 #include <gtest/gtest.h>
 
 #include "restinio_host.h"
@@ -9,32 +9,34 @@
 namespace flaxdoor::test {
 
 std::unique_ptr<Form> make_form(asio::io_context& loop) {
-    return std::make_unique<Hosted>(loop, [](asio::io_context& its_loop, const BalancerOptions& options) {
-        return std::make_unique<MiddlewareHost>(its_loop, options);
+    return std::make_unique<Hosted>(loop, [](asio::io_context& host_loop, const BalancerOptions& options) {
+        return std::make_unique<MiddlewareHost>(host_loop, options);
     });
 }
 
-// What differs for operators stands in docs/operators/library.md.
-std::vector<CannotHold> cannot_hold() {
+// docs/operators/library.md describes the differences for operators.
+std::vector<UnsupportedTest> unsupported_tests() {
     return {
-        {"BadInput.WhatIsNoRequestIsAnsweredAndClosed", "RESTinio closes on what it can't read, unanswered"},
+        {"BadInput.WhatIsNoRequestIsAnsweredAndClosed",
+         "RESTinio closes the connection without a response when it cannot parse a request"},
         {"BadInput.SilenceAndHalvesAreClosed",
-         "RESTinio has one time for slow requests and idle connections"},
+         "RESTinio has a single time-out for slow requests and idle connections"},
         {"BadInput.LingeringIsBounded",
-         "RESTinio gives no answer to what it can't read, which this waits for"},
-        {"Limits.IdleClientsMakeRoom", "RESTinio holds the clients: none of them gives way"},
-        {"Limits.ClientsThatAskedOnceGiveWay", "RESTinio holds the clients: none of them gives way"},
+         "RESTinio does not respond to a request that it cannot parse, and the test waits for the response"},
+        {"Limits.IdleClientsMakeRoom", "RESTinio owns the client connections and evicts none of them"},
+        {"Limits.ClientsThatAskedOnceGiveWay",
+         "RESTinio owns the client connections and evicts none of them"},
         {"Drain.AnswersWhatIsStillOpenAtItsEnd",
-         "RESTinio does not tell of a request that is half here: nobody waits for it"},
-        {"Drain.ClosesIdleConnections", "RESTinio has no way to close a connection that is idle"},
+         "RESTinio does not report a partially received request, so the shutdown does not wait for it"},
+        {"Drain.ClosesIdleConnections", "RESTinio cannot close an idle connection on request"},
         {"Crossings.WhatLayUnreadAtTheEndIsServed",
-         "RESTinio holds the connections: what it has not read when the host drains, the library does not "
-         "know of"},
+         "RESTinio owns the connections: the library does not know of requests that are unread when the host "
+         "drains"},
         {"Faults.AnEndBehindMuchThatWasSentAheadIsSeen",
-         "RESTinio does not look at a connection with a full pipeline"},
+         "RESTinio does not check a connection with a full pipeline for its end"},
         {"Some/ManySocketFailures.Pass/NoDescriptorToAccept",
-         "RESTinio never takes up an accept again that has failed: with the last of them its listener is "
-         "dead"},
+         "RESTinio does not repeat a failed accept: after the last one has failed, its listener accepts "
+         "nothing"},
     };
 }
 
--- a/tests/suite/input_test.cpp
+++ b/tests/suite/input_test.cpp
@@ -1,4 +1,4 @@
-// What clients send that can't be used, or never comes to an end.
+// Tests of invalid and incomplete client input.
 #include "peers.h"
 
 namespace flaxdoor::test {
@@ -15,43 +15,44 @@
     return "Content-Length: " + std::to_string(text.size()) + "\r\n";
 }
 
-// Each ends its connection, and nothing of it reaches an upstream. What it was told, if that is `told`.
-void each_is_closed(Stage& s, const Cases& cases, bool told) {
-    s.start();
-    for (const auto& [text, its_status] : cases) {
+// Sends each input on a new connection, and expects that the connection is closed and that nothing reaches an upstream. With
+// `check_status`, also expects the status of the response; otherwise only that it is not 200.
+void expect_each_is_closed(Stage& fixture, const Cases& cases, bool check_status) {
+    fixture.start();
+    for (const auto& [text, expected_status] : cases) {
         SCOPED_TRACE(text.substr(0, 300));
-        const auto client = s.client();
-        const auto answer = s.ask(*client, text);
-        if (told) {
-            EXPECT_EQ(status(answer), its_status);
+        const auto client = fixture.client();
+        const auto answer = fixture.ask(*client, text);
+        if (check_status) {
+            EXPECT_EQ(status(answer), expected_status);
         } else {
             EXPECT_NE(status(answer), 200);
         }
-        s.until([&c = client] { return c->ended; });
+        fixture.until([&connection = client] { return connection->ended; });
         EXPECT_TRUE(client->in.empty());
-        s.settle();
-        EXPECT_EQ(s.connections(), 0U);
+        fixture.settle();
+        EXPECT_EQ(fixture.connections(), 0U);
     }
-    const auto client = s.client();  // and it serves on
-    s.serve(*client);
+    const auto client = fixture.client();  // the balancer still serves
+    fixture.serve(*client);
 }
 
-// Requests that can be read, but not understood.
-TEST(BadInput, IsAnsweredAndClosed) {
-    Stage s(1);
+// Requests that are valid HTTP, but not valid for the platform.
+TEST(BadInput, AnInvalidRequestIsAnsweredAndClosed) {
+    Stage fixture(1);
     const std::string post = head;
     const std::string none = "Content-Length: 0\r\n\r\n";
-    const std::string hidden = s.look();
-    each_is_closed(
-        s,
+    const std::string hidden = fixture.look();
+    expect_each_is_closed(
+        fixture,
         {
             {"GET /other HTTP/1.1\r\nHost: x\r\n\r\n", 404},
             {post + "X-Call-Class: unheard\r\nX-Budget-Ms: 100\r\n" + none, 400},
             {post + "X-Call-Class: book it\r\nX-Budget-Ms: 100\r\n" + none, 400},
-            // the time left, and the id; every way that they can be wrong is in http/platform_test.cpp
+            // the budget and the id are missing; tests/http/platform_test.cpp covers all other errors
             {post + "X-Call-Class: once\r\n" + none, 400},
             {"GET /api HTTP/1.1\r\nHost: x\r\nX-Call-Class: look\r\nX-Budget-Ms: 100\r\n\r\n", 400},
-            // bodies where none may be, and too large a one
+            // bodies of GET requests, and a body that is too large
             {get() + length_of(hidden) + "\r\n" + hidden, 400},
             {get() + "Transfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n" + hidden, 400},
             {good() + "Content-Length: 65537\r\n\r\n" + std::string(65537, 'x'), 413},
@@ -59,8 +60,8 @@
         true);
 }
 
-// What is no request: not even one that is hidden behind it gets through.
-Cases no_requests(const std::string& hidden) {
+// Malformed requests, most of them followed by a valid request, which must not reach an upstream either.
+Cases malformed_requests(const std::string& hidden) {
     const std::string length = length_of(hidden);
     return {
         {"nonsense\r\n\r\n", 400},
@@ -84,65 +85,65 @@
 }
 
 TEST(BadInput, WhatIsNoRequestIsAnsweredAndClosed) {
-    Stage s(1);
-    each_is_closed(s, no_requests(s.look()), true);
+    Stage fixture(1);
+    expect_each_is_closed(fixture, malformed_requests(fixture.look()), true);
 }
 
-TEST(BadInput, NothingHiddenGetsThrough) {
-    Stage s(1);
-    each_is_closed(s, no_requests(s.look()), false);
+TEST(BadInput, NoHiddenRequestIsForwarded) {
+    Stage fixture(1);
+    expect_each_is_closed(fixture, malformed_requests(fixture.look()), false);
 }
 
-// An id that is open already, the same client's or another's, would mix up two requests at the upstreams.
-TEST(BadInput, AnOpenIdIsNotTakenTwice) {
-    Stage s;
-    const auto client = s.start_with_client();
-    const auto wire = s.send(*client, s.once(5000, "mine", "x7"));
-    const auto other = s.client();
-    EXPECT_EQ(status(s.ask(*other, s.once(5000, "theirs", "x7"))), 409);
-    s.until([&] { return other->ended; });
-    EXPECT_TRUE(s.nothing_sent());
-    s.pass(*wire, *client, "for mine");
-    s.serve(*client, s.once(5000, "again", "x7"));
+// A second request with an id that is in use would be confused with the first one at the upstreams.
+TEST(BadInput, AnIdInUseIsRejected) {
+    Stage fixture;
+    const auto client = fixture.start_with_client();
+    const auto wire = fixture.send(*client, fixture.once(5000, "mine", "x7"));
+    const auto other = fixture.client();
+    EXPECT_EQ(status(fixture.ask(*other, fixture.once(5000, "theirs", "x7"))), 409);
+    fixture.until([&] { return other->ended; });
+    EXPECT_TRUE(fixture.nothing_sent());
+    fixture.pass(*wire, *client, "for mine");
+    fixture.serve(*client, fixture.once(5000, "again", "x7"));
 }
 
-// The class tells how long its clients wait at most.
-TEST(BadInput, ABudgetBeyondTheClassIsCut) {
-    Stage s;
-    const auto client = s.start_with_client();
-    client->say(s.once(4000000));
-    const auto [wire, request] = s.request();
+// The deadline of the class bounds the client's budget.
+TEST(BadInput, ABudgetAboveTheClassDeadlineIsCapped) {
+    Stage fixture;
+    const auto client = fixture.start_with_client();
+    client->say(fixture.once(4000000));
+    const auto [wire, request] = fixture.request();
     EXPECT_LE(std::stoi(header(request, "X-Budget-Ms")), 5000);
-    s.pass(*wire, *client);
+    fixture.pass(*wire, *client);
 }
 
-// Neither one that never speaks nor one that stops halfway is kept; one that has been served is.
+// Connections that send nothing, or stop in the middle of a request, are closed. An idle connection that was served is kept.
 TEST(BadInput, SilenceAndHalvesAreClosed) {
-    Stage s;
-    s.operators = "[http]\nrequest_timeout = \"80ms\"\n";
-    s.start();
-    const auto served = s.client();
-    s.serve(*served);
-    const auto silent = s.client();
-    const auto half = s.client();
-    half->say(s.once().substr(0, 60));
-    const auto body = s.client();
+    Stage fixture;
+    fixture.operators = "[http]\nrequest_timeout = \"80ms\"\n";
+    fixture.start();
+    const auto served = fixture.client();
+    fixture.serve(*served);
+    const auto silent = fixture.client();
+    const auto half = fixture.client();
+    half->say(fixture.once().substr(0, 60));
+    const auto body = fixture.client();
     body->say("POST /api HTTP/1.1\r\nContent-Length: 9\r\n\r\nbod");
-    s.until([&] { return silent->ended && half->ended && body->ended; });
+    fixture.until([&] { return silent->ended && half->ended && body->ended; });
     EXPECT_FALSE(served->ended);
-    s.serve(*served);
+    fixture.serve(*served);
 }
 
-// A client that goes on sending after its answer is not listened to for long.
+// A client that keeps sending after the last response is read only up to the limits on bytes and time.
 TEST(BadInput, LingeringIsBounded) {
     for (const bool sends : {true, false}) {
-        Stage s;
-        s.operators =
+        Stage fixture;
+        fixture.operators =
             sends ? "[http]\nrequest_timeout = \"80ms\"\nlinger_timeout = \"60s\"\nlinger_bytes = \"4KiB\"\n"
                   : "[http]\nrequest_timeout = \"80ms\"\nsend_timeout = \"60s\"\nlinger_timeout = \"40ms\"\n";
-        const auto client = s.start_with_client();
-        EXPECT_EQ(status(s.ask(*client, "nonsense\r\n\r\n")), 400);
-        s.until([&] { return !client->try_say(std::string(sends ? 1024 : 1, 'x')); });
+        const auto client = fixture.start_with_client();
+        EXPECT_EQ(status(fixture.ask(*client, "nonsense\r\n\r\n")), 400);
+        fixture.until([&] { return !client->try_say(std::string(sends ? 1024 : 1, 'x')); });
     }
 }
 
--- a/tests/suite/limits_test.cpp
+++ b/tests/suite/limits_test.cpp
@@ -1,74 +1,76 @@
-// What is bounded, and who gives way at the bound.
+// Tests of the limits on client connections, and of which connections are evicted at a limit.
 #include "peers.h"
 
 namespace flaxdoor::test {
 namespace {
 
-// At the cap the one that never spoke makes room first, then an idle one; one that waits for its answer
-// never.
+// At the connection limit, a connection that has sent nothing is evicted first, then an idle one; one that waits for its
+// response is never evicted.
 TEST(Limits, IdleClientsMakeRoom) {
-    Stage s(1);
-    s.config["limits"]["sockets"] = 38;  // three of them for clients
-    // Nothing but the cap may be what ends the idle ones.
-    s.operators = "[http]\nrequest_timeout = \"60s\"\nidle_timeout_crowded = \"60s\"\n";
-    s.start();
-    const auto busy = s.client();
-    const auto wire = s.send(*busy, s.look());
-    const auto idle = s.client();
-    EXPECT_EQ(status(s.ask(*idle, ready)), 200);
-    const auto silent = s.client();
-    const auto third = s.client();
-    EXPECT_EQ(status(s.ask(*third, ready)), 200);
-    s.until([&] { return silent->ended || idle->ended; });
-    const auto fourth = s.client();
-    EXPECT_EQ(status(s.ask(*fourth, ready)), 200);
-    s.until([&] { return idle->ended; });
-    s.pass(*wire, *busy);
+    Stage fixture(1);
+    fixture.config["limits"]["sockets"] = 38;  // leaves three for clients
+    // Time-outs must not close the idle connections, so that only the limit can.
+    fixture.operators = "[http]\nrequest_timeout = \"60s\"\nidle_timeout_crowded = \"60s\"\n";
+    fixture.start();
+    const auto busy = fixture.client();
+    const auto wire = fixture.send(*busy, fixture.look());
+    const auto idle = fixture.client();
+    EXPECT_EQ(status(fixture.ask(*idle, ready)), 200);
+    const auto silent = fixture.client();
+    const auto third = fixture.client();
+    EXPECT_EQ(status(fixture.ask(*third, ready)), 200);
+    fixture.until([&] { return silent->ended || idle->ended; });
+    const auto fourth = fixture.client();
+    EXPECT_EQ(status(fixture.ask(*fourth, ready)), 200);
+    fixture.until([&] { return idle->ended; });
+    fixture.pass(*wire, *busy);
 }
 
-// While all wait for their answers a further client waits in the backlog, and is taken with the next answer.
-TEST(Limits, AnAnswerLetsTheNextClientIn) {
-    Stage s(2);  // room for a third at once, in a form that takes connections without end
-    s.config["limits"]["sockets"] = 36;  // two of them for clients
-    // Nothing but the answer may be what lets it in.
-    s.operators = "[http]\nrequest_timeout = \"60s\"\n";
-    s.start();
-    const auto first = s.client();
-    const auto wire = s.send(*first, s.look(5000, "one"));
-    const auto second = s.client();
-    const auto other = s.send(*second, s.look(5000, "two"));
-    const auto third = s.client();
-    third->say(s.look(5000, "three"));
-    s.pass(*wire, *first);
-    const auto [last, request] = s.request();
+// While all connections wait for their responses, another client waits in the backlog; it is accepted once the next
+// response is sent.
+TEST(Limits, AResponseAdmitsTheNextClient) {
+    Stage fixture(2);  // a form without a connection limit forwards the third request at once
+    fixture.config["limits"]["sockets"] = 36;  // leaves two for clients
+    // Time-outs must not close a connection, so that only the response can admit the client.
+    fixture.operators = "[http]\nrequest_timeout = \"60s\"\n";
+    fixture.start();
+    const auto first = fixture.client();
+    const auto wire = fixture.send(*first, fixture.look(5000, "one"));
+    const auto second = fixture.client();
+    const auto other = fixture.send(*second, fixture.look(5000, "two"));
+    const auto third = fixture.client();
+    third->say(fixture.look(5000, "three"));
+    fixture.pass(*wire, *first);
+    const auto [last, request] = fixture.request();
     EXPECT_EQ(header(request, "X-Call-Id"), "three");
-    s.pass(*last, *third);
-    s.pass(*other, *second);
+    fixture.pass(*last, *third);
+    fixture.pass(*other, *second);
 }
 
-// Whoever deals connections out holds only so many: those of clients that asked once and keep theirs must not
-// be all of them. A quarter of the descriptors is theirs; then the one idle longest gives way to each
-// request.
+// Clients that send one request and keep their connection must not occupy all connections that a load balancer in front
+// allows. They may hold a quarter of the descriptors; beyond that, each request evicts the connection idle longest.
 TEST(Limits, ClientsThatAskedOnceGiveWay) {
-    Stage s(1);
-    s.config["limits"]["sockets"] = 32 + 16;  // eight for clients, four of them for clients that have asked
-    s.start();
+    Stage fixture(1);
+    fixture.config["limits"]["sockets"] =
+        32 + 16;  // eight for clients, four of them for clients that have sent a request
+    fixture.start();
     std::vector<std::shared_ptr<Wire>> clients;
     for (int i = 0; i < 7; ++i) {
-        clients.push_back(s.client());
-        s.serve(*clients.back());
+        clients.push_back(fixture.client());
+        fixture.serve(*clients.back());
     }
-    const auto left = [&] {
+    const auto open_connections = [&] {
         return std::count_if(clients.begin(), clients.end(),
                              [](const auto& client) { return !client->ended; });
     };
-    s.until([&] { return left() == 4; });
-    // Those that are left are served on. None is ended while its request may be on the way: the answer tells.
+    fixture.until([&] { return open_connections() == 4; });
+    // The remaining connections are still served. A connection is not closed while a request may be in transit on it; its
+    // close is announced with a response.
     for (const auto& client : clients) {
         if (client->ended) continue;
-        s.serve(*client);
+        fixture.serve(*client);
     }
-    EXPECT_EQ(left(), 4);
+    EXPECT_EQ(open_connections(), 4);
 }
 
 }  // namespace
--- a/tests/suite/main.cpp
+++ b/tests/suite/main.cpp
@@ -1,4 +1,5 @@
-// Runs the suite over the form that it is linked with, without the tests that this form cannot hold.
+// Runs the suite against the form of the balancer that it is linked with, and skips the tests that this form does not
+// support.
 #include <gtest/gtest.h>
 
 #include <iostream>
@@ -10,7 +11,7 @@
 namespace flaxdoor::test {
 namespace {
 
-bool names(std::string_view entry, std::string_view test) {
+bool matches(std::string_view entry, std::string_view test) {
     if (!entry.empty() && entry.back() == '*') return test.starts_with(entry.substr(0, entry.size() - 1));
     return entry == test;
 }
@@ -19,32 +20,32 @@
     return std::string(test.test_suite_name()) + "." + test.name();
 }
 
-class Skipping final : public testing::EmptyTestEventListener {
+class SkipUnsupported final : public testing::EmptyTestEventListener {
     void OnTestStart(const testing::TestInfo& test) override {
-        for (const CannotHold& each : cannot_hold()) {
-            if (names(each.test, name_of(test))) GTEST_SKIP() << each.why;
+        for (const UnsupportedTest& each : unsupported_tests()) {
+            if (matches(each.test, name_of(test))) GTEST_SKIP() << each.why;
         }
     }
 };
 
-// What a form's list leaves out is little, has a reason, and is there.
-TEST(Form, HoldsNineTestsInTen) {
-    const testing::UnitTest& all = *testing::UnitTest::GetInstance();
+// A form's list of unsupported tests names existing tests, with a reason, and covers at most one test in ten.
+TEST(Form, SupportsNineTestsInTen) {
+    const testing::UnitTest& unit_test = *testing::UnitTest::GetInstance();
     std::vector<std::string> tests;
-    for (int i = 0; i < all.total_test_suite_count(); ++i) {
-        const testing::TestSuite& suite = *all.GetTestSuite(i);
+    for (int i = 0; i < unit_test.total_test_suite_count(); ++i) {
+        const testing::TestSuite& suite = *unit_test.GetTestSuite(i);
         for (int n = 0; n < suite.total_test_count(); ++n) tests.push_back(name_of(*suite.GetTestInfo(n)));
     }
-    std::size_t left_out = 0;
-    for (const CannotHold& each : cannot_hold()) {
+    std::size_t unsupported = 0;
+    for (const UnsupportedTest& each : unsupported_tests()) {
         std::size_t found = 0;
-        for (const std::string& test : tests) found += names(each.test, test);
-        EXPECT_GT(found, 0U) << each.test << " is no test";
+        for (const std::string& test : tests) found += matches(each.test, test);
+        EXPECT_GT(found, 0U) << each.test << " does not match a test";
         EXPECT_FALSE(each.why.empty()) << each.test;
-        left_out += found;
+        unsupported += found;
     }
-    std::cout << left_out << " of " << tests.size() << " left out\n";
-    EXPECT_LE(10 * left_out, tests.size());
+    std::cout << unsupported << " of " << tests.size() << " left out\n";
+    EXPECT_LE(10 * unsupported, tests.size());
 }
 
 }  // namespace
@@ -52,6 +53,7 @@
 
 int main(int argc, char** argv) {
     testing::InitGoogleTest(&argc, argv);
-    testing::UnitTest::GetInstance()->listeners().Append(new flaxdoor::test::Skipping);  // the list owns it
+    testing::UnitTest::GetInstance()->listeners().Append(
+        new flaxdoor::test::SkipUnsupported);  // the listener list takes ownership
     return RUN_ALL_TESTS();
 }
--- a/tests/suite/outcomes_test.cpp
+++ b/tests/suite/outcomes_test.cpp
@@ -1,29 +1,29 @@
-// What comes of attempts, and what the client is told of it.
+// Tests of the outcomes of attempts, and of the client's response for each.
 #include "peers.h"
 
 namespace flaxdoor::test {
 namespace {
 
-TEST(Outcomes, RefusedConnectionGoesOnElsewhere) {
-    Stage s;
-    s.upstreams[0]->close();
-    const auto client = s.start_with_client();
-    for (int i = 0; i < 8; ++i) s.serve(*client, s.once());
+TEST(Outcomes, ARefusedConnectionIsRetriedElsewhere) {
+    Stage fixture;
+    fixture.upstreams[0]->close();
+    const auto client = fixture.start_with_client();
+    for (int i = 0; i < 8; ++i) fixture.serve(*client, fixture.once());
 }
 
-// A request that never ran is refused when it is given up, and the client told when to come back: in seconds,
-// no longer than it heeds.
-TEST(Outcomes, RefusalTellsWhenToComeBack) {
-    for (const bool heeded : {true, false}) {
-        Stage s;
-        for (const auto& u : s.upstreams) u->close();
-        s.config["settings"]["limits"]["retry_after"] = heeded;
-        s.config["settings"]["limits"]["max_retry_after"] = 400.0;
-        const auto client = s.start_with_client();
-        const auto answer = s.ask(*client, s.once(150));
+// A request that never executed is refused when the balancer gives up. Retry-After then tells the client when to retry, in
+// seconds and at most max_retry_after.
+TEST(Outcomes, ARefusalHasRetryAfter) {
+    for (const bool enabled : {true, false}) {
+        Stage fixture;
+        for (const auto& upstream : fixture.upstreams) upstream->close();
+        fixture.config["settings"]["limits"]["retry_after"] = enabled;
+        fixture.config["settings"]["limits"]["max_retry_after"] = 400.0;
+        const auto client = fixture.start_with_client();
+        const auto answer = fixture.ask(*client, fixture.once(150));
         EXPECT_TRUE(refused(answer)) << answer;
         const auto told = header(answer, "Retry-After");
-        if (!heeded) {
+        if (!enabled) {
             EXPECT_EQ(told, "");
             continue;
         }
@@ -34,88 +34,89 @@
     }
 }
 
-// An unsafe request that an upstream has whole may have run, whatever comes of it then. It is told at once as
-// a failure, which invites nobody back, and is not sent again.
-TEST(Outcomes, WhatMayHaveRunFailsOnce) {
-    enum Then {
-        kept,
-        ended_here,
-        closes,
-        resets
-    };  // what becomes of its connection, or what the upstream does
+// An unsafe request that an upstream has received completely may have executed, whatever follows. The client gets an error
+// at once, without Retry-After, and the request is not sent again.
+TEST(Outcomes, ARequestThatMayHaveExecutedFailsOnce) {
+    enum Ending {
+        stays_open,
+        closed_by_balancer,
+        upstream_closes,
+        upstream_resets
+    };  // the connection's expected end, or the upstream's action
     struct Case {
-        const char* what;
-        std::string says;
-        Then then;
+        const char* name;
+        std::string response;
+        Ending ending;
     };
     const std::string head = "HTTP/1.1 200 OK\r\n";
     std::string interims;
     for (int i = 0; i < 9; ++i) interims += "HTTP/1.1 103 Early Hints\r\n\r\n";
-    for (const auto& [what, says, then] : std::vector<Case>{
-             {"an error", "HTTP/1.1 500 No\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n", kept},
-             {"a rejection without its mark", "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", kept},
-             {"reset after the last byte", "", resets},
-             {"an answer cut short", head + "Content-Length: 10\r\n\r\nhalf", closes},
-             {"no HTTP", "nonsense\r\n\r\n", ended_here},
-             {"a length that is no number", head + "Content-Length: x\r\n\r\n", ended_here},
-             {"a length below nothing", head + "Content-Length: -1\r\n\r\n", ended_here},
-             {"a length beyond the bound", head + "Content-Length: 3221225472\r\n\r\nxxxx", ended_here},
+    for (const auto& [name, response, ending] : std::vector<Case>{
+             {"an error", "HTTP/1.1 500 No\r\nRetry-After: 1\r\nContent-Length: 0\r\n\r\n", stays_open},
+             {"a rejection without its mark", "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", stays_open},
+             {"reset after the last byte", "", upstream_resets},
+             {"a truncated response", head + "Content-Length: 10\r\n\r\nhalf", upstream_closes},
+             {"not HTTP", "nonsense\r\n\r\n", closed_by_balancer},
+             {"a length that is not a number", head + "Content-Length: x\r\n\r\n", closed_by_balancer},
+             {"a negative length", head + "Content-Length: -1\r\n\r\n", closed_by_balancer},
+             {"a length over the limit", head + "Content-Length: 3221225472\r\n\r\nxxxx", closed_by_balancer},
              {"two lengths", head + "Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
-              ended_here},
-             {"a broken chunk", head + "Transfer-Encoding: chunked\r\n\r\nzz\r\n", ended_here},
-             {"a head beyond the bound", head + "X-Long: " + std::string(20000, 'x'), ended_here},
-             {"a reset of an answer that tells no length", head + "\r\nbody", resets},
-             {"the same beyond the bound", head + "\r\n" + std::string(300000, 'x'), ended_here},
-             {"another protocol", "HTTP/1.1 101 Switching Protocols\r\n\r\n", ended_here},
-             {"interim answers without end", interims, ended_here}}) {
-        SCOPED_TRACE(what);
-        Stage s;
-        s.set_deadline(60000);  // beyond any patience here
-        s.config["settings"]["limits"]["retry_after"] = true;
-        s.config["settings"]["limits"]["max_retry_after"] = 400.0;
-        const auto client = s.start_with_client();
-        const auto wire = s.send(*client, s.once(60000));
-        wire->say(says);
-        if (then == closes) wire->close();
-        if (then == resets) wire->reset();
-        const auto told = s.answer(*client);
+              closed_by_balancer},
+             {"a broken chunk", head + "Transfer-Encoding: chunked\r\n\r\nzz\r\n", closed_by_balancer},
+             {"a header over the limit", head + "X-Long: " + std::string(20000, 'x'), closed_by_balancer},
+             {"a reset of a response without a length", head + "\r\nbody", upstream_resets},
+             {"a response without a length, over the limit", head + "\r\n" + std::string(300000, 'x'),
+              closed_by_balancer},
+             {"another protocol", "HTTP/1.1 101 Switching Protocols\r\n\r\n", closed_by_balancer},
+             {"too many interim responses", interims, closed_by_balancer}}) {
+        SCOPED_TRACE(name);
+        Stage fixture;
+        fixture.set_deadline(60000);  // longer than the test may take
+        fixture.config["settings"]["limits"]["retry_after"] = true;
+        fixture.config["settings"]["limits"]["max_retry_after"] = 400.0;
+        const auto client = fixture.start_with_client();
+        const auto wire = fixture.send(*client, fixture.once(60000));
+        wire->say(response);
+        if (ending == upstream_closes) wire->close();
+        if (ending == upstream_resets) wire->reset();
+        const auto told = fixture.answer(*client);
         EXPECT_TRUE(failed(told)) << told;
         EXPECT_EQ(header(told, "Retry-After"), "");
-        if (then == ended_here) s.until([&w = wire] { return w->ended; });
-        EXPECT_TRUE(s.nothing_sent());
-        EXPECT_EQ(s.connections(), 1U);
-        const auto wrong = s.ask(*client, "GET /api HTTP/1.1\r\nHost: x\r\n\r\n");
-        EXPECT_EQ(status(wrong), 400);
-        EXPECT_EQ(header(wrong, "Retry-After"), "");
+        if (ending == closed_by_balancer) fixture.until([&connection = wire] { return connection->ended; });
+        EXPECT_TRUE(fixture.nothing_sent());
+        EXPECT_EQ(fixture.connections(), 1U);
+        const auto invalid = fixture.ask(*client, "GET /api HTTP/1.1\r\nHost: x\r\n\r\n");
+        EXPECT_EQ(status(invalid), 400);
+        EXPECT_EQ(header(invalid, "Retry-After"), "");
     }
 }
 
-// The upstream that spoils its answers lives, so it is neither put out nor cold: two of them in a row would
-// do that if they counted as resets.
-TEST(Outcomes, SpoiltAnswersPutNobodyOut) {
-    Stage s(1);
-    const auto client = s.start_with_client();
+// An upstream that sends malformed responses is up, so it is neither ejected nor put into slow start. Two consecutive
+// malformed responses would cause that if they counted as resets.
+TEST(Outcomes, MalformedResponsesEjectNoUpstream) {
+    Stage fixture(1);
+    const auto client = fixture.start_with_client();
     for (int i = 0; i < 3; ++i) {
-        s.send(*client, s.once())->say("nonsense\r\n\r\n");
-        EXPECT_TRUE(failed(s.answer(*client)));
+        fixture.send(*client, fixture.once())->say("nonsense\r\n\r\n");
+        EXPECT_TRUE(failed(fixture.answer(*client)));
     }
-    s.serve(*client, s.once());
+    fixture.serve(*client, fixture.once());
 }
 
-TEST(Outcomes, AMarkedRejectionGoesOnElsewhere) {
-    Stage s;
-    const auto client = s.start_with_client();
-    s.send(*client, s.once())
+TEST(Outcomes, AMarkedRejectionIsRetriedElsewhere) {
+    Stage fixture;
+    const auto client = fixture.start_with_client();
+    fixture.send(*client, fixture.once())
         ->say("HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n");
-    s.pass(*s.request().first, *client);
+    fixture.pass(*fixture.request().first, *client);
 }
 
-TEST(Outcomes, InterimAnswersAreSkipped) {
-    Stage s(1);
-    const auto client = s.start_with_client();
-    client->say(s.look());
-    s.request().first->say("HTTP/1.1 100 Continue\r\n\r\n" + ok("final"));
-    EXPECT_EQ(body(s.answer(*client)), "final");
+TEST(Outcomes, InterimResponsesAreSkipped) {
+    Stage fixture(1);
+    const auto client = fixture.start_with_client();
+    client->say(fixture.look());
+    fixture.request().first->say("HTTP/1.1 100 Continue\r\n\r\n" + ok("final"));
+    EXPECT_EQ(body(fixture.answer(*client)), "final");
 }
 
 }  // namespace
--- a/tests/suite/peers.h
+++ b/tests/suite/peers.h
@@ -1,5 +1,5 @@
-// Scripted peers on loopback round a balancer of which they know nothing but the address: clients, upstreams
-// and discovery, all in one loop and one thread. Tests wait for what happens, never for time to pass.
+// Test fixture with a balancer between fake clients, upstreams and a discovery service on loopback, which know only the
+// balancer's address. All of them run on one event loop and one thread. Tests wait for events, not for time to pass.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -31,17 +31,17 @@
 
 using namespace standins::peers;
 
-// What a client is told: refused, it may come again; failed, it may have run. Which words a balancer has for
-// it may depend on which of its timers came first.
+// The two kinds of error responses: a refused request was not executed and may be retried; a failed one may have executed.
+// The exact status may depend on which of the balancer's timers fires first.
 inline bool refused(std::string_view answer) { return status(answer) == 503 || status(answer) == 429; }
 inline bool failed(std::string_view answer) { return status(answer) >= 400 && !refused(answer); }
 
 inline const char* const ready = "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n";
 
-// How a watch's answer begins.
+// The header of a discovery watch's response.
 inline const char* const watch_head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-// A balancer between its peers.
+// A balancer with its clients, upstreams and discovery service.
 class Stage {
 public:
     explicit Stage(int upstreams = 2) : discovery(loop), form(make_form(loop)) {
@@ -56,10 +56,9 @@
         settings["invariants"] = {{"ask_within", 100.0}, {"drain_grace", 2000.0}, {"answer_slack", 5.0}};
         set_deadline(5000);
     }
-    // What holds in every test: it ends by itself only when it was told to, and no checker found a fault in
-    // it.
+    // Checks what holds in every test: the balancer was not terminated by a signal, and no sanitizer reported an error.
     ~Stage() {
-        if (form->ended() && form->status() < 0) ADD_FAILURE() << "ended by signal " << -form->status();
+        if (form->ended() && form->status() < 0) ADD_FAILURE() << "terminated by signal " << -form->status();
         for (const auto& line : form->log()) {
             if (has(line, "Sanitizer") || has(line, "runtime error:")) ADD_FAILURE() << line;
         }
@@ -71,7 +70,7 @@
     Stage(const Stage&) = delete;
     Stage& operator=(const Stage&) = delete;
 
-    // The longest that a client of any class waits, in milliseconds.
+    // Sets the longest deadline of every class, in milliseconds.
     void set_deadline(double ms) {
         config["settings"]["services"] = {service("look", "idempotent", 150, ms),
                                           service("book it", "deduplicated", 150, ms),
@@ -91,23 +90,23 @@
     }
 
     void start() {
-        const auto told = form->start({config.dump(), operators, environment});
-        if (!told) throw std::runtime_error("it ended instead of listening");
-        address = *told;
+        const auto result = form->start({config.dump(), operators, environment});
+        if (!result) throw std::runtime_error("the balancer exited instead of listening");
+        address = *result;
     }
 
     void until(const std::function<bool()>& holds, int where = __builtin_LINE()) {
         if (!standins::run_until(loop, holds)) {
-            throw std::runtime_error("waited in vain in line " + std::to_string(where));
+            throw std::runtime_error("timed out waiting in line " + std::to_string(where));
         }
     }
 
-    // A further client, or nothing when its connection is refused.
+    // Connects another client; null when the connection is refused.
     std::shared_ptr<Wire> try_client() {
         tcp::socket socket(loop);
         boost::system::error_code error;
         socket.connect(address, error);
-        // A connection that waits to be taken while the listener closes is reset.
+        // A connection in the backlog is reset when the listener closes.
         if (error == asio::error::connection_refused || error == asio::error::connection_reset)
             return nullptr;
         if (error) throw boost::system::system_error(error, "connect");
@@ -117,31 +116,31 @@
     }
     std::shared_ptr<Wire> client() {
         auto wire = try_client();
-        if (!wire) throw std::runtime_error("refused the connection");
+        if (!wire) throw std::runtime_error("the balancer refused the connection");
         return wire;
     }
-    // Clients come, one after the other, until nobody new is taken: from then on it winds down.
-    void until_refused(const std::function<void(const std::shared_ptr<Wire>&)>& each,
-                       int where = __builtin_LINE()) {
+    // Connects clients one after the other until the balancer accepts no more, which is when its connections drain.
+    void until_connections_refused(const std::function<void(const std::shared_ptr<Wire>&)>& on_client,
+                                   int where = __builtin_LINE()) {
         bool refused = false;
-        asio::steady_timer pace(loop);
-        const std::function<void()> come = [&] {
+        asio::steady_timer timer(loop);
+        const std::function<void()> connect_next = [&] {
             const auto client = try_client();
             refused = client == nullptr;
             if (refused) return;
-            each(client);
-            pace.expires_after(std::chrono::milliseconds(20));
-            pace.async_wait([&](boost::system::error_code error) {
-                if (!error) come();
+            on_client(client);
+            timer.expires_after(std::chrono::milliseconds(20));
+            timer.async_wait([&](boost::system::error_code error) {
+                if (!error) connect_next();
             });
         };
-        come();
+        connect_next();
         until([&] { return refused; }, where);
     }
-    void until_refused(int where = __builtin_LINE()) {
-        until_refused([](const auto& client) { client->close(); }, where);
+    void until_connections_refused(int where = __builtin_LINE()) {
+        until_connections_refused([](const auto& client) { client->close(); }, where);
     }
-    // The next final answer; empty when the connection ended instead.
+    // Waits for the next final response; empty when the connection ended instead.
     std::string answer(Wire& wire, int where = __builtin_LINE()) {
         std::string message;
         until(
@@ -154,45 +153,45 @@
             where);
         return message;
     }
-    // The next request at any upstream that has come already, and the connection that it came on.
+    // Returns the next request that an upstream has already received, and its connection; null when there is none.
     std::pair<std::shared_ptr<Wire>, std::string> request_here() {
-        for (const auto& u : upstreams) {
-            for (const auto& wire : u->wires) {
+        for (const auto& upstream : upstreams) {
+            for (const auto& wire : upstream->wires) {
                 if (auto message = wire->take(); !message.empty()) return {wire, std::move(message)};
             }
         }
         return {};
     }
     std::pair<std::shared_ptr<Wire>, std::string> request(int where = __builtin_LINE()) {
-        std::pair<std::shared_ptr<Wire>, std::string> got;
-        until([&] { return (got = request_here()).first != nullptr; }, where);
-        return got;
+        std::pair<std::shared_ptr<Wire>, std::string> received;
+        until([&] { return (received = request_here()).first != nullptr; }, where);
+        return received;
     }
 
-    // Starts it; its first client.
+    // Starts the balancer and connects the first client.
     std::shared_ptr<Wire> start_with_client() {
         start();
         return client();
     }
-    // Says a request and waits until it is at an upstream: the connection that it came on there.
+    // Sends a request, waits until an upstream receives it, and returns the upstream's connection.
     std::shared_ptr<Wire> send(Wire& client, std::string_view request, int where = __builtin_LINE()) {
         client.say(request);
         return this->request(where).first;
     }
-    // Says a request; its answer, from wherever it comes.
+    // Sends a request and returns its response, whether from an upstream or from the balancer.
     std::string ask(Wire& client, std::string_view request, int where = __builtin_LINE()) {
         client.say(request);
         return answer(client, where);
     }
-    // An upstream's answer to a request that it has, which its client gets as it is.
+    // Sends an upstream's response, and expects the client to receive it unchanged.
     void pass(Wire& upstream, Wire& client, std::string_view content = "served",
               std::string_view headers = "", int where = __builtin_LINE()) {
         upstream.say(ok(content, headers));
-        const auto told = answer(client, where);
-        EXPECT_EQ(status(told), 200) << "in line " << where;
-        EXPECT_TRUE(body(told) == content) << "in line " << where << ": " << told.substr(0, 300);
+        const auto result = answer(client, where);
+        EXPECT_EQ(status(result), 200) << "in line " << where;
+        EXPECT_TRUE(body(result) == content) << "in line " << where << ": " << result.substr(0, 300);
     }
-    // A request that is served, and the connection that it came on to its upstream.
+    // Sends a request, expects it to be served, and returns the upstream's connection.
     std::shared_ptr<Wire> serve(Wire& client, std::string_view request, std::string_view content = "served",
                                 int where = __builtin_LINE()) {
         const auto wire = send(client, request, where);
@@ -202,46 +201,46 @@
     std::shared_ptr<Wire> serve(Wire& client, int where = __builtin_LINE()) {
         return serve(client, look(), "served", where);
     }
-    // The watch that came n-th to a discovery service, once its request is there.
+    // Waits for the n-th watch of a discovery service, until its request is received.
     std::shared_ptr<Wire> watch(const Listener& service, std::size_t n = 1, int where = __builtin_LINE()) {
         until([&] { return service.wires.size() >= n && has(service.wires[n - 1]->in, "\r\n\r\n"); }, where);
         return service.wires[n - 1];
     }
     std::shared_ptr<Wire> watch(int where = __builtin_LINE()) { return watch(discovery, 1, where); }
-    // The list, or what has changed of it, as a line of a watch.
+    // Encodes a list (`whole`) or its changes as a line of a watch.
     static std::string news(int version, bool whole, const json& hosts) {
         return chunk(json{{"seq", version}, {"whole", whole}, {"hosts", hosts}}.dump() + "\n");
     }
 
     std::size_t connections() const {
         std::size_t n = 0;
-        for (const auto& u : upstreams) n += u->wires.size();
+        for (const auto& upstream : upstreams) n += upstream->wires.size();
         return n;
     }
 
-    // What the balancer has done by now has been seen here after this: it answers a client that came after
-    // all that, and what it wrote before lay in this machine's buffers by then.
+    // Waits until everything that the balancer has written so far is received: the balancer responds to a client that
+    // connects after it, and its earlier output is then in the sockets' buffers.
     void settle(int where = __builtin_LINE()) {
-        const auto fence = client();
-        if (ask(*fence, ready, where).empty()) throw std::runtime_error("/ready was not answered");
-        fence->close();
+        const auto probe = client();
+        if (ask(*probe, ready, where).empty())
+            throw std::runtime_error("the balancer did not respond to /ready");
+        probe->close();
         drink();
     }
-    // Takes in all that lies in this machine's buffers.
+    // Handles all events that are ready, so that all received bytes are read.
     void drink() {
         loop.restart();
         while (loop.poll() > 0) {
         }
     }
-    // No request is at an upstream that has not been taken by request(), now that the balancer has come to
-    // rest.
+    // Whether, once the balancer has settled, no upstream has received a request that request() has not returned.
     bool nothing_sent(int where = __builtin_LINE()) {
         settle(where);
-        return nothing_here();
+        return no_request_received();
     }
-    bool nothing_here() const {
-        for (const auto& u : upstreams) {
-            for (const auto& wire : u->wires) {
+    bool no_request_received() const {
+        for (const auto& upstream : upstreams) {
+            for (const auto& wire : upstream->wires) {
                 if (!wire->in.empty()) return false;
             }
         }
@@ -253,7 +252,7 @@
         for (const auto& line : form->log()) n += line.starts_with(start);
         return n;
     }
-    // Waits for the n-th line that starts so, and returns it.
+    // Waits for the n-th log line with this prefix, and returns it.
     std::string line(std::string_view start, std::size_t n = 1, int where = __builtin_LINE()) {
         until([&] { return logged(start) >= n; }, where);
         for (const auto& line : form->log()) {
@@ -261,7 +260,7 @@
         }
         return {};
     }
-    // Hands over `config` as it now is, and waits until it was taken.
+    // Hands over the current `config`, and waits until it is applied.
     void take(int where = __builtin_LINE()) {
         const auto before = logged("configuration taken");
         form->take(config.dump());
@@ -271,8 +270,8 @@
         form->end();
         line("draining");
     }
-    // Held for so long at least, then `last` is done: its timers are due, and what was said is all there,
-    // before it looks at any of it.
+    // Suspends the balancer for at least `length`, runs `last`, and resumes it. Its timers are then due, and everything that
+    // was sent has arrived, before the balancer handles any of it.
     void stall(std::chrono::milliseconds length, const std::function<void()>& last) {
         form->hold();
         bool over = false;
@@ -282,14 +281,14 @@
         last();
         form->go_on();
     }
-    // Waits for its end, which must be an orderly one.
+    // Waits for the balancer's exit, and expects a graceful shutdown.
     void until_ended(int where = __builtin_LINE()) {
         until([&] { return form->ended(); }, where);
         EXPECT_EQ(form->status(), 0);
         EXPECT_EQ(logged("drained"), 1U);
     }
 
-    // Requests, each under an id of its own unless one is given: safe to repeat, unsafe, and keyed.
+    // Requests of the three effects: safe, unsafe and keyed. Each has a new id unless one is given.
     std::string look(int budget_ms = 5000, std::string id = {}) {
         return "GET /api?q=1 HTTP/1.1\r\n" + call(std::move(id), "look", budget_ms) + "\r\n";
     }
@@ -309,7 +308,7 @@
     json config;
     std::optional<std::string> operators;
     std::vector<std::pair<std::string, std::string>> environment;
-    tcp::endpoint address;  // where it listens
+    tcp::endpoint address;  // on which the balancer listens
     std::unique_ptr<Form> form;
 
 private:
--- a/tests/suite/restinio_host.h
+++ b/tests/suite/restinio_host.h
@@ -1,5 +1,5 @@
-// A web server in this process with a balancer mounted in it: RESTinio on the host's loop, or on a loop and a
-// thread of its own, and an application for all that is not the mounts'. Takes long to compile.
+// A web server in the test's process with a mounted balancer: RESTinio on the host's event loop, or on a loop and a thread
+// of its own, and an application for all requests outside the mounts. Compiling this header takes long.
 #pragma once
 
 #include <functional>
@@ -17,15 +17,15 @@
 namespace asio = boost::asio;
 using asio::ip::tcp;
 
-// New connections are taken as long as the daemon takes them; whoever has sent half a request by then may
-// send the rest; and at last clients have some time to end theirs.
+// Phases of a shutdown: new connections are accepted for as long as the daemon accepts them (keep_accepting), partially
+// received requests may then be completed (keep_taking), and clients finally have some time to close (end_wait).
 inline constexpr auto keep_accepting = std::chrono::milliseconds(450);
 inline constexpr auto keep_taking = keep_accepting + std::chrono::milliseconds(500);
 inline constexpr auto end_wait = std::chrono::milliseconds(500);
 
 using Application = std::function<restinio::request_handling_status_t(const restinio::request_handle_t&)>;
 
-inline restinio::request_handling_status_t no_such_page(const restinio::request_handle_t& request) {
+inline restinio::request_handling_status_t respond_not_found(const restinio::request_handle_t& request) {
     return request->create_response(restinio::status_not_found())
         .set_body("the application has no such page\n")
         .connection_close()
@@ -33,15 +33,15 @@
 }
 
 struct HostPlan {
-    std::vector<middleware::MountOptions> mounts = {{}};  // of one balancer
-    Application application = no_such_page;
-    bool server_thread = false;  // RESTinio on a loop and a thread of its own
+    std::vector<middleware::MountOptions> mounts = {{}};  // of the same balancer
+    Application application = respond_not_found;
+    bool server_thread = false;  // runs RESTinio on its own loop and thread
 };
 
-// Who is connected: the host ends when nobody is.
-class Connections {
+// Tracks the open client connections: the host stops when none is left.
+class ConnectionTracker {
 public:
-    explicit Connections(std::vector<std::shared_ptr<middleware::Mount>> mounts)
+    explicit ConnectionTracker(std::vector<std::shared_ptr<middleware::Mount>> mounts)
         : departures_(std::move(mounts)) {}
 
     void state_changed(const restinio::connection_state::notice_t& notice) {
@@ -51,23 +51,23 @@
             open_.erase(notice.connection_id());
         }
         departures_.state_changed(notice);
-        if (open_.empty() && on_nobody_) on_nobody_();
+        if (open_.empty() && on_none_open_) on_none_open_();
     }
-    void when_nobody(std::function<void()> call) {
-        on_nobody_ = std::move(call);
-        if (open_.empty()) on_nobody_();
+    void when_none_open(std::function<void()> call) {
+        on_none_open_ = std::move(call);
+        if (open_.empty()) on_none_open_();
     }
 
 private:
     middleware::Departures departures_;
     std::set<restinio::connection_id_t> open_;
-    std::function<void()> on_nobody_;
+    std::function<void()> on_none_open_;
 };
 
 struct Traits : restinio::default_single_thread_traits_t {
     using stream_socket_t = middleware::Socket;
     using request_handler_t = restinio::sync_chain::fixed_size_chain_t<2>;
-    using connection_state_listener_t = Connections;
+    using connection_state_listener_t = ConnectionTracker;
 };
 
 class MiddlewareHost final : public Host {
@@ -75,22 +75,22 @@
     MiddlewareHost(asio::io_context& loop, const BalancerOptions& options, HostPlan plan = {})
         : loop_(loop),
           balancer_(loop.get_executor(), without_listener(options)),
-          its_loop_(plan.server_thread ? std::make_unique<asio::io_context>(1) : nullptr),
-          server_loop_(its_loop_ ? *its_loop_ : loop),
+          own_loop_(plan.server_thread ? std::make_unique<asio::io_context>(1) : nullptr),
+          server_loop_(own_loop_ ? *own_loop_ : loop),
           timer_(server_loop_) {
         for (auto& mount : plan.mounts) {
             mounts_.push_back(
                 std::make_shared<middleware::Mount>(loop.get_executor(), balancer_, std::move(mount)));
         }
-        connections_ = std::make_shared<Connections>(mounts_);
+        connections_ = std::make_shared<ConnectionTracker>(mounts_);
         server_.emplace(restinio::external_io_context(server_loop_), settings(options, plan.application));
         server_->open_sync();
-        if (its_loop_) thread_ = std::thread([this] { its_loop_->run(); });
+        if (own_loop_) thread_ = std::thread([this] { own_loop_->run(); });
     }
 
     ~MiddlewareHost() override {
-        if (!its_loop_) return;
-        its_loop_->stop();
+        if (!own_loop_) return;
+        own_loop_->stop();
         thread_.join();
     }
 
@@ -99,7 +99,7 @@
 
     void drain() override {
         if (std::exchange(draining_, true)) return;
-        balancer_.async_drain([this] { end_mount(0); });
+        balancer_.async_drain([this] { await_mount(0); });
         asio::post(server_loop_, [this] {
             after(keep_accepting, [this] {
                 server_->close_sync();
@@ -108,8 +108,8 @@
         });
     }
 
-    // What an instance has open has its end, and its figures are the last; then the host's loop is over,
-    // whatever RESTinio has on it.
+    // Closes the balancer, which ends all open calls and makes its figures final, then stops the host's loop whatever work
+    // RESTinio has on it.
     void close() override {
         balancer_.async_close([this] { loop_.stop(); });
     }
@@ -121,17 +121,17 @@
         return options;
     }
 
-    // One after the other; then clients may end theirs.
-    void end_mount(std::size_t i) {
-        if (i < mounts_.size()) return mounts_[i]->when_quiet([this, i] { end_mount(i + 1); });
+    // Waits for the mounts one after the other, then lets clients close their connections.
+    void await_mount(std::size_t i) {
+        if (i < mounts_.size()) return mounts_[i]->when_quiet([this, i] { await_mount(i + 1); });
         asio::post(server_loop_, [this] {
             after(end_wait, [this] { loop_.stop(); });
-            connections_->when_nobody([this] { loop_.stop(); });
+            connections_->when_none_open([this] { loop_.stop(); });
         });
     }
 
-    void after(std::chrono::milliseconds time, std::function<void()> step) {
-        timer_.expires_after(time);
+    void after(std::chrono::milliseconds delay, std::function<void()> step) {
+        timer_.expires_after(delay);
         timer_.async_wait([step = std::move(step)](boost::system::error_code error) {
             if (!error) step();
         });
@@ -163,9 +163,9 @@
     asio::io_context& loop_;
     Balancer balancer_;
     std::vector<std::shared_ptr<middleware::Mount>> mounts_;
-    const std::unique_ptr<asio::io_context> its_loop_;
+    const std::unique_ptr<asio::io_context> own_loop_;
     asio::io_context& server_loop_;
-    std::shared_ptr<Connections> connections_;
+    std::shared_ptr<ConnectionTracker> connections_;
     tcp::endpoint address_;
     std::optional<restinio::http_server_t<Traits>> server_;
     asio::steady_timer timer_;
--- a/tests/suite/serving_test.cpp
+++ b/tests/suite/serving_test.cpp
@@ -1,4 +1,4 @@
-// Requests and answers as they pass through, and the connections that are kept to upstreams.
+// Tests of forwarded requests and responses, and of the idle connections kept to upstreams.
 #include "peers.h"
 
 namespace flaxdoor::test {
@@ -6,14 +6,14 @@
 
 namespace {
 
-TEST(Serving, PassesRequestAndAnswerOnUnchanged) {
-    Stage s;
-    const auto client = s.start_with_client();
+TEST(Serving, ForwardsRequestAndResponseUnchanged) {
+    Stage fixture;
+    const auto client = fixture.start_with_client();
     client->say(
         "POST /api?a=1&b=%20 HTTP/1.1\r\nHost: api.internal\r\nX-Call-Id: 9b1f\r\nX-Call-Class: book it\r\n"
         "X-Budget-Ms: 5000\r\nIdempotency-Key: k7\r\nConnection: X-Hop\r\nX-Hop: 1\r\nContent-Length: "
         "5\r\n\r\na\0b\r\n"sv);
-    const auto [wire, request] = s.request();
+    const auto [wire, request] = fixture.request();
     EXPECT_TRUE(has(request, "POST /api?a=1&b=%20 HTTP/1.1\r\n"));
     EXPECT_EQ(header(request, "X-Call-Id"), "9b1f");
     EXPECT_EQ(header(request, "Idempotency-Key"), "k7");
@@ -21,122 +21,122 @@
     EXPECT_FALSE(has(request, "X-Hop"));
     EXPECT_EQ(body(request), std::string("a\0b\r\n", 5));
     wire->say(ok("x\r\ny", "X-Load-Report: active=1,avg_ms=2\r\n"));
-    const auto answer = s.answer(*client);
+    const auto answer = fixture.answer(*client);
     EXPECT_EQ(status(answer), 200);
     EXPECT_EQ(body(answer), "x\r\ny");
     EXPECT_FALSE(has(answer, "X-Load-Report"));
-    s.settle();
+    fixture.settle();
     EXPECT_FALSE(client->ended);
 }
 
 TEST(Serving, ReadyAnswersAtOnce) {
-    Stage s;
-    const auto client = s.start_with_client();
-    EXPECT_EQ(status(s.ask(*client, ready)), 200);
+    Stage fixture;
+    const auto client = fixture.start_with_client();
+    EXPECT_EQ(status(fixture.ask(*client, ready)), 200);
 }
 
-// The answer leaves before the client gives up, and the attempt that stays silent is given up with it: what
-// the upstream is told of the time left is less than the client has.
+// The client gets a response before its deadline, and the unanswered attempt is cancelled with it. The budget sent to the
+// upstream is less than the client's.
 TEST(Serving, AnswersBeforeTheClientGivesUp) {
-    Stage s;
-    const auto client = s.start_with_client();
-    client->say(s.once(150));
-    const auto [wire, request] = s.request();
-    const int told = std::stoi(header(request, "X-Budget-Ms"));
-    EXPECT_GT(told, 0);
-    EXPECT_LT(told, 150);
-    EXPECT_TRUE(failed(s.answer(*client)));
-    s.until([&w = wire] { return w->ended; });
+    Stage fixture;
+    const auto client = fixture.start_with_client();
+    client->say(fixture.once(150));
+    const auto [wire, request] = fixture.request();
+    const int budget_ms = std::stoi(header(request, "X-Budget-Ms"));
+    EXPECT_GT(budget_ms, 0);
+    EXPECT_LT(budget_ms, 150);
+    EXPECT_TRUE(failed(fixture.answer(*client)));
+    fixture.until([&connection = wire] { return connection->ended; });
 }
 
-// Its deadline is beyond any patience here: nothing but the client's end can end it.
-TEST(Serving, ClientThatLeavesEndsItsAttempt) {
-    Stage s;
-    s.set_deadline(60000);
-    const auto client = s.start_with_client();
-    const auto wire = s.send(*client, s.look(60000));
+// The deadline is longer than the test may take, so only the client's disconnect can end the attempt.
+TEST(Serving, AClientsDisconnectCancelsItsAttempt) {
+    Stage fixture;
+    fixture.set_deadline(60000);
+    const auto client = fixture.start_with_client();
+    const auto wire = fixture.send(*client, fixture.look(60000));
     client->close();
-    s.until([&] { return wire->ended; });
-    s.settle();
-    EXPECT_EQ(s.connections(), 1U);
+    fixture.until([&] { return wire->ended; });
+    fixture.settle();
+    EXPECT_EQ(fixture.connections(), 1U);
 }
 
-// Requests written together are answered one after the other.
-TEST(Serving, PipelinedRequestsAreTakenInTurn) {
-    Stage s;
-    const auto client = s.start_with_client();
+// Pipelined requests are forwarded and answered one after the other.
+TEST(Serving, PipelinedRequestsAreServedInOrder) {
+    Stage fixture;
+    const auto client = fixture.start_with_client();
     const auto ids = {"one", "two", "three", "four", "five"};
     std::string all;
-    for (const char* id : ids) all += s.once(5000, "body", id);
+    for (const char* id : ids) all += fixture.once(5000, "body", id);
     client->say(all);
     for (const char* id : ids) {
-        const auto [wire, request] = s.request();
+        const auto [wire, request] = fixture.request();
         EXPECT_EQ(header(request, "X-Call-Id"), id);
-        EXPECT_TRUE(s.nothing_sent());
-        s.pass(*wire, *client, id);
+        EXPECT_TRUE(fixture.nothing_sent());
+        fixture.pass(*wire, *client, id);
     }
 }
 
-// A body of the largest size goes through whole, both ways.
-TEST(Serving, TheLargestBodyPasses) {
-    Stage s;
-    const auto client = s.start_with_client();
+// A body of the maximum size is forwarded completely in both directions.
+TEST(Serving, TheLargestBodyIsForwarded) {
+    Stage fixture;
+    const auto client = fixture.start_with_client();
     const std::string large(64 * 1024, 'x');
-    client->say(s.once(5000, large));
-    const auto [wire, request] = s.request();
+    client->say(fixture.once(5000, large));
+    const auto [wire, request] = fixture.request();
     EXPECT_TRUE(body(request) == large);
-    s.pass(*wire, *client, large);
+    fixture.pass(*wire, *client, large);
 }
 
 TEST(Kept, ReusesAConnection) {
-    Stage s(1);
-    const auto client = s.start_with_client();
-    for (int i = 0; i < 3; ++i) s.serve(*client);
-    EXPECT_EQ(s.connections(), 1U);
+    Stage fixture(1);
+    const auto client = fixture.start_with_client();
+    for (int i = 0; i < 3; ++i) fixture.serve(*client);
+    EXPECT_EQ(fixture.connections(), 1U);
 }
 
 TEST(Kept, HonoursConnectionClose) {
-    Stage s(1);
-    const auto client = s.start_with_client();
+    Stage fixture(1);
+    const auto client = fixture.start_with_client();
     for (std::size_t i = 0; i < 2; ++i) {
-        const auto wire = s.send(*client, s.look());
-        s.pass(*wire, *client, "served", "Connection: close\r\n");
-        s.until([&] { return wire->ended; });
-        EXPECT_EQ(s.connections(), i + 1);
+        const auto wire = fixture.send(*client, fixture.look());
+        fixture.pass(*wire, *client, "served", "Connection: close\r\n");
+        fixture.until([&] { return wire->ended; });
+        EXPECT_EQ(fixture.connections(), i + 1);
     }
 }
 
-// An end that has come in while a connection was kept is seen before it is used: an unsafe request that were
-// written to it would be lost.
+// The unread end of an idle connection is noticed before the connection is reused; an unsafe request written to it would be
+// lost.
 TEST(Kept, NoticesAnEndBeforeReuse) {
-    Stage s(1);
-    const auto client = s.start_with_client();
-    const auto wire = s.serve(*client, s.once());
-    s.form->hold();
-    client->say(s.once());
+    Stage fixture(1);
+    const auto client = fixture.start_with_client();
+    const auto wire = fixture.serve(*client, fixture.once());
+    fixture.form->hold();
+    client->say(fixture.once());
     wire->close();
-    s.form->go_on();  // both are there before it looks at either
-    s.pass(*s.request().first, *client);
-    EXPECT_EQ(s.connections(), 2U);
+    fixture.form->go_on();  // the request and the end have both arrived before the balancer reads either
+    fixture.pass(*fixture.request().first, *client);
+    EXPECT_EQ(fixture.connections(), 2U);
 }
 
-// Bytes that nobody asked for belong to no later request.
-TEST(Kept, DropsAConnectionThatSpeaksUnasked) {
-    Stage s(1);
-    const auto client = s.start_with_client();
-    const auto wire = s.send(*client, s.look());
+// Unsolicited bytes do not become the response to a later request.
+TEST(Kept, DropsAConnectionWithUnsolicitedBytes) {
+    Stage fixture(1);
+    const auto client = fixture.start_with_client();
+    const auto wire = fixture.send(*client, fixture.look());
     wire->say(ok("mine") + ok("nobody's"));
-    EXPECT_EQ(body(s.answer(*client)), "mine");
-    s.serve(*client, s.look(), "also mine");
-    EXPECT_EQ(s.connections(), 2U);
+    EXPECT_EQ(body(fixture.answer(*client)), "mine");
+    fixture.serve(*client, fixture.look(), "also mine");
+    EXPECT_EQ(fixture.connections(), 2U);
 }
 
-TEST(Kept, ClosesBeforeTheToldIdleLimit) {
-    Stage s(1);
-    s.config["settings"]["limits"]["idle_close"] = 50.0;
-    const auto client = s.start_with_client();
-    const auto wire = s.serve(*client);
-    s.until([&] { return wire->ended; });
+TEST(Kept, ClosesBeforeTheUpstreamsIdleLimit) {
+    Stage fixture(1);
+    fixture.config["settings"]["limits"]["idle_close"] = 50.0;
+    const auto client = fixture.start_with_client();
+    const auto wire = fixture.serve(*client);
+    fixture.until([&] { return wire->ended; });
 }
 
 }  // namespace
--- a/tests/suite/socket_failures_test.cpp
+++ b/tests/suite/socket_failures_test.cpp
@@ -1,6 +1,6 @@
-// Each call on a socket that a program makes in a fixed course of requests fails once, one after the other,
-// and then many in a row. Whatever it was: every client gets one whole answer, or the end of its connection
-// with nothing sent on for it; nothing unsafe runs twice; and the next plain request is served.
+// Injects failures into the socket calls that the balancer makes during a fixed sequence of requests: each call once, one
+// run per call, and then several calls in a row. In all cases every client gets one complete response, or the end of its
+// connection with nothing forwarded; no unsafe request is sent twice; and the next plain request is served.
 #include <algorithm>
 #include <cstdlib>
 #include <map>
@@ -17,43 +17,45 @@
 using standins::sockets::call_names;
 using standins::sockets::CountsFile;
 
-// What a client may meet with because of a failure.
+// The worst effect that a failure may have on a client.
 enum class Bound {
-    answered,  // a whole answer, whichever
-    cut,       // or the end of its connection, when nothing was sent on for it
-    broken     // or its end, as when the network had broken it
+    answered,  // a complete response with any status
+    cut,       // or the end of its connection, with nothing forwarded
+    broken     // or the end of its connection, as after a network failure
 };
 
-// Upstreams and discovery that answer at once, clients that ask and note what they get.
-class Course {
+// One run of the request sequence: upstreams and discovery respond at once, and the clients record their responses.
+class RequestSequence {
 public:
-    Course(const std::string& plan, Bound bound) : bound_(bound), blames_(has(plan, "connected:")) {
-        s_.environment = {
+    RequestSequence(const std::string& plan, Bound bound)
+        : bound_(bound), may_eject_upstream_(has(plan, "connected:")) {
+        fixture_.environment = {
             {"LD_PRELOAD", SUITE_FAULTS}, {"FLAXDOOR_CALLS", counts_.path()}, {"FLAXDOOR_FAIL", plan}};
-        std::string options = "verify_asan_link_order=0";  // the library comes ahead of the sanitizer's
-        if (const char* const usual = std::getenv("ASAN_OPTIONS")) options = usual + (":" + options);
-        s_.environment.emplace_back("ASAN_OPTIONS", options);
+        std::string options = "verify_asan_link_order=0";  // the preloaded library precedes the sanitizer's
+        if (const char* const configured = std::getenv("ASAN_OPTIONS"))
+            options = configured + (":" + options);
+        fixture_.environment.emplace_back("ASAN_OPTIONS", options);
     }
 
-    ~Course() {
+    ~RequestSequence() {
         if (!testing::Test::HasFailure() && std::uncaught_exceptions() == 0) return;
-        for (const auto& a : asked_) {
-            std::cerr << a.id << " of client " << a.client << ": sent " << sent_[a.id] << " times, told "
-                      << status(a.answer) << '\n';
+        for (const auto& request : requests_) {
+            std::cerr << request.id << " of client " << request.client << ": sent " << sent_[request.id]
+                      << " times, status " << status(request.answer) << '\n';
         }
     }
-    Course(const Course&) = delete;
-    Course& operator=(const Course&) = delete;
+    RequestSequence(const RequestSequence&) = delete;
+    RequestSequence& operator=(const RequestSequence&) = delete;
 
     void run() {
-        const auto told = s_.form->start({s_.config.dump(), {}, s_.environment});
-        if (!told) {  // it could not even begin: it says so and ends
-            EXPECT_EQ(s_.form->status(), 1);
-            EXPECT_EQ(s_.logged("flaxdoor: "), 1U);
+        const auto address = fixture_.form->start({fixture_.config.dump(), {}, fixture_.environment});
+        if (!address) {  // the failure prevented the start, and the balancer must log that and exit
+            EXPECT_EQ(fixture_.form->status(), 1);
+            EXPECT_EQ(fixture_.logged("flaxdoor: "), 1U);
             EXPECT_GT(counts_.failed(), 0U);
             return;
         }
-        s_.address = *told;
+        fixture_.address = *address;
         ask({{0, Kind::look}});
         ask({{0, Kind::once}, {1, Kind::keyed}, {2, Kind::look}});
         ask({{0, Kind::look}, {1, Kind::once}});
@@ -61,47 +63,47 @@
         clients_.erase(1);
         ask({{1, Kind::once}, {0, Kind::once}});
         ask({{1, Kind::look}});
-        serves_on();
-        judge();
+        expect_still_serving();
+        check_results();
     }
 
-    // What is held ends in order, too.
+    // Shuts the balancer down gracefully while connections are open.
     void end() {
         for (const auto& [client, wire] : clients_) wire->close();
-        s_.end();
-        s_.until_ended();
+        fixture_.end();
+        fixture_.until_ended();
     }
 
     const CountsFile& counts() const { return counts_; }
 
 private:
     enum class Kind { look, once, keyed };
-    struct Asked {
+    struct RecordedRequest {
         int client = 0;
         Kind kind{};
         std::string id;
-        std::string answer;  // empty: its connection ended
+        std::string answer;  // empty: the connection ended
     };
 
-    void ask(std::vector<std::pair<int, Kind>> whom, int budget_ms = 600) {
-        const std::size_t first = asked_.size();
-        for (const auto& [client, kind] : whom) {
+    void ask(std::vector<std::pair<int, Kind>> clients_and_kinds, int budget_ms = 600) {
+        const std::size_t first = requests_.size();
+        for (const auto& [client, kind] : clients_and_kinds) {
             auto& wire = clients_[client];
-            if (!wire || wire->ended) wire = s_.client();
-            const std::string id = std::to_string(asked_.size()) + "-n";
-            wire->say(kind == Kind::look   ? s_.look(budget_ms, id)
-                      : kind == Kind::once ? s_.once(budget_ms, "body", id)
-                                           : s_.keyed(budget_ms, id));
-            asked_.push_back({client, kind, id, {}});
+            if (!wire || wire->ended) wire = fixture_.client();
+            const std::string id = std::to_string(requests_.size()) + "-n";
+            wire->say(kind == Kind::look   ? fixture_.look(budget_ms, id)
+                      : kind == Kind::once ? fixture_.once(budget_ms, "body", id)
+                                           : fixture_.keyed(budget_ms, id));
+            requests_.push_back({client, kind, id, {}});
         }
-        s_.until([&] {
+        fixture_.until([&] {
             serve();
             bool all = true;
-            for (std::size_t i = first; i < asked_.size(); ++i) {
-                Asked& a = asked_[i];
-                const auto& wire = clients_[a.client];
-                if (a.answer.empty()) a.answer = wire->take();
-                all = all && (!a.answer.empty() || wire->ended);
+            for (std::size_t i = first; i < requests_.size(); ++i) {
+                RecordedRequest& request = requests_[i];
+                const auto& wire = clients_[request.client];
+                if (request.answer.empty()) request.answer = wire->take();
+                all = all && (!request.answer.empty() || wire->ended);
             }
             return all;
         });
@@ -109,68 +111,70 @@
 
     void serve() {
         while (true) {
-            const auto [wire, request] = s_.request_here();
+            const auto [wire, request] = fixture_.request_here();
             if (!wire) break;
             const auto id = header(request, "X-Call-Id");
             ++sent_[id];
-            // Every other connection ends with its answer, so that new ones are made under way.
+            // Closes every other connection with its response, so that the sequence includes new connections.
             wire->say(ok(id, ++served_ % 2 == 0 ? "Connection: close\r\n" : ""));
         }
-        for (const auto& watch : s_.discovery.wires) {
+        for (const auto& watch : fixture_.discovery.wires) {
             if (has(watch->in, "\r\n\r\n") && watches_.insert(watch).second)
                 watch->say(watch_head + chunk("\n"));
         }
     }
 
-    // A plain request of a new client is served. It may itself be what meets with the failure: then the next.
-    // Where connections to an upstream were what failed, it may be kept out for a while: then the next, too.
-    void serves_on() {
-        const auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(100);
+    // Expects that a plain request of a new client is served. The request may meet the injected failure itself; then the next
+    // one must be served. After failed upstream connections, an upstream may be ejected for a while, so further requests may
+    // be needed.
+    void expect_still_serving() {
+        const auto give_up_at = std::chrono::steady_clock::now() + std::chrono::seconds(100);
         unsigned before = 0;
         do {
             before = counts_.failed();
             clients_[9] = nullptr;
             ask({{9, Kind::look}}, 5000);
-        } while (status(asked_.back().answer) != 200 &&
-                 (counts_.failed() > before || (blames_ && std::chrono::steady_clock::now() < limit)));
-        EXPECT_EQ(status(asked_.back().answer), 200);
-        s_.until([&] {
+        } while (status(requests_.back().answer) != 200 &&
+                 (counts_.failed() > before ||
+                  (may_eject_upstream_ && std::chrono::steady_clock::now() < give_up_at)));
+        EXPECT_EQ(status(requests_.back().answer), 200);
+        fixture_.until([&] {
             serve();
             return std::any_of(watches_.begin(), watches_.end(), [](const auto& w) { return !w->ended; });
         });
     }
 
-    void judge() {
+    void check_results() {
         serve();
-        for (const auto& a : asked_) {
-            const int sent = sent_[a.id];
-            const int told = status(a.answer);
-            if (a.kind == Kind::once) {
-                EXPECT_LE(sent, 1) << a.id;
+        for (const auto& request : requests_) {
+            const int sent = sent_[request.id];
+            const int response_status = status(request.answer);
+            if (request.kind == Kind::once) {
+                EXPECT_LE(sent, 1) << request.id;
             }
-            if (told == 200) {
-                EXPECT_EQ(body(a.answer), a.id);
-                EXPECT_GE(sent, 1) << a.id;
+            if (response_status == 200) {
+                EXPECT_EQ(body(request.answer), request.id);
+                EXPECT_GE(sent, 1) << request.id;
             }
-            if (refused(a.answer) && a.kind == Kind::once) {
-                EXPECT_EQ(sent, 0) << a.id;
+            if (refused(request.answer) && request.kind == Kind::once) {
+                EXPECT_EQ(sent, 0) << request.id;
             }
-            if (told != 0) continue;
-            EXPECT_NE(bound_, Bound::answered) << a.id << " was not answered";
+            if (response_status != 0) continue;
+            EXPECT_NE(bound_, Bound::answered) << request.id << " was not answered";
             if (bound_ == Bound::cut) {
-                EXPECT_EQ(sent, 0) << a.id;
+                EXPECT_EQ(sent, 0) << request.id;
             }
         }
-        for (const auto& [client, wire] : clients_) EXPECT_EQ(wire->in, "");  // nothing after the answers
+        for (const auto& [client, wire] : clients_) EXPECT_EQ(wire->in, "");  // nothing follows the responses
     }
 
     const Bound bound_;
-    const bool blames_;  // an upstream may be what failed
+    const bool may_eject_upstream_;  // the injected failure may be attributed to an upstream
     CountsFile counts_;
-    Stage s_;
+    Stage fixture_;
     std::map<int, std::shared_ptr<Wire>> clients_;
-    std::vector<Asked> asked_;
-    std::map<std::string, int> sent_;  // by id: how often the whole request came to an upstream
+    std::vector<RecordedRequest> requests_;
+    std::map<std::string, int> sent_;  // by id: how often upstreams received the complete request
     std::set<std::shared_ptr<Wire>> watches_;
     int served_ = 0;
 };
@@ -190,29 +194,29 @@
     std::string name() const { return std::string(call_names[static_cast<std::size_t>(GetParam().call)]); }
 };
 
-TEST_P(SocketFailures, OneAfterTheOther) {
+TEST_P(SocketFailures, EachCallOnce) {
     unsigned calls = 0;
     {
-        Course clean("", Bound::answered);
-        clean.run();
-        calls = clean.counts().made(GetParam().call);
+        RequestSequence without_failures("", Bound::answered);
+        without_failures.run();
+        calls = without_failures.counts().made(GetParam().call);
     }
     ASSERT_GT(calls, 0U);
-    unsigned met = 0;
+    unsigned failures_met = 0;
     for (unsigned n = 0; n < calls; ++n) {
         const std::string plan = name() + ":" + std::to_string(n) + ":" + GetParam().error;
         SCOPED_TRACE(plan);
-        Course course(plan, GetParam().bound);
+        RequestSequence sequence(plan, GetParam().bound);
         try {
-            course.run();
+            sequence.run();
         } catch (const std::exception& error) {
             ADD_FAILURE() << error.what();
         }
-        met += course.counts().failed();
+        failures_met += sequence.counts().failed();
         if (HasFailure()) return;
     }
-    // Not each course makes the same number of calls, but nearly all of them must have met with theirs.
-    EXPECT_GE(met, calls / 2);
+    // The number of calls varies between runs, but most runs must have met their failure.
+    EXPECT_GE(failures_met, calls / 2);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -245,14 +249,14 @@
 
 void PrintTo(const Plan& p, std::ostream* out) { *out << p.plan; }
 
-// Many in a row, and several kinds together: while it lasts and afterwards.
+// Several failures in a row and of several kinds together, during the failures and afterwards.
 class ManySocketFailures : public testing::TestWithParam<Plan> {};
 
 TEST_P(ManySocketFailures, Pass) {
-    Course course(GetParam().plan, GetParam().bound);
-    course.run();
-    EXPECT_GT(course.counts().failed(), 2U);
-    course.end();
+    RequestSequence sequence(GetParam().plan, GetParam().bound);
+    sequence.run();
+    EXPECT_GT(sequence.counts().failed(), 2U);
+    sequence.end();
 }
 
 const auto name_of_plan = [](const auto& info) { return std::string(info.param.name); };
@@ -270,7 +274,7 @@
                     Plan{"NoMemoryToRead", "read:12..30:ENOMEM", Bound::broken}),
     name_of_plan);
 
-// Fault: what this side is short of counts against the upstreams, which are put out for a while. (Run with
+// Fault: a local shortage of resources counted against the upstreams, which were ejected for a while. (Run with
 // FLAXDOOR_SUITE_FAULTS.)
 INSTANTIATE_TEST_SUITE_P(Faults, ManySocketFailures,
                          testing::Values(Plan{"NoDescriptorToConnect", "socket:2..9:EMFILE", Bound::answered},
--- a/tests/suite/stall_test.cpp
+++ b/tests/suite/stall_test.cpp
@@ -1,4 +1,4 @@
-// A balancer that does nothing for a while: what came meanwhile was told, and taken, all the same.
+// Tests of a balancer process that is suspended for a while: events that arrived meanwhile are handled correctly.
 #include "peers.h"
 
 namespace flaxdoor::test {
@@ -6,65 +6,68 @@
 
 using std::chrono::milliseconds;
 
-// A request that is here whole is taken, however long the balancer did not look and however many there are:
-// not one of them is cut off for having been late.
-TEST(Stall, RequestsThatCameMeanwhileAreAnswered) {
-    for (const bool half : {false, true}) {
-        Stage s(1);
-        s.operators = "[http]\nrequest_timeout = \"1s\"\n";
-        s.start();
+// A complete request that has arrived is served, however long the balancer was suspended and however many there are. No
+// connection may be closed by the request time-out because the balancer read it late.
+TEST(Stall, RequestsThatArrivedMeanwhileAreAnswered) {
+    for (const bool partial : {false, true}) {
+        Stage fixture(1);
+        fixture.operators = "[http]\nrequest_timeout = \"1s\"\n";
+        fixture.start();
         std::vector<std::shared_ptr<Wire>> clients;
         for (int i = 0; i < 300; ++i)
-            clients.push_back(s.client());  // more than one look at the kernel tells
-        const std::size_t first = half ? 20 : 0;
+            clients.push_back(fixture.client());  // more than one epoll_wait call reports
+        const std::size_t first = partial ? 20 : 0;
         std::vector<std::string> requests;
         for (const auto& client : clients) {
-            requests.push_back(s.look());
+            requests.push_back(fixture.look());
             client->say(requests.back().substr(0, first));
         }
-        s.settle();
-        s.stall(milliseconds(1100), [&] {
+        fixture.settle();
+        fixture.stall(milliseconds(1100), [&] {
             for (std::size_t i = 0; i < clients.size(); ++i) clients[i]->say(requests[i].substr(first));
         });
         std::size_t answered = 0;
-        s.until([&] {
-            for (auto [wire, request] = s.request_here(); wire; std::tie(wire, request) = s.request_here())
+        fixture.until([&] {
+            for (auto [wire, request] = fixture.request_here(); wire;
+                 std::tie(wire, request) = fixture.request_here())
                 wire->say(ok());
             answered = 0;
             for (const auto& client : clients) answered += has(client->in, "\r\n\r\n");
-            return std::all_of(clients.begin(), clients.end(),
-                               [](const auto& c) { return c->ended || has(c->in, "\r\n\r\n"); });
+            return std::all_of(clients.begin(), clients.end(), [](const auto& client) {
+                return client->ended || has(client->in, "\r\n\r\n");
+            });
         });
-        EXPECT_EQ(answered, clients.size()) << (half ? "half a request" : "no request") << " came before";
+        EXPECT_EQ(answered, clients.size())
+            << (partial ? "part of a request" : "no request") << " arrived before";
     }
 }
 
-// What discovery told meanwhile comes first, whoever had spoken first and however much it is: a request that
-// waited as well is not sent to an upstream that leaves.
-TEST(Stall, AnUpstreamThatLeftMeanwhileGetsNothingNew) {
+// Discovery changes that arrived during the stall are applied before requests, whichever arrived first and however large the
+// changes are: a waiting request is not sent to an upstream that is leaving.
+TEST(Stall, AnUpstreamThatLeftMeanwhileGetsNoNewRequest) {
     for (const bool discovery_first : {false, true}) {
-        Stage s(1);
-        s.start();
-        const auto watch = s.watch();
+        Stage fixture(1);
+        fixture.start();
+        const auto watch = fixture.watch();
         watch->say(watch_head + chunk("\n"));
         std::vector<std::shared_ptr<Wire>> clients;
-        for (int i = 0; i < 20; ++i) clients.push_back(s.client());
-        s.serve(*clients[0], s.once());
-        s.settle();
+        for (int i = 0; i < 20; ++i) clients.push_back(fixture.client());
+        fixture.serve(*clients[0], fixture.once());
+        fixture.settle();
         json hosts = json::array();
-        for (int i = 0; i < 500; ++i) {  // more than is read at once
-            hosts.push_back(Stage::entry("o-" + std::to_string(i), s.upstreams[0]->address(), "left"));
+        for (int i = 0; i < 500; ++i) {  // more than one read returns
+            hosts.push_back(Stage::entry("o-" + std::to_string(i), fixture.upstreams[0]->address(), "left"));
         }
-        hosts.push_back(s.upstream(0, "leaving"));
-        const auto tell = [&] { watch->say(Stage::news(9, false, hosts)); };
-        s.stall(std::chrono::milliseconds(100), [&] {
-            if (discovery_first) tell();
-            for (const auto& client : clients) client->say(s.once(200));
-            if (!discovery_first) tell();
+        hosts.push_back(fixture.upstream(0, "leaving"));
+        const auto send_changes = [&] { watch->say(Stage::news(9, false, hosts)); };
+        fixture.stall(std::chrono::milliseconds(100), [&] {
+            if (discovery_first) send_changes();
+            for (const auto& client : clients) client->say(fixture.once(200));
+            if (!discovery_first) send_changes();
         });
-        for (const auto& client : clients) EXPECT_TRUE(refused(s.answer(*client)));
-        EXPECT_TRUE(s.nothing_sent());
-        EXPECT_EQ(s.logged("discovery: "), 0U);
+        for (const auto& client : clients) EXPECT_TRUE(refused(fixture.answer(*client)));
+        EXPECT_TRUE(fixture.nothing_sent());
+        EXPECT_EQ(fixture.logged("discovery: "), 0U);
     }
 }
 
