--- a/src/http/front.cpp
+++ b/src/http/front.cpp
@@ -29,7 +29,8 @@
 constexpr Micros eviction_grace = std::chrono::milliseconds(100);
 constexpr std::size_t max_eviction_candidates = 4;    // connections examined for one eviction
 constexpr std::size_t read_buffer_bytes = 64 * 1024;  // bytes per read
-// Interval of the half-close check. A read does not show the end of a client whose further bytes are left in its socket.
+// Interval of the half-close check. A read does not show the end of a client whose further bytes are left in its
+// socket.
 constexpr auto half_close_check_interval = std::chrono::milliseconds(25);
 
 }  // namespace
@@ -158,8 +159,8 @@
             if (given && !processing_) process();
         }
 
-        // Whether reading is suspended because the client has sent too far ahead, and no probe has been sent. A read then
-        // does not show the client's end.
+        // Whether reading is suspended because the client has sent too far ahead, and no probe has been sent. A read
+        // then does not show the client's end.
         bool reading_suspended() const { return !machine_.wants_read() && !probe_sent_; }
         void check_half_close() {
             if (!closed_ && call_ && loop::ended_behind(socket_)) probe_client();
@@ -233,8 +234,8 @@
                 case ServerState::over: return;
             }
         }
-        // The request time-out of a new connection starts with its accept, so it keeps the phase `fresh` while its first
-        // request is being received.
+        // The request time-out of a new connection starts with its accept, so it keeps the phase `fresh` while its
+        // first request is being received.
         void enter_if_changed(Phase phase) {
             if (phase == phase_ || (phase_ == fresh && phase == receiving)) return;
             enter(phase);
@@ -310,8 +311,8 @@
             return written.bytes > 0;
         }
 
-        // Writes output through the TLS channel. The machine's output counts as written once the socket has accepted all
-        // bytes that it was encrypted to.
+        // Writes output through the TLS channel. The machine's output counts as written once the socket has accepted
+        // all bytes that it was encrypted to.
         bool flush_channel() {
             if (const std::string_view plain = machine_.output(); plain.size() > channel_bytes_) {
                 channel_->send(plain.substr(channel_bytes_));
@@ -406,8 +407,8 @@
             answer(owner_.handler_.on_not_taken(taken, asked.get()));
         }
 
-        // Enters the phase `writing` even when everything is written at once: the connection was used, so it must move to
-        // the end of its idle list.
+        // Enters the phase `writing` even when everything is written at once: the connection was used, so it must
+        // move to the end of its idle list.
         void answer(const Handler::Answer& response) {
             enter(writing);
             (void)machine_.answer(response.message, response.last || owner_.draining_connections_);
@@ -482,8 +483,8 @@
         }));
     }
 
-    // Stops the kernel from completing further connections, and accepts those in the backlog before the listener closes:
-    // closing it first would reset them, and a request already sent would be lost.
+    // Stops the kernel from completing further connections, and accepts those in the backlog before the listener
+    // closes: closing it first would reset them, and a request already sent would be lost.
     void accept_backlog() {
         if (acceptor_.is_open()) loop::take_no_more(acceptor_);
         while (acceptor_.is_open()) {
@@ -491,9 +492,9 @@
         }
     }
 
-    // Accepts one connection, if there is one. Evicts another connection only when one has arrived, since a connection
-    // closed in advance may have a request in transit. Returns false when accepting cannot continue now; it resumes when
-    // a connection closes or is answered, or after a delay.
+    // Accepts one connection, if there is one. Evicts another connection only when one has arrived, since a
+    // connection closed in advance may have a request in transit. Returns false when accepting cannot continue now;
+    // it resumes when a connection closes or is answered, or after a delay.
     bool accept_one() {
         if (connections_.size() >= limits_.most && !evict_for_new_connection()) {
             // Lingering and new connections can be evicted after a while.
@@ -542,9 +543,9 @@
         }));
     }
 
-    // Evicts a connection for a new one, in this order: a lingering one, a new one that has sent nothing for a while, the one
-    // idle longest, a stalled one that is receiving its request, a new one that has sent nothing. A connection that waits for a response is never evicted.
-    // Returns false when none could be evicted.
+    // Evicts a connection for a new one, in this order: a lingering one, a new one that has sent nothing for a while,
+    // the one idle longest, a stalled one that is receiving its request, a new one that has sent nothing. A
+    // connection that waits for a response is never evicted. Returns false when none could be evicted.
     bool evict_for_new_connection() {
         const Time now = clock_.now();
         const auto evict = [&](Phase phase, Micros min_age, bool only_idle) {
@@ -615,8 +616,8 @@
         }));
     }
 
-    // Starts the half-close checks, which repeat while a connection that waits is not being read, so that no work is done
-    // for clients that have disconnected.
+    // Starts the half-close checks, which repeat while a connection that waits is not being read, so that no work is
+    // done for clients that have disconnected.
     void schedule_half_close_check() {
         if (half_close_timer_set_) return;
         half_close_timer_set_ = true;
@@ -633,8 +634,8 @@
         }));
     }
 
-    // Closes the connections of a phase that have timed out. The list is ordered by entry, so the first ones time out first.
-    // `only_idle`: only connections between requests without unread data.
+    // Closes the connections of a phase that have timed out. The list is ordered by entry, so the first ones time out
+    // first. `only_idle`: only connections between requests without unread data.
     void close_timed_out(const List& list, Time now, bool only_idle) {
         std::vector<std::shared_ptr<Connection>> expired;
         for (Connection* const connection : list) {
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -96,7 +96,8 @@
 }
 
 void Fields::add(std::string_view name, std::string_view value) {
-    // Appending one of them may reallocate the buffer that the other one points into, so the one inside is stored first.
+    // Appending one of them may reallocate the buffer that the other one points into, so the one inside is stored
+    // first.
     const std::less_equal<const char*> not_after;
     const bool value_is_stored = not_after(buffer_.data(), value.data()) &&
                                  not_after(value.data() + value.size(), buffer_.data() + buffer_.size());
--- a/src/http/platform.h
+++ b/src/http/platform.h
@@ -47,8 +47,8 @@
     Micros budget{};
     std::optional<Micros> cost_hint;
     bool client_retry = false;
-    const std::vector<std::pair<std::string, std::string>>* headers =
-        nullptr;  // further header fields; names that the members above or the framing define are ignored
+    // Further header fields; those that the members above or the framing define are ignored.
+    const std::vector<std::pair<std::string, std::string>>* headers = nullptr;
 };
 // Builds the request that a client would have sent, and validates it in the same way.
 [[nodiscard]] std::variant<ClientRequest, NotUnderstood> understand(const OwnRequest& request,
--- a/tests/http/back_test.cpp
+++ b/tests/http/back_test.cpp
@@ -1,6 +1,6 @@
 // Tests of the HTTP upstream connection pool over real connections, with a core and without a listener: which idle
-// connection it reuses, and how it treats unsolicited bytes. Time-outs that must not fire are set to an hour, so that the
-// tests do not depend on the machine's speed.
+// connection it reuses, and how it treats unsolicited bytes. Time-outs that must not fire are set to an hour, so that
+// the tests do not depend on the machine's speed.
 #include "http/back.h"
 
 #include <gtest/gtest.h>
@@ -85,8 +85,8 @@
     std::uint64_t calls_sent = 0;
 };
 
-// Of two idle connections, the most recently used one is reused when both have passed the reuse delay. When neither has,
-// the other one is reused: a duplicate response in transit is more likely on the most recently used connection.
+// Of two idle connections, the most recently used one is reused when both have passed the reuse delay. When neither
+// has, the other one is reused: a duplicate response in transit is more likely on the most recently used connection.
 TEST_F(BackTest, AConnectionIsReusedAfterTheReuseDelay) {
     for (const bool delay_passed : {true, false}) {
         SCOPED_TRACE(delay_passed);
--- a/tests/http/cases.h
+++ b/tests/http/cases.h
@@ -23,8 +23,8 @@
 inline std::ostream& operator<<(std::ostream& out, const RequestCase& c) { return out << c.name; }
 std::vector<RequestCase> request_cases();
 
-// An upstream's response to one request. `result` is "STATUS [body]", "spoilt" for a malformed response, or empty for an
-// incomplete one.
+// An upstream's response to one request. `result` is "STATUS [body]", "spoilt" for a malformed response, or empty for
+// an incomplete one.
 struct AnswerCase {
     std::string name;
     std::string bytes;
--- a/tests/http/client_machine_test.cpp
+++ b/tests/http/client_machine_test.cpp
@@ -1,5 +1,6 @@
-// Tests of ClientMachine: every response of cases.h in every split, and truncated at every byte of the request and of the
-// response. A request that may have executed must never be reported as never executed, because it would be retried.
+// Tests of ClientMachine: every response of cases.h in every split, and truncated at every byte of the request and of
+// the response. A request that may have executed must never be reported as never executed, because it would be
+// retried.
 #include "http/client_machine.h"
 
 #include <gtest/gtest.h>
@@ -27,7 +28,8 @@
                                                            : ClientState::over);
 }
 
-// Includes the split directly after the response: the bytes that follow are then unsolicited, and end the connection too.
+// Includes the split directly after the response: the bytes that follow are then unsolicited, and end the connection
+// too.
 TEST_P(AnswersOf, DoNotDependOnTheSplit) {
     expect_same_for_every_split(GetParam().bytes + GetParam().beyond, seed,
                                 [](const Pieces& pieces) { return text_of(ask(pieces)); });
@@ -162,8 +164,8 @@
     }
 }
 
-// A response without a declared length is complete when its connection ends in order at any byte of the body. A reset, or
-// an end within the header, does not complete it.
+// A response without a declared length is complete when its connection ends in order at any byte of the body. A
+// reset, or an end within the header, does not complete it.
 TEST(Client, AResponseWithoutLengthEndsWithItsConnection) {
     for (const std::string head :
          {"HTTP/1.1 200 OK\r\n\r\n", "HTTP/1.1 103 Early\r\n\r\nHTTP/1.0 200 OK\r\nX: y\r\n\r\n"}) {
--- a/tests/http/front_test.cpp
+++ b/tests/http/front_test.cpp
@@ -74,8 +74,8 @@
     EXPECT_TRUE(std::make_shared<Client>(loop, address)->refused);
 }
 
-// At the connection limit a new client replaces the connection idle longest, but not one whose next request is unread or
-// was received just before.
+// At the connection limit a new client replaces the connection idle longest, but not one whose next request is unread
+// or was received just before.
 TEST_F(FrontTest, AConnectionInUseIsNotEvicted) {
     FrontLimits limits;
     limits.most = 2;
--- a/tests/http/server_machine_test.cpp
+++ b/tests/http/server_machine_test.cpp
@@ -44,8 +44,8 @@
     EXPECT_EQ(kind_of(machine), ServerEvent::Kind::answered);
 }
 
-// Returns the events expected of the parts that are complete within the first `n` bytes, when responses are given at the
-// end of input.
+// Returns the events expected of the parts that are complete within the first `n` bytes, when responses are given at
+// the end of input.
 std::vector<std::string> expected(const RequestCase& test_case, std::size_t n, bool half_closed) {
     std::vector<std::string> events;
     std::size_t end = 0;
@@ -94,8 +94,8 @@
     }
 }
 
-// A client that ends its sending gets the responses to its complete requests and nothing else. A client whose connection
-// breaks gets nothing.
+// A client that ends its sending gets the responses to its complete requests and nothing else. A client whose
+// connection breaks gets nothing.
 TEST_P(Requests, AreReceivedOnlyWhenComplete) {
     const auto& test_case = GetParam();
     const std::string bytes = test_case.bytes();
--- a/tests/suite/configuration_test.cpp
+++ b/tests/suite/configuration_test.cpp
@@ -23,8 +23,8 @@
     }
 }
 
-// An invalid new configuration changes nothing and logs one line; the previous one stays active, and the next valid one is
-// applied.
+// An invalid new configuration changes nothing and logs one line; the previous one stays active, and the next valid
+// one is applied.
 TEST(Configuration, AnInvalidConfigurationKeepsThePreviousOne) {
     Stage fixture;
     Listener other(fixture.loop);
--- a/tests/suite/crossings_test.cpp
+++ b/tests/suite/crossings_test.cpp
@@ -21,8 +21,8 @@
 
 constexpr auto window = std::chrono::milliseconds(400);
 
-// A keyed request that may have executed at the first upstream and is to be retried at the second one, which is listed only
-// then.
+// A keyed request that may have executed at the first upstream and is to be retried at the second one, which is
+// listed only then.
 struct RetryScenario {
     RetryScenario(Stage& stage, const json& second, std::string_view body = "body") : fixture(stage) {
         fixture.config["settings"]["services"][1]["window"] = window.count();
@@ -42,8 +42,8 @@
     std::shared_ptr<Wire> client, first;
 };
 
-// The retry's connection is established after the idempotency window has ended. Servers may have forgotten the first attempt
-// by then and would execute the request again, so nothing is sent.
+// The retry's connection is established after the idempotency window has ended. Servers may have forgotten the first
+// attempt by then and would execute the request again, so nothing is sent.
 TEST(Crossings, AConnectionIsEstablishedAfterTheWindow) {
     Stage fixture(2);
     fixture.upstreams[1]->vanish();
@@ -56,8 +56,8 @@
     EXPECT_EQ(fixture.upstreams[1]->wires[0]->in, "");
 }
 
-// The retry's connection is established in time, but the server accepts the bytes slowly: the last ones are not sent after
-// the window.
+// The retry's connection is established in time, but the server accepts the bytes slowly: the last ones are not sent
+// after the window.
 TEST(Crossings, TheLastBytesBecomeWritableAfterTheWindow) {
     Stage fixture(1);
     DeafPeer slow(fixture.loop);
@@ -137,8 +137,8 @@
 
 // Shutdown
 
-// Requests that are in the backlog, or unread on an idle connection, when shutdown starts are served, although no further
-// connection is accepted from then on.
+// Requests that are in the backlog, or unread on an idle connection, when shutdown starts are served, although no
+// further connection is accepted from then on.
 TEST(Crossings, WhatLayUnreadAtTheEndIsServed) {
     Stage fixture(1);
     fixture.operators = "[drain]\nkeep_accepting = \"0s\"\n";
@@ -165,9 +165,9 @@
     fixture.until_ended();
 }
 
-// A balancer that is killed right after an accept, with a complete, partial or missing request: the client sees the end of
-// its connection and no response byte, and the next process serves. (tests/library/life_test covers a library that is
-// closed immediately.)
+// A balancer that is killed right after an accept, with a complete, partial or missing request: the client sees the
+// end of its connection and no response byte, and the next process serves. (tests/library/life_test covers a library
+// that is closed immediately.)
 TEST(Crossings, AKillRightAfterAnAccept) {
     Stage fixture(1);
     fixture.start();
@@ -201,8 +201,8 @@
         fixture.config["discovery"] = text_of(other.address());
         fixture.form->hold();
         if (end_first) fixture.form->end();
-        if (fixture.form->process() != ::getpid())
-            fixture.form->take(fixture.config.dump());  // in-process, take() waits for the suspended thread
+        // An in-process host orders its own calls, so only a separate process gets both at the same time.
+        if (fixture.form->process() != ::getpid()) fixture.form->take(fixture.config.dump());
         if (!end_first) fixture.form->end();
         fixture.form->go_on();
         fixture.pass(*wire, *client, "held");
@@ -213,8 +213,8 @@
 
 // Discovery watches
 
-// Silent clients occupy all client connections while discovery does not respond and is retried. Pending calls and upstream
-// connections keep their descriptors, and everything continues once discovery responds again.
+// Silent clients occupy all client connections while discovery does not respond and is retried. Pending calls and
+// upstream connections keep their descriptors, and everything continues once discovery responds again.
 TEST(Crossings, SilentClientsFillTheDescriptorsWhileDiscoveryIsDown) {
     Stage fixture(2);
     fixture.config["limits"]["sockets"] = 96;
@@ -238,9 +238,9 @@
     EXPECT_EQ(fixture.upstreams[1]->wires.size(), 1U);
 }
 
-// The watch is reset just before an upstream drains, the discovery address changes, and the new service's first message is a
-// complete list without that upstream. The upstream gets no further request, neither on its idle connection nor on one that
-// is being established.
+// The watch is reset just before an upstream drains, the discovery address changes, and the new service's first
+// message is a complete list without that upstream. The upstream gets no further request, neither on its idle
+// connection nor on one that is being established.
 TEST(Crossings, ACompleteListAfterAResetOmitsADrainingUpstream) {
     Stage fixture(2);
     Listener moved(fixture.loop);
@@ -250,8 +250,8 @@
     fixture.watch()->say(watch_head + chunk("\n"));
     const auto kept = fixture.serve(*client);
     fixture.upstreams[0]->vanish();
-    const auto busy = fixture.send(
-        *client, fixture.look());  // occupies the idle connection, so that the next request needs a new one
+    // Occupies the idle connection, so that the next request needs a new one.
+    const auto busy = fixture.send(*client, fixture.look());
     late->say(fixture.once());
     fixture.until([&] { return connecting_to(fixture.upstreams[0]->address()); });
     fixture.watch()->reset();
--- a/tests/suite/discovery_test.cpp
+++ b/tests/suite/discovery_test.cpp
@@ -1,4 +1,5 @@
-// Tests of service discovery: the watch, its resumption, the application of lists, and a change of the service's address.
+// Tests of service discovery: the watch, its resumption, the application of lists, and a change of the service's
+// address.
 #include <algorithm>
 
 #include "peers.h"
@@ -37,8 +38,8 @@
     }
 }
 
-// A change received on a watch applies to all later requests: an upstream that is leaving gets no new ones. An unusable entry
-// does not affect the other entries of its list.
+// A change received on a watch applies to all later requests: an upstream that is leaving gets no new ones. An
+// unusable entry does not affect the other entries of its list.
 TEST(Discovery, AppliesChanges) {
     for (const bool with_unusable_entry : {false, true}) {
         Stage fixture;
@@ -60,8 +61,9 @@
     }
 }
 
-// When a new configuration names another discovery service, the balancer at once opens a watch there from the last version,
-// and applies the old service's changes until the new one responds. This works repeatedly and while draining.
+// When a new configuration names another discovery service, the balancer at once opens a watch there from the last
+// version, and applies the old service's changes until the new one responds. This works repeatedly and while
+// draining.
 TEST(Discovery, MovesToAnotherServiceWithoutAGap) {
     Stage fixture;
     std::vector<std::unique_ptr<Listener>> services;
@@ -92,8 +94,8 @@
     EXPECT_FALSE(first->ended);
     const auto held = fixture.send(*client, fixture.look());
     fixture.end();
-    second->say(watch_head +
-                chunk(fixture.list(8, true).dump() + "\n"));  // the new service has its own version numbers
+    // The new service has its own version numbers.
+    second->say(watch_head + chunk(fixture.list(8, true).dump() + "\n"));
     fixture.until([&] { return first->ended; });
     move_to(1);  // unchanged, so no new watch is opened
     move_to(2);
@@ -106,8 +108,8 @@
     for (const auto& service : services) EXPECT_EQ(service->wires.size(), 1U);
 }
 
-// No connection of an upstream that was removed or has moved is reused, whether it was idle or busy. A new upstream at the
-// same address gets new connections.
+// No connection of an upstream that was removed or has moved is reused, whether it was idle or busy. A new upstream
+// at the same address gets new connections.
 TEST(Discovery, ARemovedUpstreamsConnectionsAreClosed) {
     struct Case {
         const char* description;
--- a/tests/suite/drain_test.cpp
+++ b/tests/suite/drain_test.cpp
@@ -56,8 +56,8 @@
     fixture.until_ended();
 }
 
-// A request that is completely received only shortly before the end of the shutdown is answered at that end. It may have
-// executed, so the response is a failure and not a refusal.
+// A request that is completely received only shortly before the end of the shutdown is answered at that end. It may
+// have executed, so the response is a failure and not a refusal.
 TEST(Drain, AnswersWhatIsStillOpenAtItsEnd) {
     Stage fixture(1);
     fixture.set_deadline(500);
--- a/tests/suite/faults_test.cpp
+++ b/tests/suite/faults_test.cpp
@@ -1,5 +1,5 @@
-// Reproducers of faults, one test each. They run when FLAXDOOR_SUITE_FAULTS is on; a test that passes belongs with the other
-// tests of its subject.
+// Reproducers of faults, one test each. They run when FLAXDOOR_SUITE_FAULTS is on; a test that passes belongs with
+// the other tests of its subject.
 #include <sys/resource.h>
 #include <unistd.h>
 
@@ -11,8 +11,8 @@
 namespace flaxdoor::test {
 namespace {
 
-// Fault: at the end of a drain, accepted connections with a request, or with one in transit, were closed. Clients connect
-// until they are refused; each accepted client must get a complete response.
+// Fault: at the end of a drain, accepted connections with a request, or with one in transit, were closed. Clients
+// connect until they are refused; each accepted client must get a complete response.
 TEST(Faults, LateClientsAreAnsweredOrRefused) {
     Stage fixture;
     fixture.set_deadline(600);
@@ -30,8 +30,8 @@
     fixture.until_ended();
 }
 
-// Fault: /ready returned 200 for 450 ms after the shutdown request, so that the load balancer in front kept choosing this
-// balancer.
+// Fault: /ready returned 200 for 450 ms after the shutdown request, so that the load balancer in front kept choosing
+// this balancer.
 TEST(Faults, NotReadyFromTheShutdownRequest) {
     Stage fixture;
     fixture.start();
@@ -43,9 +43,9 @@
     EXPECT_EQ(status(fixture.ask(*after, ready)), 503);
 }
 
-// Fault: an attempt whose connection was being established when its upstream began to drain was sent once the connection was
-// up, after the drain grace. The upstream here accepts nothing until the change was received: its full backlog drops the
-// connection request, which the balancer's kernel retransmits after a second.
+// Fault: an attempt whose connection was being established when its upstream began to drain was sent once the
+// connection was up, after the drain grace. The upstream here accepts nothing until the change was received: its full
+// backlog drops the connection request, which the balancer's kernel retransmits after a second.
 TEST(Faults, NothingIsSentOnAConnectionEstablishedAfterTheDrainNotice) {
     Stage fixture;
     tcp::acceptor full_listener(fixture.loop);
@@ -106,8 +106,8 @@
     return n;
 }
 
-// Fault: when the balancer had no descriptor for a connection, that counted as a refused connection, and the upstream was
-// ejected for a while.
+// Fault: when the balancer had no descriptor for a connection, that counted as a refused connection, and the upstream
+// was ejected for a while.
 TEST(Faults, ALocalShortageEjectsNoUpstream) {
     Stage fixture(1);
     fixture.start();
@@ -167,8 +167,8 @@
 TEST(Faults, AnEndBehindMuchThatWasSentAheadIsSeen) {
     Stage fixture;
     fixture.set_deadline(600000);
-    fixture.operators =
-        "[http]\nrequest_timeout = \"10m\"\n";  // makes the periodic sweep too rare to notice the disconnect
+    // Makes the periodic sweep too rare to notice the disconnect.
+    fixture.operators = "[http]\nrequest_timeout = \"10m\"\n";
     const auto client = fixture.start_with_client();
     std::string ahead = fixture.look(600000);
     while (ahead.size() < 120 * 1024) ahead += fixture.look(600000);
@@ -181,8 +181,8 @@
     EXPECT_EQ(fixture.connections(), 1U);
 }
 
-// Fault: a client that ends only its sending, as HTTP/1.1 allows, was treated as disconnected. (A client that disconnects
-// cancels its attempt: Serving.AClientsDisconnectCancelsItsAttempt.)
+// Fault: a client that ends only its sending, as HTTP/1.1 allows, was treated as disconnected. (A client that
+// disconnects cancels its attempt: Serving.AClientsDisconnectCancelsItsAttempt.)
 TEST(Faults, AHalfClosedClientIsAnswered) {
     Stage fixture;
     const auto client = fixture.start_with_client();
--- a/tests/suite/form.h
+++ b/tests/suite/form.h
@@ -53,8 +53,8 @@
     virtual const std::vector<std::string>& log() const = 0;
 };
 
-// A test that a form does not support, with the reason. main.cpp verifies the list: each entry must match a test (a final
-// '*' matches any suffix), and a form may leave out at most one test in ten.
+// A test that a form does not support, with the reason. main.cpp verifies the list: each entry must match a test (a
+// final '*' matches any suffix), and a form may leave out at most one test in ten.
 struct UnsupportedTest {
     std::string_view test;  // "Limits.IdleClientsMakeRoom"
     std::string_view why;
--- a/tests/suite/form_hosted.h
+++ b/tests/suite/form_hosted.h
@@ -1,5 +1,5 @@
-// A balancer in the test's process, on an event loop and a thread of its own. Hosted implements what all host programs do
-// with a balancer; a subclass of Host implements the kind of host.
+// A balancer in the test's process, on an event loop and a thread of its own. Hosted implements what all host
+// programs do with a balancer; a subclass of Host implements the kind of host.
 //
 // Each test also verifies that the process has never had a child, that the address under test is a socket on which this
 // process listens, and that each call that the instance counts as taken has exactly one end in its figures.
@@ -195,8 +195,8 @@
     const HostMaker make_;
     boost::asio::io_context host_loop_{1};
     std::string operators_, fault_plan_, counts_path_;
-    std::unique_ptr<Host>
-        host_;  // created by its thread; the test's thread uses only its thread-safe functions
+    // Created by its thread. The test's thread uses only its thread-safe functions.
+    std::unique_ptr<Host> host_;
     std::thread thread_;
     std::promise<void> done_;  // set at the end of the thread
     std::optional<std::promise<void>> resume_;
--- a/tests/suite/input_test.cpp
+++ b/tests/suite/input_test.cpp
@@ -15,8 +15,8 @@
     return "Content-Length: " + std::to_string(text.size()) + "\r\n";
 }
 
-// Sends each input on a new connection, and expects that the connection is closed and that nothing reaches an upstream. With
-// `check_status`, also expects the status of the response; otherwise only that it is not 200.
+// Sends each input on a new connection, and expects that the connection is closed and that nothing reaches an
+// upstream. With `check_status`, also expects the status of the response; otherwise only that it is not 200.
 void expect_each_is_closed(Stage& fixture, const Cases& cases, bool check_status) {
     fixture.start();
     for (const auto& [text, expected_status] : cases) {
@@ -117,7 +117,8 @@
     fixture.pass(*wire, *client);
 }
 
-// Connections that send nothing, or stop in the middle of a request, are closed. An idle connection that was served is kept.
+// Connections that send nothing, or stop in the middle of a request, are closed. An idle connection that was served
+// is kept.
 TEST(BadInput, SilenceAndHalvesAreClosed) {
     Stage fixture;
     fixture.operators = "[http]\nrequest_timeout = \"80ms\"\n";
--- a/tests/suite/limits_test.cpp
+++ b/tests/suite/limits_test.cpp
@@ -4,8 +4,8 @@
 namespace flaxdoor::test {
 namespace {
 
-// At the connection limit, a connection that has sent nothing is evicted first, then an idle one; one that waits for its
-// response is never evicted.
+// At the connection limit, a connection that has sent nothing is evicted first, then an idle one; one that waits for
+// its response is never evicted.
 TEST(Limits, IdleClientsMakeRoom) {
     Stage fixture(1);
     fixture.config["limits"]["sockets"] = 38;  // leaves three for clients
@@ -29,7 +29,8 @@
 // While all connections wait for their responses, another client waits in the backlog; it is accepted once the next
 // response is sent.
 TEST(Limits, AResponseAdmitsTheNextClient) {
-    Stage fixture(2);  // a form without a connection limit forwards the third request at once
+    // Two upstreams have capacity for three requests, as a form without a connection limit forwards the third at once.
+    Stage fixture(2);
     fixture.config["limits"]["sockets"] = 36;  // leaves two for clients
     // Time-outs must not close a connection, so that only the response can admit the client.
     fixture.operators = "[http]\nrequest_timeout = \"60s\"\n";
@@ -64,8 +65,8 @@
                              [](const auto& client) { return !client->ended; });
     };
     fixture.until([&] { return open_connections() == 4; });
-    // The remaining connections are still served. A connection is not closed while a request may be in transit on it; its
-    // close is announced with a response.
+    // The remaining connections are still served. A connection is not closed while a request may be in transit on it;
+    // its close is announced with a response.
     for (const auto& client : clients) {
         if (client->ended) continue;
         fixture.serve(*client);
--- a/tests/suite/outcomes_test.cpp
+++ b/tests/suite/outcomes_test.cpp
@@ -11,8 +11,8 @@
     for (int i = 0; i < 8; ++i) fixture.serve(*client, fixture.once());
 }
 
-// A request that never executed is refused when the balancer gives up. Retry-After then tells the client when to retry, in
-// seconds and at most max_retry_after.
+// A request that never executed is refused when the balancer gives up. Retry-After then tells the client when to
+// retry, in seconds and at most max_retry_after.
 TEST(Outcomes, ARefusalHasRetryAfter) {
     for (const bool enabled : {true, false}) {
         Stage fixture;
@@ -34,8 +34,8 @@
     }
 }
 
-// An unsafe request that an upstream has received completely may have executed, whatever follows. The client gets an error
-// at once, without Retry-After, and the request is not sent again.
+// An unsafe request that an upstream has received completely may have executed, whatever follows. The client gets an
+// error at once, without Retry-After, and the request is not sent again.
 TEST(Outcomes, ARequestThatMayHaveExecutedFailsOnce) {
     enum Ending {
         stays_open,
--- a/tests/suite/peers.h
+++ b/tests/suite/peers.h
@@ -31,8 +31,8 @@
 
 using namespace standins::peers;
 
-// The two kinds of error responses: a refused request was not executed and may be retried; a failed one may have executed.
-// The exact status may depend on which of the balancer's timers fires first.
+// The two kinds of error responses: a refused request was not executed and may be retried; a failed one may have
+// executed. The exact status may depend on which of the balancer's timers fires first.
 inline bool refused(std::string_view answer) { return status(answer) == 503 || status(answer) == 429; }
 inline bool failed(std::string_view answer) { return status(answer) >= 400 && !refused(answer); }
 
@@ -270,8 +270,8 @@
         form->end();
         line("draining");
     }
-    // Suspends the balancer for at least `length`, runs `last`, and resumes it. Its timers are then due, and everything that
-    // was sent has arrived, before the balancer handles any of it.
+    // Suspends the balancer for at least `length`, runs `last`, and resumes it. Its timers are then due, and
+    // everything that was sent has arrived, before the balancer handles any of it.
     void stall(std::chrono::milliseconds length, const std::function<void()>& last) {
         form->hold();
         bool over = false;
--- a/tests/suite/restinio_host.h
+++ b/tests/suite/restinio_host.h
@@ -1,5 +1,5 @@
-// A web server in the test's process with a mounted balancer: RESTinio on the host's event loop, or on a loop and a thread
-// of its own, and an application for all requests outside the mounts. Compiling this header takes long.
+// A web server in the test's process with a mounted balancer: RESTinio on the host's event loop, or on a loop and a
+// thread of its own, and an application for all requests outside the mounts. Compiling this header takes long.
 #pragma once
 
 #include <functional>
@@ -108,8 +108,8 @@
         });
     }
 
-    // Closes the balancer, which ends all open calls and makes its figures final, then stops the host's loop whatever work
-    // RESTinio has on it.
+    // Closes the balancer, which ends all open calls and makes its figures final, then stops the host's loop whatever
+    // work RESTinio has on it.
     void close() override {
         balancer_.async_close([this] { loop_.stop(); });
     }
--- a/tests/suite/serving_test.cpp
+++ b/tests/suite/serving_test.cpp
@@ -35,8 +35,8 @@
     EXPECT_EQ(status(fixture.ask(*client, ready)), 200);
 }
 
-// The client gets a response before its deadline, and the unanswered attempt is cancelled with it. The budget sent to the
-// upstream is less than the client's.
+// The client gets a response before its deadline, and the unanswered attempt is cancelled with it. The budget sent to
+// the upstream is less than the client's.
 TEST(Serving, AnswersBeforeTheClientGivesUp) {
     Stage fixture;
     const auto client = fixture.start_with_client();
@@ -106,8 +106,8 @@
     }
 }
 
-// The unread end of an idle connection is noticed before the connection is reused; an unsafe request written to it would be
-// lost.
+// The unread end of an idle connection is noticed before the connection is reused; an unsafe request written to it
+// would be lost.
 TEST(Kept, NoticesAnEndBeforeReuse) {
     Stage fixture(1);
     const auto client = fixture.start_with_client();
--- a/tests/suite/socket_failures_test.cpp
+++ b/tests/suite/socket_failures_test.cpp
@@ -1,6 +1,6 @@
-// Injects failures into the socket calls that the balancer makes during a fixed sequence of requests: each call once, one
-// run per call, and then several calls in a row. In all cases every client gets one complete response, or the end of its
-// connection with nothing forwarded; no unsafe request is sent twice; and the next plain request is served.
+// Injects failures into the socket calls that the balancer makes during a fixed sequence of requests: each call once,
+// one run per call, and then several calls in a row. In all cases every client gets one complete response, or the end
+// of its connection with nothing forwarded; no unsafe request is sent twice; and the next plain request is served.
 #include <algorithm>
 #include <cstdlib>
 #include <map>
@@ -124,9 +124,9 @@
         }
     }
 
-    // Expects that a plain request of a new client is served. The request may meet the injected failure itself; then the next
-    // one must be served. After failed upstream connections, an upstream may be ejected for a while, so further requests may
-    // be needed.
+    // Expects that a plain request of a new client is served. The request may meet the injected failure itself; then
+    // the next one must be served. After failed upstream connections, an upstream may be ejected for a while, so
+    // further requests may be needed.
     void expect_still_serving() {
         const auto give_up_at = std::chrono::steady_clock::now() + std::chrono::seconds(100);
         unsigned before = 0;
--- a/tests/suite/stall_test.cpp
+++ b/tests/suite/stall_test.cpp
@@ -42,8 +42,8 @@
     }
 }
 
-// Discovery changes that arrived during the stall are applied before requests, whichever arrived first and however large the
-// changes are: a waiting request is not sent to an upstream that is leaving.
+// Discovery changes that arrived during the stall are applied before requests, whichever arrived first and however
+// large the changes are: a waiting request is not sent to an upstream that is leaving.
 TEST(Stall, AnUpstreamThatLeftMeanwhileGetsNoNewRequest) {
     for (const bool discovery_first : {false, true}) {
         Stage fixture(1);
