--- a/src/http/front.cpp
+++ b/src/http/front.cpp
@@ -153,8 +153,9 @@
         void on_final(core::Final final) {
             call_.reset();
             const bool last = owner_.draining_connections_ || !owner_.enforce_call_slots();
-            const auto asked = std::move(context_);
-            const bool given = machine_.answer(owner_.handler_.on_final(std::move(final), asked.get()), last);
+            const auto context = std::move(context_);
+            const bool given =
+                machine_.answer(owner_.handler_.on_final(std::move(final), context.get()), last);
             if (last) release_call_slot();
             if (given && !processing_) process();
         }
@@ -403,8 +404,8 @@
                 return;
             }
             call_.reset();
-            const auto asked = std::move(context_);
-            answer(owner_.handler_.on_not_taken(taken, asked.get()));
+            const auto context = std::move(context_);
+            answer(owner_.handler_.on_not_taken(taken, context.get()));
         }
 
         // Enters the phase `writing` even when everything is written at once: the connection was used, so it must
--- a/tests/http/platform_test.cpp
+++ b/tests/http/platform_test.cpp
@@ -11,46 +11,46 @@
 using std::chrono::milliseconds;
 
 Settings settings() {
-    Settings s;
+    Settings test_settings;
     for (const auto& [name, effect] : {std::pair{"look", Effect::safe}, std::pair{"book it", Effect::keyed},
                                        std::pair{"once", Effect::unsafe}}) {
-        ClassSettings c;
-        c.name = name;
-        c.effect = effect;
-        c.deadline = milliseconds(5000);
-        s.classes.push_back(c);
+        ClassSettings class_settings;
+        class_settings.name = name;
+        class_settings.effect = effect;
+        class_settings.deadline = milliseconds(5000);
+        test_settings.classes.push_back(class_settings);
     }
-    s.tenants.resize(2);
-    s.tenants[0].name = "acme";
-    s.tenants[1].name = "b co";
-    return s;
+    test_settings.tenants.resize(2);
+    test_settings.tenants[0].name = "acme";
+    test_settings.tenants[1].name = "b co";
+    return test_settings;
 }
 
 Request message(const std::string& method, const std::string& class_name) {
-    Request m;
-    m.method = method;
-    m.target = "/api";
-    m.fields.add("X-Call-Id", "9b1f03aa5c7e2d41");
-    m.fields.add("X-Call-Class", class_name);
-    m.fields.add("X-Budget-Ms", "480");
-    return m;
+    Request input;
+    input.method = method;
+    input.target = "/api";
+    input.fields.add("X-Call-Id", "9b1f03aa5c7e2d41");
+    input.fields.add("X-Call-Class", class_name);
+    input.fields.add("X-Budget-Ms", "480");
+    return input;
 }
 
-std::string why(Request m) {
-    const auto result = understand(std::move(m), settings());
+std::string why(Request input) {
+    const auto result = understand(std::move(input), settings());
     const auto* wrong = std::get_if<NotUnderstood>(&result);
     return wrong ? wrong->why : "";
 }
 
 TEST(Understand, ReadsAllFields) {
-    Request m = message("POST", "book it");
-    m.fields.add("X-Caller", "b co");
-    m.fields.add("Cookie", "a=b; key=7f3a9c21e0b4d655; c=d");
-    m.fields.add("Idempotency-Key", "k");
-    m.fields.add("X-Again", "1");
-    m.fields.add("X-Call-Cost", "1500");
-    m.body = "body";
-    const auto result = understand(m, settings());
+    Request input = message("POST", "book it");
+    input.fields.add("X-Caller", "b co");
+    input.fields.add("Cookie", "a=b; key=7f3a9c21e0b4d655; c=d");
+    input.fields.add("Idempotency-Key", "k");
+    input.fields.add("X-Again", "1");
+    input.fields.add("X-Call-Cost", "1500");
+    input.body = "body";
+    const auto result = understand(input, settings());
     const auto& request = std::get<ClientRequest>(result);
     EXPECT_EQ(request.facts.class_index, 1);
     EXPECT_EQ(request.facts.tenant, 1);
@@ -63,12 +63,12 @@
 }
 
 TEST(Understand, OmitsMissingOrInvalidFields) {
-    Request m = message("GET", "look");
-    m.fields.add("X-Caller", "nobody");
-    m.fields.add("X-Call-Cost", "much");
-    m.fields.add("X-Again", "0");
-    m.fields.set("X-Budget-Ms", "4000000");
-    const auto result = understand(m, settings());
+    Request input = message("GET", "look");
+    input.fields.add("X-Caller", "nobody");
+    input.fields.add("X-Call-Cost", "much");
+    input.fields.add("X-Again", "0");
+    input.fields.set("X-Budget-Ms", "4000000");
+    const auto result = understand(input, settings());
     const auto& request = std::get<ClientRequest>(result);
     EXPECT_FALSE(request.facts.tenant);
     EXPECT_FALSE(request.facts.cost_hint);
@@ -79,9 +79,9 @@
 
 TEST(Understand, HashesKeysThatAreNotNumbers) {
     const auto key = [](const char* cookies) {
-        Request m = message("GET", "look");
-        m.fields.add("Cookie", cookies);
-        return std::get<ClientRequest>(understand(m, settings())).facts.key;
+        Request input = message("GET", "look");
+        input.fields.add("Cookie", cookies);
+        return std::get<ClientRequest>(understand(input, settings())).facts.key;
     };
     EXPECT_EQ(key("key=ff"), 255U);
     EXPECT_EQ(key("monkey=1;key=a"), 10U);
@@ -127,29 +127,29 @@
              {"POST", "book it", "Host", "x", "this X-Call-Class requires an Idempotency-Key"},
              {"POST", "once", "Idempotency-Key", "k", "this X-Call-Class allows no Idempotency-Key"},
          }) {
-        Request m = message(row.method, row.class_name);
+        Request input = message(row.method, row.class_name);
         if (row.name[0] == '+') {
-            m.fields.add(row.name + 1, row.value);
+            input.fields.add(row.name + 1, row.value);
         } else {
-            m.fields.set(row.name, row.value);
+            input.fields.set(row.name, row.value);
         }
-        EXPECT_EQ(why(m), row.why) << row.method << " " << row.class_name << " " << row.name << row.value;
+        EXPECT_EQ(why(input), row.why) << row.method << " " << row.class_name << " " << row.name << row.value;
     }
-    Request m = message("GET", "look");
-    m.body = "body";
-    EXPECT_EQ(why(m), "a GET request must have no body");
-    m = message("POST", "book it");
-    m.fields.add("Idempotency-Key", "k");
-    m.fields.add("Idempotency-Key", "l");
-    EXPECT_EQ(why(m), "Idempotency-Key occurs more than once");
+    Request input = message("GET", "look");
+    input.body = "body";
+    EXPECT_EQ(why(input), "a GET request must have no body");
+    input = message("POST", "book it");
+    input.fields.add("Idempotency-Key", "k");
+    input.fields.add("Idempotency-Key", "l");
+    EXPECT_EQ(why(input), "Idempotency-Key occurs more than once");
 }
 
 TEST(Routes, DependOnMethodAndPath) {
     const auto route = [](const char* method, const char* target) {
-        Request m;
-        m.method = method;
-        m.target = target;
-        return route_of(m);
+        Request input;
+        input.method = method;
+        input.target = target;
+        return route_of(input);
     };
     EXPECT_EQ(route("GET", "/ready"), Route::ready);
     EXPECT_EQ(route("GET", "/ready?x"), Route::ready);
@@ -163,41 +163,41 @@
 
 // Without its key, a keyed request would be executed again by each attempt.
 TEST(Onward, IdsAndKeysCannotBeRemoved) {
-    Request m = message("POST", "book it");
-    m.fields.add("Idempotency-Key", "k");
-    m.fields.add("X-Hop", "1");
-    m.fields.add("Connection", "X-Hop, x-call-id, IDEMPOTENCY-KEY");
-    make_onward(m);
-    EXPECT_EQ(m.fields["X-Call-Id"], "9b1f03aa5c7e2d41");
-    EXPECT_EQ(m.fields["Idempotency-Key"], "k");
-    EXPECT_EQ(m.fields.count("X-Hop"), 0U);
-    EXPECT_EQ(m.fields.count("Connection"), 0U);
-    set_budget(m, Micros(123999));
-    EXPECT_EQ(m.fields["X-Budget-Ms"], "123");
-    EXPECT_EQ(m.fields.count("X-Budget-Ms"), 1U);
-    set_budget(m, Micros(-1));
-    EXPECT_EQ(m.fields["X-Budget-Ms"], "1");
+    Request input = message("POST", "book it");
+    input.fields.add("Idempotency-Key", "k");
+    input.fields.add("X-Hop", "1");
+    input.fields.add("Connection", "X-Hop, x-call-id, IDEMPOTENCY-KEY");
+    make_onward(input);
+    EXPECT_EQ(input.fields["X-Call-Id"], "9b1f03aa5c7e2d41");
+    EXPECT_EQ(input.fields["Idempotency-Key"], "k");
+    EXPECT_EQ(input.fields.count("X-Hop"), 0U);
+    EXPECT_EQ(input.fields.count("Connection"), 0U);
+    set_budget(input, Micros(123999));
+    EXPECT_EQ(input.fields["X-Budget-Ms"], "123");
+    EXPECT_EQ(input.fields.count("X-Budget-Ms"), 1U);
+    set_budget(input, Micros(-1));
+    EXPECT_EQ(input.fields["X-Budget-Ms"], "1");
 }
 
 TEST(Homeward, LoadReportsAreRemoved) {
-    Response r;
-    r.fields.add("X-Load-Report", "active=1,avg_ms=2");
-    r.fields.add("Connection", "X-Hop");
-    r.fields.add("X-Hop", "1");
-    r.fields.add("X-Other", "1");
-    EXPECT_EQ(report_of(r, {"avg_ms", "active"}), (Report{2, 1}));
-    EXPECT_TRUE(report_of(r, {}).empty());
-    make_homeward(r);
-    EXPECT_EQ(fields_of(r.fields), "X-Other=1|");
-    EXPECT_TRUE(report_of(r, {"active"}).empty());
+    Response response;
+    response.fields.add("X-Load-Report", "active=1,avg_ms=2");
+    response.fields.add("Connection", "X-Hop");
+    response.fields.add("X-Hop", "1");
+    response.fields.add("X-Other", "1");
+    EXPECT_EQ(report_of(response, {"avg_ms", "active"}), (Report{2, 1}));
+    EXPECT_TRUE(report_of(response, {}).empty());
+    make_homeward(response);
+    EXPECT_EQ(fields_of(response.fields), "X-Other=1|");
+    EXPECT_TRUE(report_of(response, {"active"}).empty());
 }
 
 TEST(Meaning, OnlyAMarkedRejectionWasNotExecuted) {
     const auto outcome = [](int status, const char* mark) {
-        Response r;
-        r.status = status;
-        if (mark) r.fields.add("x-rejected", mark);
-        return outcome_of(r);
+        Response response;
+        response.status = status;
+        if (mark) response.fields.add("x-rejected", mark);
+        return outcome_of(response);
     };
     EXPECT_EQ(outcome(200, nullptr), Outcome::ok);
     EXPECT_EQ(outcome(200, "1"), Outcome::ok);
--- a/tests/http/server_machine_test.cpp
+++ b/tests/http/server_machine_test.cpp
@@ -193,10 +193,10 @@
     struct Row {
         std::string request;
         bool last;
-        std::string_view told;
+        std::string_view connection_field;
         ServerState state;
     };
-    for (const auto& [request, last, told, state] : std::vector<Row>{
+    for (const auto& [request, last, connection_field, state] : std::vector<Row>{
              {"GET / HTTP/1.1\r\n\r\n", false, "", ServerState::reading},
              {"GET / HTTP/1.1\r\n\r\n", true, "Connection: close\r\n", ServerState::lingering},
              {"GET / HTTP/1.1\r\nConnection: close\r\n\r\n", false, "Connection: close\r\n",
@@ -211,7 +211,7 @@
         ask(machine, request);
         EXPECT_TRUE(machine.answer(served(), last));
         EXPECT_EQ(machine.output(),
-                  "HTTP/1.1 200 OK\r\n" + std::string(told) + "Content-Length: 6\r\n\r\nserved");
+                  "HTTP/1.1 200 OK\r\n" + std::string(connection_field) + "Content-Length: 6\r\n\r\nserved");
         expect_answered(machine);
         EXPECT_EQ(machine.state(), state) << request;
     }
--- a/tests/suite/crossings_test.cpp
+++ b/tests/suite/crossings_test.cpp
@@ -278,8 +278,9 @@
         const char* registry;
         bool silent;  // the service sends nothing more; otherwise it closes the watch
     };
-    for (const Row& row : {Row{"pushed, ends", "push", false}, Row{"pushed, silent", "push", true},
-                           Row{"asked for, silent", "ask", true}}) {
+    for (const Row& row :
+         {Row{"push mode, watch ends", "push", false}, Row{"push mode, watch is silent", "push", true},
+          Row{"ask mode, watch is silent", "ask", true}}) {
         SCOPED_TRACE(row.what);
         Stage fixture(1);
         fixture.config["settings"]["registry_mode"] = row.registry;
--- a/tests/suite/faults_test.cpp
+++ b/tests/suite/faults_test.cpp
@@ -116,15 +116,15 @@
     // Two concurrent calls reach the upstream, each on its own connection.
     const auto served_together = [&] {
         for (const auto& client : clients) client->say(fixture.once(1000));
-        std::vector<std::shared_ptr<Wire>> asked;
+        std::vector<std::shared_ptr<Wire>> received;
         bool answered = false;
         fixture.until([&] {
-            if (const auto wire = fixture.request_here().first) asked.push_back(wire);
+            if (const auto wire = fixture.request_here().first) received.push_back(wire);
             for (const auto& client : clients) answered = answered || !client->in.empty() || client->ended;
-            return asked.size() == clients.size() || answered;
+            return received.size() == clients.size() || answered;
         });
-        EXPECT_EQ(asked.size(), clients.size());
-        for (const auto& wire : asked) {
+        EXPECT_EQ(received.size(), clients.size());
+        for (const auto& wire : received) {
             wire->say(ok("served", "Connection: close\r\n"));
             fixture.until([&] { return wire->ended; });
         }
--- a/tests/suite/outcomes_test.cpp
+++ b/tests/suite/outcomes_test.cpp
@@ -22,15 +22,15 @@
         const auto client = fixture.start_with_client();
         const auto answer = fixture.ask(*client, fixture.once(150));
         EXPECT_TRUE(refused(answer)) << answer;
-        const auto told = header(answer, "Retry-After");
+        const auto retry_after = header(answer, "Retry-After");
         if (!enabled) {
-            EXPECT_EQ(told, "");
+            EXPECT_EQ(retry_after, "");
             continue;
         }
-        ASSERT_FALSE(told.empty());
-        EXPECT_EQ(told.find_first_not_of("0123456789."), std::string::npos) << told;
-        EXPECT_GT(std::stod(told), 0.0);
-        EXPECT_LE(std::stod(told), 0.4);
+        ASSERT_FALSE(retry_after.empty());
+        EXPECT_EQ(retry_after.find_first_not_of("0123456789."), std::string::npos) << retry_after;
+        EXPECT_GT(std::stod(retry_after), 0.0);
+        EXPECT_LE(std::stod(retry_after), 0.4);
     }
 }
 
@@ -79,9 +79,9 @@
         wire->say(response);
         if (ending == upstream_closes) wire->close();
         if (ending == upstream_resets) wire->reset();
-        const auto told = fixture.answer(*client);
-        EXPECT_TRUE(failed(told)) << told;
-        EXPECT_EQ(header(told, "Retry-After"), "");
+        const auto answer = fixture.answer(*client);
+        EXPECT_TRUE(failed(answer)) << answer;
+        EXPECT_EQ(header(answer, "Retry-After"), "");
         if (ending == closed_by_balancer) fixture.until([&connection = wire] { return connection->ended; });
         EXPECT_TRUE(fixture.nothing_sent());
         EXPECT_EQ(fixture.connections(), 1U);
