--- a/src/http/calls.cpp
+++ b/src/http/calls.cpp
@@ -44,10 +44,9 @@
 NotTaken answer_of(core::Taken taken) {
     switch (taken) {
         case core::Taken::name_open:
-            return {plain_answer(409, "a request with this X-Call-Id is open or may still be executing"),
-                    true};
-        case core::Taken::unknown_tenant: return {plain_answer(403, "X-Caller names no known tenant"), true};
-        case core::Taken::bad_class: return {plain_answer(400, "X-Call-Class names no known class"), true};
+            return {plain_answer(409, "a request of this X-Call-Id may still run"), true};
+        case core::Taken::unknown_tenant: return {plain_answer(403, "X-Caller names no tenant"), true};
+        case core::Taken::bad_class: return {plain_answer(400, "X-Call-Class names no class"), true};
         case core::Taken::yes:
         case core::Taken::no_pool:
         case core::Taken::too_many:
--- a/src/http/platform.cpp
+++ b/src/http/platform.cpp
@@ -67,14 +67,14 @@
     const bool keyed = !message.fields[key_field].empty();
     switch (effect) {
         case Effect::safe:
-            if (message.method != "GET") return "this X-Call-Class requires GET";
-            return message.body.empty() ? nullptr : "a GET request must have no body";
+            if (message.method != "GET") return "this X-Call-Class is asked for with GET";
+            return message.body.empty() ? nullptr : "a GET has no body";
         case Effect::keyed:
-            if (message.method != "POST") return "this X-Call-Class requires POST";
-            return keyed ? nullptr : "this X-Call-Class requires an Idempotency-Key";
+            if (message.method != "POST") return "this X-Call-Class is asked for with POST";
+            return keyed ? nullptr : "this X-Call-Class needs an Idempotency-Key";
         case Effect::unsafe:
-            if (message.method != "POST") return "this X-Call-Class requires POST";
-            return keyed ? "this X-Call-Class allows no Idempotency-Key" : nullptr;
+            if (message.method != "POST") return "this X-Call-Class is asked for with POST";
+            return keyed ? "this X-Call-Class takes no Idempotency-Key" : nullptr;
     }
     return "unknown X-Call-Class";
 }
@@ -100,10 +100,10 @@
     const auto wrong = [](std::string why) { return NotUnderstood{std::move(why)}; };
     const Fields& fields = message.fields;
     for (const auto once : {call_id_field, class_field, budget_field, key_field}) {
-        if (fields.count(once) > 1) return wrong(std::string(once) + " occurs more than once");
+        if (fields.count(once) > 1) return wrong(std::string(once) + " is there more than once");
     }
     if (!is_call_id(fields[call_id_field])) {
-        return wrong("X-Call-Id must be 1 to 64 letters, digits, dots, dashes or underscores");
+        return wrong("X-Call-Id must be a word of 1 to 64 letters, digits, dots, dashes and underscores");
     }
     const auto class_index = index_of(settings.classes, fields[class_field]);
     if (!class_index) return wrong("X-Call-Class is missing or names no class");
@@ -111,7 +111,7 @@
     if (const char* const why = method_error(message, class_settings.effect)) return wrong(why);
     std::uint32_t budget_ms = 0;
     if (!parse_number(fields[budget_field], budget_ms) || budget_ms == 0) {
-        return wrong("X-Budget-Ms must be an integer of at least 1");
+        return wrong("X-Budget-Ms must be a whole number from 1 on");
     }
     ClientRequest request;
     // The deadline of the class bounds the client's budget.
--- a/tests/http/platform_test.cpp
+++ b/tests/http/platform_test.cpp
@@ -99,8 +99,9 @@
         const char* value;
         const char* why;
     };
-    const char* const id = "X-Call-Id must be 1 to 64 letters, digits, dots, dashes or underscores";
-    const char* const budget = "X-Budget-Ms must be an integer of at least 1";
+    const char* const id =
+        "X-Call-Id must be a word of 1 to 64 letters, digits, dots, dashes and underscores";
+    const char* const budget = "X-Budget-Ms must be a whole number from 1 on";
     const std::string long_id(65, 'x');
     for (const Row& row : std::vector<Row>{
              {"GET", "look", "Host", "x", ""},
@@ -110,9 +111,9 @@
              {"GET", "look", "X-Call-Id", "a b", id},
              {"GET", "look", "X-Call-Id", "a/b", id},
              {"GET", "look", "X-Call-Id", long_id.c_str(), id},
-             {"GET", "look", "+X-Call-Id", "b", "X-Call-Id occurs more than once"},
-             {"GET", "look", "+x-call-class", "look", "X-Call-Class occurs more than once"},
-             {"GET", "look", "+X-Budget-Ms", "480", "X-Budget-Ms occurs more than once"},
+             {"GET", "look", "+X-Call-Id", "b", "X-Call-Id is there more than once"},
+             {"GET", "look", "+x-call-class", "look", "X-Call-Class is there more than once"},
+             {"GET", "look", "+X-Budget-Ms", "480", "X-Budget-Ms is there more than once"},
              {"GET", "other", "Host", "x", "X-Call-Class is missing or names no class"},
              {"GET", "", "Host", "x", "X-Call-Class is missing or names no class"},
              {"GET", "look", "X-Budget-Ms", "", budget},
@@ -121,11 +122,11 @@
              {"GET", "look", "X-Budget-Ms", "soon", budget},
              {"GET", "look", "X-Budget-Ms", "1e3", budget},
              {"GET", "look", "X-Budget-Ms", "99999999999999999999", budget},
-             {"POST", "look", "Host", "x", "this X-Call-Class requires GET"},
-             {"GET", "once", "Host", "x", "this X-Call-Class requires POST"},
-             {"GET", "book it", "Host", "x", "this X-Call-Class requires POST"},
-             {"POST", "book it", "Host", "x", "this X-Call-Class requires an Idempotency-Key"},
-             {"POST", "once", "Idempotency-Key", "k", "this X-Call-Class allows no Idempotency-Key"},
+             {"POST", "look", "Host", "x", "this X-Call-Class is asked for with GET"},
+             {"GET", "once", "Host", "x", "this X-Call-Class is asked for with POST"},
+             {"GET", "book it", "Host", "x", "this X-Call-Class is asked for with POST"},
+             {"POST", "book it", "Host", "x", "this X-Call-Class needs an Idempotency-Key"},
+             {"POST", "once", "Idempotency-Key", "k", "this X-Call-Class takes no Idempotency-Key"},
          }) {
         Request input = message(row.method, row.class_name);
         if (row.name[0] == '+') {
@@ -137,11 +138,11 @@
     }
     Request input = message("GET", "look");
     input.body = "body";
-    EXPECT_EQ(why(input), "a GET request must have no body");
+    EXPECT_EQ(why(input), "a GET has no body");
     input = message("POST", "book it");
     input.fields.add("Idempotency-Key", "k");
     input.fields.add("Idempotency-Key", "l");
-    EXPECT_EQ(why(input), "Idempotency-Key occurs more than once");
+    EXPECT_EQ(why(input), "Idempotency-Key is there more than once");
 }
 
 TEST(Routes, DependOnMethodAndPath) {
