--- a/src/http/calls.cpp
+++ b/src/http/calls.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-// A caller that the settings do not name is as unknown as one that names none.
+// A tenant that the settings do not define is treated like a missing one.
 core::Tenant tenant_of(const ClientRequest& request) {
     if (!request.facts.tenant) return {core::Tenant::Kind::unknown, 0};
     return {core::Tenant::Kind::known, *request.facts.tenant};
