--- a/src/apps/balancer.cpp
+++ b/src/apps/balancer.cpp
@@ -1,4 +1,5 @@
-// The daemon: a small program over the library. Environment, command line, configuration, signals, the loop.
+// The balancer daemon: a small program over the library. Handles the environment, the command line, the configuration files,
+// signals and the event loop.
 #include "flaxdoor/balancer.h"
 
 #include <sys/resource.h>
@@ -30,11 +31,11 @@
 using flaxdoor::log::Logger;
 namespace events = flaxdoor::log::events;
 
-std::string text_of(const std::string& path) {
+std::string file_content(const std::string& path) {
     std::ifstream file(path, std::ios::binary);
     std::ostringstream text;
     if (!file) throw std::runtime_error("can't be read");
-    // An empty file gives nothing to take over, which is no error.
+    // Inserting the buffer of an empty file would set failbit, but an empty file is not an error.
     if (file.peek() != std::ifstream::traits_type::eof()) text << file.rdbuf();
     if (!text || file.bad()) throw std::runtime_error("can't be read");
     return text.str();
@@ -44,10 +45,10 @@
     const char* const path = std::getenv("NODE_CONFIG");
     if (!path) throw std::runtime_error("NODE_CONFIG is not set");
     try {
-        BalancerOptions options = flaxdoor::options_from(text_of(path));
-        rlimit told{};
-        if (::getrlimit(RLIMIT_NOFILE, &told) == 0) {
-            options.descriptors = std::min<std::size_t>(options.descriptors, told.rlim_cur);
+        BalancerOptions options = flaxdoor::options_from(file_content(path));
+        rlimit limit{};
+        if (::getrlimit(RLIMIT_NOFILE, &limit) == 0) {
+            options.descriptors = std::min<std::size_t>(options.descriptors, limit.rlim_cur);
         }
         options.figures_every = {};
         return options;
@@ -56,37 +57,36 @@
     }
 }
 
-// The operator's own file; all defaults where there is none. Its faults are logged, each on a line of its
-// own.
-class Operators {
+// Reads the operator's file. Without a file, all settings have their defaults. Faults of the file are logged, one line each.
+class OperatorFile {
 public:
-    Operators(std::string path, Logger& log) : path_(std::move(path)), log_(log) {
-        if (!read(true)) throw std::runtime_error("operator's file " + path_ + " can't be used");
+    OperatorFile(std::string path, Logger& log) : path_(std::move(path)), log_(log) {
+        if (!load(true)) throw std::runtime_error("operator's file " + path_ + " can't be used");
     }
 
     void reload() {
-        if (!read(false)) log_.tell(events::operators_kept);
+        if (!load(false)) log_.tell(events::operators_kept);
     }
 
     const std::string& text() const { return text_; }
 
 private:
-    bool read(bool start) {
+    bool load(bool start) {
         if (path_.empty()) return true;
         auto reading = flaxdoor::settings::read_file(path_, flaxdoor::settings::product_schema());
         if (const auto* values = std::get_if<flaxdoor::settings::Values>(&reading)) {
             auto options = flaxdoor::log::options_from(*values);
             if (auto* const faults = std::get_if<flaxdoor::settings::Faults>(&options)) {
                 reading = std::move(*faults);
-            } else if (start) {  // what a reload brings counts once the engine has taken it
+            } else if (start) {  // a reload is applied to the log only after the engine has accepted it
                 log_.set(std::get<flaxdoor::log::Options>(std::move(options)));
             }
         }
         if (const auto* faults = std::get_if<flaxdoor::settings::Faults>(&reading)) {
-            flaxdoor::apps::tell_faults(log_, path_, *faults);
+            flaxdoor::apps::log_faults(log_, path_, *faults);
             return false;
         }
-        text_ = text_of(path_);
+        text_ = file_content(path_);
         return true;
     }
 
@@ -99,43 +99,45 @@
 
 int main(int argc, char** argv) {
     std::signal(SIGPIPE, SIG_IGN);
-    flaxdoor::apps::fill_standard_descriptors();
+    flaxdoor::apps::open_missing_standard_descriptors();
     const flaxdoor::loop::Clock clock;
-    flaxdoor::log::Descriptor standard_error(STDERR_FILENO);
+    flaxdoor::log::DescriptorSink standard_error(STDERR_FILENO);
     Logger log(standard_error, clock);
-    CLI::App app("One balancer. Its platform's configuration is in the file that NODE_CONFIG names.");
-    std::string operators_path;
-    app.add_option("--operator", operators_path, "the operator's own file (TOML); see `flaxdoor check`");
+    CLI::App app(
+        "Runs one balancer. The environment variable NODE_CONFIG names the file with the platform's "
+        "configuration.");
+    std::string operator_path;
+    app.add_option("--operator", operator_path, "the operator's file (TOML); see `flaxdoor check`");
     CLI11_PARSE(app, argc, argv);
     try {
         boost::asio::io_context loop(1);
-        const auto sides = std::make_shared<const flaxdoor::detail::Sides>(
-            flaxdoor::detail::Sides{{flaxdoor::sides::postgres(), flaxdoor::sides::gateway()},
-                                    &log,
-                                    [&log](const flaxdoor::settings::Values& operators) {
-                                        auto taken = flaxdoor::log::options_from(operators);
-                                        if (auto* const options = std::get_if<flaxdoor::log::Options>(&taken))
-                                            log.set(std::move(*options));
-                                    }});
-        flaxdoor::apps::Signals signals(loop);  // kept for when the balancer is there to take them
-        const flaxdoor::apps::Retry retry(loop, log);
-        Operators operators(operators_path, log);
+        const auto sides = std::make_shared<const flaxdoor::detail::Sides>(flaxdoor::detail::Sides{
+            {flaxdoor::sides::postgres(), flaxdoor::sides::gateway()},
+            &log,
+            [&log](const flaxdoor::settings::Values& operators) {
+                auto result = flaxdoor::log::options_from(operators);
+                if (auto* const options = std::get_if<flaxdoor::log::Options>(&result))
+                    log.set(std::move(*options));
+            }});
+        flaxdoor::apps::Signals signals(loop);  // holds signals until the balancer can handle them
+        const flaxdoor::apps::LogRetry log_retry(loop, log);
+        OperatorFile operator_file(operator_path, log);
         BalancerOptions options = configuration();
-        options.operators = operators.text();
+        options.operators = operator_file.text();
         options.sides = sides;
         Balancer balancer(loop.get_executor(), options);
-        const auto reload = [&] {  // what can't be used changes nothing
-            operators.reload();
+        const auto reload = [&] {  // files with faults change nothing
+            operator_file.reload();
             try {
                 BalancerOptions fresh = configuration();
-                fresh.operators = operators.text();
+                fresh.operators = operator_file.text();
                 fresh.sides = sides;
                 balancer.reconfigure(fresh);
             } catch (const std::exception& error) {
                 log.tell(events::configuration_kept, error.what());
             }
         };
-        signals.pass_to(reload, [&] { balancer.async_drain([&loop] { loop.stop(); }); });
+        signals.start(reload, [&] { balancer.async_drain([&loop] { loop.stop(); }); });
         loop.run();
     } catch (const std::exception& error) {
         log.tell(events::not_started, error.what());
--- a/src/apps/coordinator_commands.cpp
+++ b/src/apps/coordinator_commands.cpp
@@ -44,18 +44,18 @@
 using coordinator::Journal;
 using coordinator::Service;
 
-constexpr int faulty = 1;
-constexpr int not_understood = 2;
-constexpr std::size_t spare_descriptors = 64;
-constexpr std::size_t connections_most = 16'384;
-constexpr auto tidy_every = std::chrono::milliseconds(100);
-constexpr auto end_poll = std::chrono::milliseconds(10);
-constexpr auto end_within = std::chrono::seconds(2);  // for answers that are on their way
-constexpr auto show_within = std::chrono::seconds(5);
-constexpr const char* boot_file = "/proc/sys/kernel/random/boot_id";
-
-// The file with what a coordinator needs of it.
-settings::Reading read(const std::string& file) {
+constexpr int exit_failure = 1;
+constexpr int exit_usage = 2;
+constexpr std::size_t reserved_descriptors = 64;  // for everything except client connections
+constexpr std::size_t max_connections = 16'384;
+constexpr auto tidy_interval = std::chrono::milliseconds(100);
+constexpr auto drain_poll_interval = std::chrono::milliseconds(10);
+constexpr auto drain_timeout = std::chrono::seconds(2);  // for responses that are being sent
+constexpr auto show_timeout = std::chrono::seconds(5);
+constexpr const char* boot_id_file = "/proc/sys/kernel/random/boot_id";
+
+// Reads the operator's file. It is a fault if the file has no table [coordinator].
+settings::Reading read_operator_file(const std::string& file) {
     auto reading = settings::read_file(file, settings::product_schema());
     const auto* const values = std::get_if<settings::Values>(&reading);
     if (!values) return reading;
@@ -69,16 +69,16 @@
     return reading;
 }
 
-void use_log(log::Logger& log, const settings::Values& values) {
+void configure_log(log::Logger& log, const settings::Values& values) {
     auto options = log::options_from(values);
-    if (auto* const its = std::get_if<log::Options>(&options)) log.set(std::move(*its));
+    if (auto* const log_options = std::get_if<log::Options>(&options)) log.set(std::move(*log_options));
 }
 
 std::string boot_id() {
-    std::ifstream file(boot_file);
+    std::ifstream file(boot_id_file);
     std::string line;
     if (!std::getline(file, line) || !coordinator::valid_name(line)) {
-        throw std::runtime_error(std::string(boot_file) + " can't be read");
+        throw std::runtime_error(std::string(boot_id_file) + " can't be read");
     }
     return line;
 }
@@ -109,36 +109,37 @@
 
 http::FrontLimits limits() {
     http::FrontLimits limits;
-    rlimit told{};
-    limits.most = connections_most;
-    if (::getrlimit(RLIMIT_NOFILE, &told) == 0 && told.rlim_cur > spare_descriptors) {
-        limits.most = std::min<std::size_t>(limits.most, told.rlim_cur - spare_descriptors);
+    rlimit limit{};
+    limits.most = max_connections;
+    if (::getrlimit(RLIMIT_NOFILE, &limit) == 0 && limit.rlim_cur > reserved_descriptors) {
+        limits.most = std::min<std::size_t>(limits.most, limit.rlim_cur - reserved_descriptors);
     }
     limits.asked = limits.most;
-    limits.idle_crowded = limits.idle;  // balancers keep theirs
+    limits.idle_crowded = limits.idle;  // balancers keep their connections open
     limits.body = coordinator::message_most;
     return limits;
 }
 
-// What a SIGHUP brings: the rows' wholes, rows that come and go, and the log. All else that is of a coordinator
-// takes a restart.
-bool taken(const std::string& key) {
+// Returns whether SIGHUP applies a changed setting: the limits of the rows [[budget_limit]], added and removed rows, and the
+// log. All other settings of the coordinator take a restart.
+bool is_reloadable(const std::string& key) {
     const auto row_end = key.rfind("\"]");
     if (key.starts_with("log.")) return true;
     if (!key.starts_with("budget_limit[") || row_end == key.npos) return false;
     const std::string rest = key.substr(row_end + 2);
     return rest.empty() || rest == ".rate" || rest == ".burst" || rest == ".places";
 }
-bool of_coordinator(const std::string& key) {
+bool belongs_to_coordinator(const std::string& key) {
     return key.starts_with("budget") || key.starts_with("coordinator.") || key.starts_with("log.");
 }
 
-class Program {
+// The running coordinator: the lease service behind an HTTP listener, with reload and graceful shutdown.
+class CoordinatorProgram {
 public:
-    Program(std::string file, settings::Values values, const std::string& grants, asio::io_context& loop,
-            log::Logger& log)
+    CoordinatorProgram(std::string file, settings::Values values, const std::string& grants,
+                       asio::io_context& loop, log::Logger& log)
         : file_(std::move(file)),
-          start_(values),
+          initial_values_(values),
           values_(std::move(values)),
           loop_(loop),
           log_(log),
@@ -153,16 +154,16 @@
         service_ = std::make_unique<Service>(coordinator::terms_of(values_),
                                              open_journal(values_, boot_clock_.now()), boot_clock_, log,
                                              grants.empty() ? nullptr : &grants_);
-        front_ = std::make_unique<http::Front>(loop.get_executor(), core_, *service_, clock_, limits());
-        front_->listen(endpoint_of(values_.get(keys::listen)));
-        log_.tell(events::listening, loop::text_of(front_->address()));
-        tidy();
+        listener_ = std::make_unique<http::Front>(loop.get_executor(), core_, *service_, clock_, limits());
+        listener_->listen(endpoint_of(values_.get(keys::listen)));
+        log_.tell(events::listening, loop::text_of(listener_->address()));
+        tidy_periodically();
     }
 
     void reload() {
-        auto reading = read(file_);
+        auto reading = read_operator_file(file_);
         if (const auto* const faults = std::get_if<settings::Faults>(&reading)) {
-            tell_faults(log_, file_, *faults);
+            log_faults(log_, file_, *faults);
             return log_.tell(events::operators_kept);
         }
         auto& wanted = std::get<settings::Values>(reading);
@@ -171,97 +172,99 @@
         } catch (const std::invalid_argument& error) {
             return log_.tell(events::coordinator_kept, error.what());
         }
-        use_log(log_, wanted);
+        configure_log(log_, wanted);
         for (const auto& each : settings::changes(values_, wanted)) {
-            if (taken(each.key)) log_.tell(events::operators_taken, settings::line_of(each));
+            if (is_reloadable(each.key)) log_.tell(events::operators_taken, settings::line_of(each));
         }
-        for (const auto& each : settings::changes(start_, wanted)) {
-            if (of_coordinator(each.key) && !taken(each.key)) {
+        for (const auto& each : settings::changes(initial_values_, wanted)) {
+            if (belongs_to_coordinator(each.key) && !is_reloadable(each.key)) {
                 log_.tell(events::operators_held, settings::line_of(each));
             }
         }
         values_ = std::move(wanted);
     }
 
-    // Answers go out, then it is over; a client that does not take its answer does not hold it up.
-    void end() {
-        if (ending_) return;
-        ending_ = true;
+    // Shuts down gracefully: sends the responses that are due, then stops the loop. A client that does not read its response
+    // does not delay the end beyond drain_timeout.
+    void drain() {
+        if (draining_) return;
+        draining_ = true;
         log_.tell(events::draining);
-        front_->begin_drain();
-        end_by_ = std::chrono::steady_clock::now() + end_within;
-        wind_down();
+        listener_->begin_drain();
+        drain_end_ = std::chrono::steady_clock::now() + drain_timeout;
+        finish_drain();
     }
 
 private:
-    void tidy() {
-        timer_.expires_after(tidy_every);
+    void tidy_periodically() {
+        timer_.expires_after(tidy_interval);
         timer_.async_wait([this](const error_code& error) {
-            if (error || ending_) return;
+            if (error || draining_) return;
             (void)service_->tidy();
-            tidy();
+            tidy_periodically();
         });
     }
 
-    void wind_down() {
-        if (!front_->wind_down() || std::chrono::steady_clock::now() >= end_by_) {
-            front_->stop();
+    void finish_drain() {
+        if (!listener_->wind_down() || std::chrono::steady_clock::now() >= drain_end_) {
+            listener_->stop();
             log_.tell(events::drained);
             return loop_.stop();
         }
-        timer_.expires_after(end_poll);
+        timer_.expires_after(drain_poll_interval);
         timer_.async_wait([this](const error_code& error) {
-            if (!error) wind_down();
+            if (!error) finish_drain();
         });
     }
 
     const std::string file_;
-    const settings::Values start_;
-    settings::Values values_;  // as it was read last
+    const settings::Values initial_values_;
+    settings::Values values_;  // of the last file without faults
     asio::io_context& loop_;
     log::Logger& log_;
     const loop::Clock clock_;
     const loop::BootClock boot_clock_;
     loop::Alarm alarm_;
-    core::Core core_;  // a front has one; no call comes to it
+    core::Core core_;  // the listener requires one; it receives no calls
     coordinator::GrantsLog grants_;
     std::unique_ptr<Service> service_;
-    std::unique_ptr<http::Front> front_;
+    std::unique_ptr<http::Front> listener_;
     asio::steady_timer timer_;
-    bool ending_ = false;
-    std::chrono::steady_clock::time_point end_by_{};
+    bool draining_ = false;
+    std::chrono::steady_clock::time_point drain_end_{};
 };
 
 int run(const std::string& file, const std::string& grants) {
     std::signal(SIGPIPE, SIG_IGN);
-    fill_standard_descriptors();
+    open_missing_standard_descriptors();
     const loop::Clock clock;
-    log::Descriptor standard_error(STDERR_FILENO);
+    log::DescriptorSink standard_error(STDERR_FILENO);
     log::Logger log(standard_error, clock);
     try {
         asio::io_context loop(1);
         Signals signals(loop);
-        const Retry retry(loop, log);
-        auto reading = read(file);
+        const LogRetry log_retry(loop, log);
+        auto reading = read_operator_file(file);
         if (const auto* const faults = std::get_if<settings::Faults>(&reading)) {
-            tell_faults(log, file, *faults);
-            return faulty;
+            log_faults(log, file, *faults);
+            return exit_failure;
         }
-        use_log(log, std::get<settings::Values>(reading));
-        Program program(file, std::get<settings::Values>(std::move(reading)), grants, loop, log);
-        signals.pass_to([&] { program.reload(); }, [&] { program.end(); });
+        configure_log(log, std::get<settings::Values>(reading));
+        CoordinatorProgram program(file, std::get<settings::Values>(std::move(reading)), grants, loop, log);
+        signals.start([&] { program.reload(); }, [&] { program.drain(); });
         loop.run();
     } catch (const std::exception& error) {
         log.tell(events::not_started, error.what());
-        return faulty;
+        return exit_failure;
     }
     return 0;
 }
 
-// ------------------------------------------------------------------------------------------------- show
+// `flaxdoor budget show`
 
-// The body of a 200, within a while. Throws std::runtime_error.
-class Fetch {
+// Fetches the body of a response with status 200 over a blocking connection, within show_timeout. Throws
+// std::runtime_error.
+class HttpGet {
 public:
     std::string get(const loop::tcp::endpoint& from, const std::string& target) {
         http::Request request;
@@ -278,7 +281,7 @@
                                   read();
                               });
         });
-        loop_.run_for(show_within);
+        loop_.run_for(show_timeout);
         if (!body_ && why_.empty()) why_ = "no answer in time";
         if (!body_) throw std::runtime_error(loop::text_of(from) + ": " + why_);
         return std::move(*body_);
@@ -286,9 +289,9 @@
 
 private:
     void read() {
-        socket_.async_read_some(asio::buffer(room_), [this](const error_code& error, std::size_t bytes) {
+        socket_.async_read_some(asio::buffer(buffer_), [this](const error_code& error, std::size_t bytes) {
             auto result =
-                error ? machine_.receive_end() : machine_.receive(std::string_view(room_.data(), bytes));
+                error ? machine_.receive_end() : machine_.receive(std::string_view(buffer_.data(), bytes));
             if (!result && !error) return read();
             if (!result || result->kind != http::ClientResult::Kind::answered) {
                 why_ = result && !result->why.empty() ? result->why : "no answer";
@@ -304,7 +307,7 @@
     asio::io_context loop_{1};
     loop::tcp::socket socket_{loop_};
     http::ClientMachine machine_{coordinator::view_most};
-    std::array<char, 64 * 1024> room_{};
+    std::array<char, 64 * 1024> buffer_{};
     std::optional<std::string> body_;
     std::string why_;
 };
@@ -313,9 +316,9 @@
     if (counts == budget::Counts::concurrency) return std::to_string(amount.size);
     std::string rate = std::to_string(amount.rate / 1000);
     if (amount.rate % 1000 != 0) {
-        char part[8];
-        std::snprintf(part, sizeof part, ".%03d", static_cast<int>(amount.rate % 1000));
-        rate += part;
+        char fraction[8];
+        std::snprintf(fraction, sizeof fraction, ".%03d", static_cast<int>(amount.rate % 1000));
+        rate += fraction;
         rate.erase(rate.find_last_not_of('0') + 1);
     }
     return rate + "/s+" + std::to_string(amount.size);
@@ -326,14 +329,14 @@
     return std::to_string(tenths / 10) + "." + std::to_string(tenths % 10) + " s";
 }
 
-// A table with heads and rows; nothing where there are heads alone.
+// Prints a table whose first row is the heading; prints nothing if there are no further rows.
 using Rows = std::vector<std::vector<std::string>>;
 void print(const Rows& rows) {
     if (rows.size() > 1) std::cout << settings::columns(rows) << "\n";
 }
 
 std::string state_of(const coordinator::View& view) {
-    if (view.stepped_down) return "stepped down: there is another of a later epoch";
+    if (view.stepped_down) return "stepped down: there is a coordinator of a later epoch";
     if (!view.trouble.empty()) return "grants nothing: " + view.trouble;
     if (view.waits > Micros{0}) {
         return "grants nothing for " + text_of(view.waits) + ": leases of an earlier start may be in force";
@@ -376,33 +379,33 @@
 int show(const std::string& at, const std::string& file, bool json) {
     if (at.empty() == file.empty()) {
         std::cerr << "flaxdoor: budget show: give one of --at ADDRESS and --operator FILE\n";
-        return not_understood;
+        return exit_usage;
     }
     std::string where = at;
     if (!file.empty()) {
         const auto reading = settings::read_file(file, settings::product_schema());
         if (const auto* const faults = std::get_if<settings::Faults>(&reading)) {
             std::cerr << faults->text(file);
-            return faulty;
+            return exit_failure;
         }
         const auto& values = std::get<settings::Values>(reading);
         if (!values.given("budget")) {
             std::cerr << file << ": there is no table [budget] (budget); add it, or use --at\n";
-            return faulty;
+            return exit_failure;
         }
         where = loop::text_of(endpoint_of(values.get(keys::coordinator)));
     }
     std::string body;
     try {
-        body = Fetch().get(loop::parse_endpoint(where), "/v1/budgets");
+        body = HttpGet().get(loop::parse_endpoint(where), "/v1/budgets");
     } catch (const std::exception& error) {
         std::cerr << "flaxdoor: the coordinator: " << error.what() << "\n";
-        return faulty;
+        return exit_failure;
     }
     const auto view = coordinator::decode_view(body);
     if (const auto* const bad = std::get_if<coordinator::Malformed>(&view)) {
-        std::cerr << "flaxdoor: " << where << " is no coordinator: " << bad->why << "\n";
-        return faulty;
+        std::cerr << "flaxdoor: " << where << " is not a coordinator: " << bad->why << "\n";
+        return exit_failure;
     }
     if (json) {
         std::cout << body << "\n";
@@ -414,25 +417,32 @@
 
 }  // namespace
 
-void add_coordinator(CLI::App& program, std::function<int()>& todo) {
+void add_coordinator_commands(CLI::App& program, std::function<int()>& action) {
     struct Options {
         std::string file, grants, at;
         bool json = false;
     };
-    const auto o = std::make_shared<Options>();
+    const auto options = std::make_shared<Options>();
     CLI::App* const command =
         program.add_subcommand("coordinator", "Grant leases of the fleet's budgets to balancers");
-    command->add_option("FILE", o->file, "the operator's file, with [budget] and [coordinator]")->required();
-    command->add_option("--grants", o->grants, "append each grant to this file, as a line of JSON");
-    command->callback([o, &todo] { todo = [o] { return run(o->file, o->grants); }; });
-
-    CLI::App* const all = program.add_subcommand("budget", "Look at the fleet's budgets");
-    all->require_subcommand(1);
-    CLI::App* const shown = all->add_subcommand("show", "Who holds what, until when, and what is held back");
-    shown->add_option("--at", o->at, "the coordinator's address, as 127.0.0.1:7400");
-    shown->add_option("--operator", o->file, "the operator's file, whose budget.coordinator is asked");
-    shown->add_flag("--json", o->json, "write what the coordinator says, as JSON on standard output");
-    shown->callback([o, &todo] { todo = [o] { return show(o->at, o->file, o->json); }; });
+    command->add_option("FILE", options->file, "the operator's file, with [budget] and [coordinator]")
+        ->required();
+    command->add_option("--grants", options->grants, "append each grant to this file, as a line of JSON");
+    command->callback(
+        [options, &action] { action = [options] { return run(options->file, options->grants); }; });
+
+    CLI::App* const budget_command = program.add_subcommand("budget", "Inspect the fleet's budgets");
+    budget_command->require_subcommand(1);
+    CLI::App* const show_command = budget_command->add_subcommand(
+        "show", "Show which balancer holds which lease, until when, and what is held back");
+    show_command->add_option("--at", options->at, "the coordinator's address, as 127.0.0.1:7400");
+    show_command->add_option("--operator", options->file,
+                             "the operator's file; budget.coordinator is the address");
+    show_command->add_flag("--json", options->json,
+                           "write the coordinator's response as JSON to standard output");
+    show_command->callback([options, &action] {
+        action = [options] { return show(options->at, options->file, options->json); };
+    });
 }
 
 }  // namespace flaxdoor::apps
--- a/src/apps/coordinator_commands.h
+++ b/src/apps/coordinator_commands.h
@@ -1,7 +1,7 @@
-// `flaxdoor coordinator FILE`: the process that grants leases of the fleet's budgets. `flaxdoor budget show`: who holds
-// what.
-//   0: ended in order, or shown; 1: the file has faults, the store can't be used, the address can't be listened on, or
-//   nobody answers; 2: not understood.
+// `flaxdoor coordinator FILE` runs the process that grants leases of the fleet's budgets. `flaxdoor budget show` shows the
+// leases and their holders.
+// Exit status: 0: graceful shutdown, or shown; 1: the file has faults, the store cannot be used, the address cannot be
+//   listened on, or the coordinator does not answer; 2: invalid command line.
 #pragma once
 
 #include <functional>
@@ -12,7 +12,7 @@
 
 namespace flaxdoor::apps {
 
-// Adds the commands to the program; each sets what is to be done when it was given.
-void add_coordinator(CLI::App& program, std::function<int()>& todo);
+// Adds the commands to the program. A command that was given sets `action` to what it does.
+void add_coordinator_commands(CLI::App& program, std::function<int()>& action);
 
 }  // namespace flaxdoor::apps
--- a/src/apps/daemon.h
+++ b/src/apps/daemon.h
@@ -1,6 +1,6 @@
-// What the programs that stay have in common: standard descriptors, signals, lines that wait for their reader.
+// Shared by the long-running programs: standard descriptors, signals, and retries of pending log output.
 //
-// Threading: the loop's one thread.   Ownership: loop and log are borrowed.   Errors: as Asio's signal_set throws.
+// Threading: the loop's one thread.   Ownership: loop and log are borrowed.   Errors: those of boost::asio::signal_set.
 #pragma once
 
 #include <fcntl.h>
@@ -21,42 +21,43 @@
 
 namespace flaxdoor::apps {
 
-// Started without one of the three standard descriptors: its number would go to what is opened next, and lines for standard
-// error into that.
-inline void fill_standard_descriptors() {
-    for (const int each : {STDIN_FILENO, STDOUT_FILENO, STDERR_FILENO}) {
-        if (::fcntl(each, F_GETFD) < 0) (void)::open("/dev/null", O_RDWR);  // takes the lowest that is free
+// Opens /dev/null for each standard descriptor that the program was started without. Otherwise the next file or socket would
+// get its number, and lines for standard error would be written into it.
+inline void open_missing_standard_descriptors() {
+    for (const int descriptor : {STDIN_FILENO, STDOUT_FILENO, STDERR_FILENO}) {
+        if (::fcntl(descriptor, F_GETFD) < 0)
+            (void)::open("/dev/null", O_RDWR);  // gets the lowest free number
     }
 }
 
-// Each fault of an operator's file as a line of the log.
-inline void tell_faults(log::Logger& log, const std::string& file, const settings::Faults& faults) {
+// Logs each fault of an operator's file on its own line.
+inline void log_faults(log::Logger& log, const std::string& file, const settings::Faults& faults) {
     std::istringstream lines(faults.text(file));
     for (std::string line; std::getline(lines, line);) log.tell(log::events::operators_fault, line);
 }
 
-// SIGHUP brings new files, SIGTERM and SIGINT the end; each as often as it comes. Of many SIGHUPs one after
-// the other the last one counts. What comes before pass_to() is kept for it.
+// Handles signals: SIGHUP reloads the files, SIGTERM and SIGINT end the program. Each may come several times. SIGHUPs in
+// quick succession are merged; a reload always follows the last one. Signals that arrive before start() are handled by it.
 class Signals {
 public:
     explicit Signals(boost::asio::io_context& loop)
-        : signals_(loop, SIGTERM, SIGINT, SIGHUP), reload_(loop) {}
+        : signals_(loop, SIGTERM, SIGINT, SIGHUP), reload_timer_(loop) {}
 
-    void pass_to(std::function<void()> on_reload, std::function<void()> on_end) {
+    void start(std::function<void()> on_reload, std::function<void()> on_end) {
         on_reload_ = std::move(on_reload);
         on_end_ = std::move(on_end);
         wait();
     }
 
 private:
-    // To read a large configuration takes tens of milliseconds: so long at least lies between two times.
-    static constexpr auto reload_again = std::chrono::milliseconds(250);
+    // Minimum interval between two reloads. Reading a large configuration takes tens of milliseconds.
+    static constexpr auto min_reload_interval = std::chrono::milliseconds(250);
 
     void wait() {
         signals_.async_wait([this](const boost::system::error_code& error, int signal) {
             if (error) return;
             if (signal == SIGHUP) {
-                reload_soon();
+                schedule_reload();
             } else {
                 on_end_();
             }
@@ -64,44 +65,44 @@
         });
     }
 
-    // Guards against a storm of them, in which this program would do nothing else.
-    void reload_soon() {
-        if (reload_due_) return;
-        reload_due_ = true;
-        reload_.expires_at(reloaded_ + reload_again);
-        reload_.async_wait([this](const boost::system::error_code& error) {
+    // Limits the rate of reloads: in a storm of SIGHUPs the program would do nothing else.
+    void schedule_reload() {
+        if (reload_scheduled_) return;
+        reload_scheduled_ = true;
+        reload_timer_.expires_at(last_reload_ + min_reload_interval);
+        reload_timer_.async_wait([this](const boost::system::error_code& error) {
             if (error) return;
-            reload_due_ = false;
+            reload_scheduled_ = false;
             on_reload_();
-            reloaded_ = std::chrono::steady_clock::now();
+            last_reload_ = std::chrono::steady_clock::now();
         });
     }
 
     boost::asio::signal_set signals_;
-    boost::asio::steady_timer reload_;
-    std::chrono::steady_clock::time_point reloaded_{};  // the last time
-    bool reload_due_ = false;
+    boost::asio::steady_timer reload_timer_;
+    std::chrono::steady_clock::time_point last_reload_{};
+    bool reload_scheduled_ = false;
     std::function<void()> on_reload_, on_end_;
 };
 
-// Lines that wait for their reader go out though no further one comes. Nothing is due while none waits.
-class Retry {
+// Retries pending log output periodically, also when no further event is logged. The timer runs only while output is pending.
+class LogRetry {
 public:
-    Retry(boost::asio::io_context& loop, log::Logger& log) : log_(log), timer_(loop) {
-        log_.on_waiting([this] { later(); });
-        if (log_.waiting()) later();
+    LogRetry(boost::asio::io_context& loop, log::Logger& log) : log_(log), timer_(loop) {
+        log_.on_pending([this] { schedule(); });
+        if (log_.has_pending()) schedule();
     }
-    ~Retry() { log_.on_waiting({}); }
+    ~LogRetry() { log_.on_pending({}); }
 
 private:
-    static constexpr auto again = std::chrono::milliseconds(250);
+    static constexpr auto interval = std::chrono::milliseconds(250);
 
-    void later() {
-        timer_.expires_after(again);
+    void schedule() {
+        timer_.expires_after(interval);
         timer_.async_wait([this](const boost::system::error_code& error) {
             if (error) return;
             log_.retry();
-            if (log_.waiting()) later();
+            if (log_.has_pending()) schedule();
         });
     }
 
--- a/src/apps/door_commands.h
+++ b/src/apps/door_commands.h
@@ -1,5 +1,5 @@
-// `flaxdoor door ...`: what an operator's file would do at the door, without running a balancer.
-//   0: done; 1: the file or the script has faults; 2: not understood.
+// `flaxdoor door ...` shows how an operator's file configures the admission queue, without running a balancer.
+// Exit status: 0: done; 1: the file or the load script has faults; 2: invalid command line.
 #pragma once
 
 #include <functional>
@@ -10,6 +10,7 @@
 
 namespace flaxdoor::apps {
 
-void add_door(CLI::App& program, std::function<int()>& todo);
+// Adds the commands to the program. A command that was given sets `action` to what it does.
+void add_door_commands(CLI::App& program, std::function<int()>& action);
 
 }  // namespace flaxdoor::apps
--- a/src/apps/route_commands.cpp
+++ b/src/apps/route_commands.cpp
@@ -21,16 +21,17 @@
 
 using namespace gateway;
 
-constexpr int unreadable = 1;
-constexpr int differs = 1;
+constexpr int exit_unreadable = 1;
+constexpr int exit_differs = 1;
 
-struct Seen {
+// Resources that were read, and the plan that results from them.
+struct Planned {
     Resources resources;
     Plan plan;
-    bool good = true;
+    bool readable = true;  // all documents could be read
 };
 
-std::string text_of(const std::filesystem::path& path) {
+std::string read_text(const std::filesystem::path& path) {
     std::ifstream file(path, std::ios::binary);
     std::ostringstream text;
     if (!file) throw std::runtime_error("can't be read");
@@ -38,17 +39,18 @@
     return text.str();
 }
 
-void put(Seen& seen, const std::string& file, const Json& object) {
-    const auto complain = [&](const std::string& what) {
-        std::cerr << file << ": " << what << "\n";
-        seen.good = false;
+// Adds the resource, or the items of a list of resources. Skips kinds that are not supported.
+void put(Planned& planned, const std::string& file, const Json& object) {
+    const auto report = [&](const std::string& message) {
+        std::cerr << file << ": " << message << "\n";
+        planned.readable = false;
     };
-    if (!object.is_object()) return complain("a document that is no resource");
+    if (!object.is_object()) return report("the document is not a resource");
     const auto kind_text = object.find("kind");
     const std::string kind =
         kind_text != object.end() && kind_text->is_string() ? kind_text->get<std::string>() : "";
     if (kind.ends_with("List") && object.contains("items") && object["items"].is_array()) {
-        for (const Json& each : object["items"]) put(seen, file, each);
+        for (const Json& each : object["items"]) put(planned, file, each);
         return;
     }
     const auto known = kind_named(kind);
@@ -56,18 +58,19 @@
         std::cerr << file << ": kind " << (kind.empty() ? "is missing" : kind) << ", passed over\n";
         return;
     }
-    const Touched touched = seen.resources.put(*known, object);
-    if (!touched.refused.empty()) complain(touched.refused);
+    const Touched result = planned.resources.put(*known, object);
+    if (!result.refused.empty()) report(result.refused);
 }
 
-Seen look(const std::string& where, const PlanOptions& options) {
-    Seen seen;
+Planned read_plan(const std::string& where, const PlanOptions& options) {
+    Planned planned;
     std::vector<std::filesystem::path> files;
     std::error_code error;
     if (std::filesystem::is_directory(where, error)) {
         for (const auto& each : std::filesystem::recursive_directory_iterator(where)) {
-            const auto end = each.path().extension();
-            if (each.is_regular_file() && (end == ".yaml" || end == ".yml" || end == ".json"))
+            const auto extension = each.path().extension();
+            if (each.is_regular_file() &&
+                (extension == ".yaml" || extension == ".yml" || extension == ".json"))
                 files.push_back(each.path());
         }
         std::sort(files.begin(), files.end());
@@ -76,14 +79,14 @@
     }
     for (const auto& file : files) {
         try {
-            for (const Json& object : kube::read_yaml(text_of(file))) put(seen, file.string(), object);
+            for (const Json& object : kube::read_yaml(read_text(file))) put(planned, file.string(), object);
         } catch (const std::exception& problem) {
             std::cerr << file.string() << ": " << problem.what() << "\n";
-            seen.good = false;
+            planned.readable = false;
         }
     }
-    seen.plan = plan(seen.resources, options);
-    return seen;
+    planned.plan = plan(planned.resources, options);
+    return planned;
 }
 
 PlanOptions options_with(const std::string& controller) {
@@ -94,15 +97,15 @@
     return options;
 }
 
-// "GET http://host:port/path?query"
-bool read_request(const std::string& text, const std::vector<std::string>& headers, http::Request& request,
-                  std::uint16_t& port) {
+// Parses "GET http://host:port/path?query" and headers. Returns false if they are invalid.
+bool parse_request(const std::string& text, const std::vector<std::string>& headers, http::Request& request,
+                   std::uint16_t& port) {
     const auto blank = text.find(' ');
     const auto scheme = text.find("://");
     if (blank == std::string::npos || scheme == std::string::npos || scheme < blank) return false;
     request.method = text.substr(0, blank);
-    const std::string by = text.substr(blank + 1, scheme - blank - 1);
-    port = by == "https" ? 443 : 80;
+    const std::string scheme_name = text.substr(blank + 1, scheme - blank - 1);
+    port = scheme_name == "https" ? 443 : 80;
     const auto path = std::min(text.find('/', scheme + 3), text.size());
     std::string host = text.substr(scheme + 3, path - scheme - 3);
     if (const auto colon = host.rfind(':'); colon != std::string::npos) {
@@ -129,51 +132,54 @@
 };
 
 int show(const Options& options) {
-    const Seen seen = look(options.resources, options_with(options.controller));
+    const Planned planned = read_plan(options.resources, options_with(options.controller));
     if (!options.request.empty()) {
         http::Request request;
         std::uint16_t port = 80;
-        if (!read_request(options.request, options.headers, request, port)) {
-            std::cerr << "flaxdoor: no request: " << options.request
+        if (!parse_request(options.request, options.headers, request, port)) {
+            std::cerr << "flaxdoor: invalid request: " << options.request
                       << "; write it like \"GET http://host/path\"\n";
             return 2;
         }
-        std::cout << ingress::explain(seen.plan, port, request);
-        return seen.good ? 0 : unreadable;
+        std::cout << ingress::explain(planned.plan, port, request);
+        return planned.readable ? 0 : exit_unreadable;
     }
-    std::cout << ingress::table_text(seen.resources, seen.plan) << ingress::status_text(seen.plan);
-    return seen.good ? 0 : unreadable;
+    std::cout << ingress::table_text(planned.resources, planned.plan) << ingress::status_text(planned.plan);
+    return planned.readable ? 0 : exit_unreadable;
 }
 
 int compare(const Options& options) {
-    const auto how = options_with(options.controller);
-    const Seen a = look(options.a, how), b = look(options.b, how);
+    const auto plan_options = options_with(options.controller);
+    const Planned a = read_plan(options.a, plan_options), b = read_plan(options.b, plan_options);
     const std::string text = ingress::difference(a.resources, a.plan, b.resources, b.plan);
     std::cout << text;
-    if (!a.good || !b.good) return unreadable;
-    return text.empty() ? 0 : differs;
+    if (!a.readable || !b.readable) return exit_unreadable;
+    return text.empty() ? 0 : exit_differs;
 }
 
 }  // namespace
 
-void add_routes(CLI::App& program, std::function<int()>& todo) {
+void add_route_commands(CLI::App& program, std::function<int()>& action) {
     const auto options = std::make_shared<Options>();
-    CLI::App* const command =
-        program.add_subcommand("routes", "Say what Gateway API resources come to: routes, pools, statuses");
+    CLI::App* const command = program.add_subcommand(
+        "routes", "Show what results from Gateway API resources: routes, pools, statuses");
     command->add_option("--resources", options->resources, "a folder or file of resources, YAML or JSON");
-    command->add_option("--request", options->request, "which route this takes: \"GET http://host:80/path\"");
-    command->add_option("--header", options->headers, "of the request, \"Name: value\"; may be repeated");
-    command->add_option("--controller", options->controller, "the controllerName that is ours");
-    CLI::App* const diff = command->add_subcommand("diff", "What differs between two, in routes and pools");
+    command->add_option("--request", options->request,
+                        "show the route of this request: \"GET http://host:80/path\"");
+    command->add_option("--header", options->headers,
+                        "a header of the request, \"Name: value\"; may be repeated");
+    command->add_option("--controller", options->controller, "the controllerName of this gateway");
+    CLI::App* const diff = command->add_subcommand(
+        "diff", "Show the differences in routes and pools between two sets of resources");
     diff->add_option("A", options->a, "a folder or file of resources")->required();
     diff->add_option("B", options->b, "another")->required();
-    command->callback([options, diff, &todo] {
+    command->callback([options, diff, &action] {
         if (diff->parsed()) {
-            todo = [options] { return compare(*options); };
+            action = [options] { return compare(*options); };
             return;
         }
         if (options->resources.empty()) throw CLI::RequiredError("--resources");
-        todo = [options] { return show(*options); };
+        action = [options] { return show(*options); };
     });
 }
 
--- a/src/apps/route_commands.h
+++ b/src/apps/route_commands.h
@@ -1,6 +1,7 @@
-// `flaxdoor routes ...`: what a set of Gateway API resources comes to, without a cluster.
-//   0: done (diff: nothing differs); 1: resources that can't be read (diff: something differs); 2: not
-//   understood.
+// `flaxdoor routes ...` shows the routes, pools and statuses that result from a set of Gateway API resources, without a
+// cluster.
+// Exit status: 0: done (diff: no difference); 1: resources that cannot be read (diff: there are differences); 2: invalid
+//   command line.
 #pragma once
 
 #include <functional>
@@ -11,6 +12,7 @@
 
 namespace flaxdoor::apps {
 
-void add_routes(CLI::App& program, std::function<int()>& todo);
+// Adds the commands to the program. A command that was given sets `action` to what it does.
+void add_route_commands(CLI::App& program, std::function<int()>& action);
 
 }  // namespace flaxdoor::apps
--- a/src/apps/simhost.cpp
+++ b/src/apps/simhost.cpp
@@ -1,4 +1,5 @@
-// Hosts one Policy for each instance on the wire: reads a batch, lets the policies decide, writes the reply.
+// Adapter between the simulator and the policy: reads batches of events from standard input, passes each event to the Policy
+// of its instance, and writes the replies with their actions to standard output.
 #include <algorithm>
 #include <cstdio>
 #include <exception>
@@ -13,7 +14,7 @@
 
 using namespace flaxdoor;
 
-// One instance: its policy, and the sink that puts the policy's actions on the wire.
+// One simulated balancer: its policy, whose actions are written to the reply.
 class Instance : public Actions {
 public:
     Instance(std::uint32_t number, wire::ReplyWriter& reply) : number_(number), reply_(reply) {}
@@ -52,7 +53,8 @@
 
 class Host {
 public:
-    std::string answer(const wire::BatchHeader& header, std::string_view body) {
+    // Processes a batch and returns the reply.
+    std::string process(const wire::BatchHeader& header, std::string_view body) {
         decoder_.decode(header, body, [&](const wire::Event& event) { handle(header.now, event); });
         return reply_.finish(header.number);
     }
@@ -70,33 +72,36 @@
         }
     }
 
-    static void deliver(Time now, Instance& to, const wire::CreateEvent& body) { to.start(body, now); }
-    static void deliver(Time, Instance& to, const wire::ExitEvent&) { to.stop(); }
-    static void deliver(Time now, Instance& to, const wire::PeerEvent& body) {
-        if (to.policy()) to.policy()->on_message(now, body.from, body.payload);
+    static void deliver(Time now, Instance& instance, const wire::CreateEvent& body) {
+        instance.start(body, now);
     }
-    static void deliver(Time now, Instance& to, const wire::ListEvent& body) {
-        static const std::vector<UpstreamEntry> none;
-        if (to.policy())
-            to.policy()->on_list(now, body.kind, body.entries ? *body.entries : none, body.version);
+    static void deliver(Time, Instance& instance, const wire::ExitEvent&) { instance.stop(); }
+    static void deliver(Time now, Instance& instance, const wire::PeerEvent& body) {
+        if (instance.policy()) instance.policy()->on_message(now, body.from, body.payload);
     }
-    static void deliver(Time now, Instance& to, const Request& body) {
-        if (to.policy()) to.policy()->on_request(now, body);
+    static void deliver(Time now, Instance& instance, const wire::ListEvent& body) {
+        static const std::vector<UpstreamEntry> no_entries;
+        if (instance.policy())
+            instance.policy()->on_list(now, body.kind, body.entries ? *body.entries : no_entries,
+                                       body.version);
     }
-    static void deliver(Time now, Instance& to, const AttemptEnd& body) {
-        if (to.policy()) to.policy()->on_attempt_end(now, body);
+    static void deliver(Time now, Instance& instance, const Request& body) {
+        if (instance.policy()) instance.policy()->on_request(now, body);
     }
-    static void deliver(Time now, Instance& to, const ProbeResult& body) {
-        if (to.policy()) to.policy()->on_probe_result(now, body);
+    static void deliver(Time now, Instance& instance, const AttemptEnd& body) {
+        if (instance.policy()) instance.policy()->on_attempt_end(now, body);
     }
-    static void deliver(Time now, Instance& to, const wire::TimerEvent& body) {
-        if (to.policy()) to.policy()->on_timer(now, body.token);
+    static void deliver(Time now, Instance& instance, const ProbeResult& body) {
+        if (instance.policy()) instance.policy()->on_probe_result(now, body);
     }
-    static void deliver(Time now, Instance& to, const AttemptStart& body) {
-        if (to.policy()) to.policy()->on_started(now, body);
+    static void deliver(Time now, Instance& instance, const wire::TimerEvent& body) {
+        if (instance.policy()) instance.policy()->on_timer(now, body.token);
     }
-    static void deliver(Time now, Instance& to, const wire::ClientGoneEvent& body) {
-        if (to.policy()) to.policy()->on_client_gone(now, body.request);
+    static void deliver(Time now, Instance& instance, const AttemptStart& body) {
+        if (instance.policy()) instance.policy()->on_started(now, body);
+    }
+    static void deliver(Time now, Instance& instance, const wire::ClientGoneEvent& body) {
+        if (instance.policy()) instance.policy()->on_client_gone(now, body.request);
     }
 
     wire::Decoder decoder_;
@@ -104,20 +109,20 @@
     std::map<std::uint32_t, std::unique_ptr<Instance>> instances_;
 };
 
-// False at the end of input before the first byte. Reads in pieces, so that a length that lies takes no
-// memory.
+// Reads exactly `size` bytes. Returns false if the input ends before the first byte and `may_end` is set. Reads in chunks,
+// so that a false length does not allocate memory.
 bool read_exactly(std::string& into, std::size_t size, const std::string& where, bool may_end = false) {
-    constexpr std::size_t piece = 1U << 20;
+    constexpr std::size_t chunk_size = 1U << 20;
     into.clear();
     while (into.size() < size) {
-        const std::size_t had = into.size();
-        const std::size_t want = std::min(piece, size - had);
-        into.resize(had + want);
-        const std::size_t got = std::fread(into.data() + had, 1, want, stdin);
-        if (got == want) continue;
-        if (had + got == 0 && may_end) return false;
-        throw wire::WireError("input cut off: " + std::to_string(had + got) + " of " + std::to_string(size) +
-                              " bytes" + where);
+        const std::size_t offset = into.size();
+        const std::size_t chunk = std::min(chunk_size, size - offset);
+        into.resize(offset + chunk);
+        const std::size_t received = std::fread(into.data() + offset, 1, chunk, stdin);
+        if (received == chunk) continue;
+        if (offset + received == 0 && may_end) return false;
+        throw wire::WireError("input cut off: " + std::to_string(offset + received) + " of " +
+                              std::to_string(size) + " bytes" + where);
     }
     return true;
 }
@@ -135,7 +140,7 @@
             const std::string batch = "batch " + std::to_string(header.number) + ")";
             read_exactly(body, header.body_size, " (" + batch);
             where = " (header after " + batch;
-            const std::string reply = host.answer(header, body);
+            const std::string reply = host.process(header, body);
             if (std::fwrite(reply.data(), 1, reply.size(), stdout) != reply.size() ||
                 std::fflush(stdout) != 0) {
                 throw wire::WireError("reply could not be written");
--- a/src/apps/store_commands.h
+++ b/src/apps/store_commands.h
@@ -1,6 +1,7 @@
-// `flaxdoor store ...`: what an operator asks of a store's folder.
-//   0: done, and in order; 1: damaged, or something was lost; 2: not understood; 3: not done (in use, no
-//   store, another's, a newer format, the disk): the reason stands on standard error.
+// `flaxdoor store ...` inspects and repairs the folder of a store.
+// Exit status: 0: done, and the store is intact; 1: the store is damaged, or data was lost; 2: invalid command line; 3: not
+//   done (the store is in use, missing, another one than expected, of a newer format, or the disk failed); standard error
+//   has the reason.
 #pragma once
 
 #include <functional>
@@ -11,7 +12,7 @@
 
 namespace flaxdoor::apps {
 
-// Adds the commands to the program; each sets what is to be done when it was given.
-void add_store(CLI::App& program, std::function<int()>& todo);
+// Adds the commands to the program. A command that was given sets `action` to what it does.
+void add_store_commands(CLI::App& program, std::function<int()>& action);
 
 }  // namespace flaxdoor::apps
--- a/src/engine/budgets.h
+++ b/src/engine/budgets.h
@@ -1,10 +1,10 @@
-// A balancer's part in the fleet's budgets, put together: its holder, the agent that asks the coordinator, and the admission
-// that the core is given. Made only where the operator's file has [budget].
+// A balancer's lease of the fleet-wide budgets: the lease holder, the agent that requests leases from the coordinator, and
+// the admission check that the core uses. Created only if the operator's file has [budget].
 //
-// Threading: the executor's one thread at a time.   Ownership: executor and log are borrowed and outlive it; it outlives the
-//            core.
-// Errors:    the constructor throws std::invalid_argument where the balancer has no name that a coordinator could know it
-//            by, or no random bytes are to be had.
+// Threading: the executor's one thread at a time.
+// Ownership: executor and log are borrowed and outlive it; it outlives the core.
+// Errors:    the constructor throws std::invalid_argument if the balancer has no name that the coordinator accepts, or if
+//            no random bytes are available.
 #pragma once
 
 #include <memory>
@@ -18,10 +18,10 @@
 
 namespace flaxdoor::engine {
 
-class Budgets {
+class FleetBudgets {
 public:
-    Budgets(const loop::Executor& executor, core::Log& log, const Config& config,
-            const settings::Values& operators);
+    FleetBudgets(const loop::Executor& executor, core::Log& log, const Config& config,
+                 const settings::Values& operators);
 
     core::Admission& admission() { return admission_; }
     void start() { agent_.start(); }
@@ -34,8 +34,9 @@
     budget::Admission admission_;
 };
 
-// Null without [budget].
-[[nodiscard]] std::unique_ptr<Budgets> make_budgets(const loop::Executor& executor, core::Log& log,
-                                                    const Config& config, const settings::Values& operators);
+// Returns null without [budget].
+[[nodiscard]] std::unique_ptr<FleetBudgets> make_fleet_budgets(const loop::Executor& executor, core::Log& log,
+                                                               const Config& config,
+                                                               const settings::Values& operators);
 
 }  // namespace flaxdoor::engine
--- a/src/engine/config.cpp
+++ b/src/engine/config.cpp
@@ -16,7 +16,8 @@
 
 using nlohmann::json;
 
-std::string plain(const json& value) {
+// Formats a scalar for a flattened line, in which blanks, commas and line ends are separators.
+std::string scalar_text(const json& value) {
     std::string text = value.is_string() ? value.get<std::string>() : value.dump();
     for (char& c : text) {
         if (c == ' ' || c == ',' || c == '\n' || c == '\r') c = '_';
@@ -25,27 +26,28 @@
 }
 
 void flatten_into(std::string& lines, const std::string& path, const json& value) {
-    const auto below = [&](const std::string& name) { return path.empty() ? name : path + "." + name; };
+    const auto child_path = [&](const std::string& name) { return path.empty() ? name : path + "." + name; };
     if (value.is_object()) {
-        for (const auto& [name, member] : value.items()) flatten_into(lines, below(name), member);
+        for (const auto& [name, member] : value.items()) flatten_into(lines, child_path(name), member);
     } else if (value.is_array() && !value.empty() && value.front().is_object()) {
-        lines += below("count") + "=" + std::to_string(value.size()) + "\n";
+        lines += child_path("count") + "=" + std::to_string(value.size()) + "\n";
         for (std::size_t i = 0; i < value.size(); ++i) {
-            flatten_into(lines, below(std::to_string(i)), value[i]);
+            flatten_into(lines, child_path(std::to_string(i)), value[i]);
         }
     } else if (value.is_array()) {
         lines += path + "=";
         for (std::size_t i = 0; i < value.size(); ++i) {
             if (i > 0) lines += ',';
-            lines += plain(value[i]);
+            lines += scalar_text(value[i]);
         }
         lines += "\n";
     } else if (!value.is_null()) {
-        lines += path + "=" + plain(value) + "\n";
+        lines += path + "=" + scalar_text(value) + "\n";
     }
 }
 
-std::vector<std::string> strings(const json& settings, const char* name) {
+// Returns the strings of a list in the settings; none if it is missing.
+std::vector<std::string> string_list(const json& settings, const char* name) {
     std::vector<std::string> items;
     const auto found = settings.find(name);
     if (found == settings.end() || !found->is_array()) return items;
@@ -55,7 +57,7 @@
     return items;
 }
 
-// The classes and tenants by the names that messages hold, which the flattened form may have altered.
+// Restores the names of classes and tenants as messages use them; flattening may have replaced characters.
 template <typename Items>
 void restore_names(Items& items, const json& settings, const char* list) {
     for (std::size_t i = 0; i < items.size(); ++i) items[i].name = settings.at(list).at(i).at("name");
@@ -72,55 +74,60 @@
     return value;
 }
 
-// Guards against a start, or a reload, with settings that can be read and make no sense. The first fault is told, by its
-// key in the file, with what it holds and what it may hold.
-class Sense {
+// Validates settings that could be parsed, so that a start or a reload does not use contradictory values. Reports the first
+// fault with its key in the file, its value, and the permitted values.
+class Validator {
 public:
-    explicit Sense(const json& settings) : settings_(settings) {}
-
-    void check(const Settings& s) const {
-        require(s.balancers >= 1, "siblings", "at least 1");
-        require(s.rank >= 0 && s.rank < s.balancers, "rank", "from 0, and below siblings");
-        // Without zones there is nobody to send to, which a host may fill in later.
-        require(s.zone >= 0 && (s.zones == 0 || s.zone < s.zones), "zone",
-                "the place of one of zones, from 0");
-        require(s.tick > Micros{0}, "tick", "above 0 ms");
-        require(s.max_attempts >= 1, "limits.max_attempts", "at least 1");
-        require(s.over_share_worth >= 0 && s.over_share_worth <= 1, "over_share_worth", "from 0 to 1");
-        require(s.cold_share > 0 && s.cold_share <= 1, "invariants.cold_from", "above 0, at most 1");
-        require(s.fall_span <= Micros{0} || s.fall_multiple > 0, "invariants.fall_multiple",
-                "above 0 where fall is told");
-        require(!s.must_ask_list || s.ask_within > Micros{0}, "invariants.ask_within",
-                "above 0 ms where lists are asked for");
-        for (std::size_t i = 0; i < s.classes.size(); ++i) check_class("services", i, s.classes[i]);
-        for (std::size_t i = 0; i < s.tenants.size(); ++i) {
-            const auto& t = s.tenants[i];
-            require(t.quota_per_s >= 0, key("tenants", i, "quota_rps"),
+    explicit Validator(const json& settings) : json_(settings) {}
+
+    void check(const Settings& settings) const {
+        require(settings.balancers >= 1, "siblings", "at least 1");
+        require(settings.rank >= 0 && settings.rank < settings.balancers, "rank",
+                "from 0, and below siblings");
+        // Without zones there are no upstreams; the host may provide them later.
+        require(settings.zone >= 0 && (settings.zones == 0 || settings.zone < settings.zones), "zone",
+                "an index into zones, from 0");
+        require(settings.tick > Micros{0}, "tick", "above 0 ms");
+        require(settings.max_attempts >= 1, "limits.max_attempts", "at least 1");
+        require(settings.over_share_worth >= 0 && settings.over_share_worth <= 1, "over_share_worth",
+                "from 0 to 1");
+        require(settings.cold_share > 0 && settings.cold_share <= 1, "invariants.cold_from",
+                "above 0, at most 1");
+        require(settings.fall_span <= Micros{0} || settings.fall_multiple > 0, "invariants.fall_multiple",
+                "above 0 where invariants.fall is given");
+        require(!settings.must_ask_list || settings.ask_within > Micros{0}, "invariants.ask_within",
+                "above 0 ms where registry_mode is \"ask\"");
+        for (std::size_t i = 0; i < settings.classes.size(); ++i)
+            check_class("services", i, settings.classes[i]);
+        for (std::size_t i = 0; i < settings.tenants.size(); ++i) {
+            const auto& tenant = settings.tenants[i];
+            require(tenant.quota_per_s >= 0, key("tenants", i, "quota_rps"),
                     "0 (none) or more, in requests a second");
-            require(t.fraction >= 0 && t.fraction <= 1, key("tenants", i, "fraction"), "a share from 0 to 1");
+            require(tenant.fraction >= 0 && tenant.fraction <= 1, key("tenants", i, "fraction"),
+                    "a share from 0 to 1");
         }
-        check_names("services", s.classes);
-        check_names("tenants", s.tenants);
+        check_names("services", settings.classes);
+        check_names("tenants", settings.tenants);
     }
 
 private:
-    void check_class(const char* list, std::size_t i, const ClassSettings& c) const {
-        require(c.aim > Micros{0}, key(list, i, "aim"), "above 0 ms");
-        require(c.deadline >= c.aim, key(list, i, "hard_limit"), "at least its aim, in ms");
-        require(c.worth >= 0, key(list, i, "worth"), "0 or more");
-        require(c.late_worth >= 0 && c.late_worth <= 1, key(list, i, "late_worth"),
+    void check_class(const char* list, std::size_t i, const ClassSettings& settings) const {
+        require(settings.aim > Micros{0}, key(list, i, "aim"), "above 0 ms");
+        require(settings.deadline >= settings.aim, key(list, i, "hard_limit"), "at least its aim, in ms");
+        require(settings.worth >= 0, key(list, i, "worth"), "0 or more");
+        require(settings.late_worth >= 0 && settings.late_worth <= 1, key(list, i, "late_worth"),
                 "a share of worth, from 0 to 1");
-        require(c.effect != Effect::keyed || c.window > Micros{0}, key(list, i, "window"),
+        require(settings.effect != Effect::keyed || settings.window > Micros{0}, key(list, i, "window"),
                 "above 0 ms where effect is \"deduplicated\"");
     }
 
     template <typename Named>
-    void check_names(const char* list, const std::vector<Named>& all) const {
+    void check_names(const char* list, const std::vector<Named>& entries) const {
         std::unordered_set<std::string_view> names;
-        for (std::size_t i = 0; i < all.size(); ++i) {
-            require(!all[i].name.empty(), key(list, i, "name"), "what requests call it by");
-            require(names.insert(all[i].name).second, key(list, i, "name"),
-                    "another name than those before it");
+        for (std::size_t i = 0; i < entries.size(); ++i) {
+            require(!entries[i].name.empty(), key(list, i, "name"), "a name that is not empty");
+            require(names.insert(entries[i].name).second, key(list, i, "name"),
+                    "a name that no entry before it has");
         }
     }
 
@@ -128,19 +135,21 @@
         return std::string(list) + "." + std::to_string(i) + "." + name;
     }
 
-    void require(bool holds, const std::string& path, const char* what) const {
+    void require(bool holds, const std::string& path, const char* permitted) const {
         if (holds) return;
-        const json* value = &settings_;
+        const json* value = &json_;
         std::istringstream parts(path);
         for (std::string part; value && std::getline(parts, part, '.');) {
-            const bool place = value->is_array();
-            value = place ? &value->at(std::stoul(part)) : value->contains(part) ? &value->at(part) : nullptr;
+            const bool is_index = value->is_array();
+            value = is_index                ? &value->at(std::stoul(part))
+                    : value->contains(part) ? &value->at(part)
+                                            : nullptr;
         }
         throw std::invalid_argument("settings." + path + " is " + (value ? value->dump() : "missing") +
-                                    ", must be " + what);
+                                    ", must be " + permitted);
     }
 
-    const json& settings_;
+    const json& json_;
 };
 
 }  // namespace
@@ -152,33 +161,33 @@
 }
 
 Config parse_config(std::string_view text) {
-    const json config = json::parse(text);
-    const json& settings = config.at("settings");
-    Config c;
-    c.name = config.value("name", "");
-    c.settings = wire::parse_facts(flatten(settings));
-    restore_names(c.settings.classes, settings, "services");
-    restore_names(c.settings.tenants, settings, "tenants");
-    Sense(settings).check(c.settings);
-    c.seed = parse_seed(config.at("seed"));
-    c.listen = loop::parse_endpoint(config.at("listen").get<std::string>());
-    c.discovery = loop::parse_endpoint(config.at("discovery").get<std::string>());
-    if (const auto limits = config.find("limits"); limits != config.end()) {
-        const json sockets = limits->value("sockets", json(c.sockets));
+    const json document = json::parse(text);
+    const json& settings = document.at("settings");
+    Config config;
+    config.name = document.value("name", "");
+    config.settings = wire::parse_facts(flatten(settings));
+    restore_names(config.settings.classes, settings, "services");
+    restore_names(config.settings.tenants, settings, "tenants");
+    Validator(settings).check(config.settings);
+    config.seed = parse_seed(document.at("seed"));
+    config.listen = loop::parse_endpoint(document.at("listen").get<std::string>());
+    config.discovery = loop::parse_endpoint(document.at("discovery").get<std::string>());
+    if (const auto limits = document.find("limits"); limits != document.end()) {
+        const json sockets = limits->value("sockets", json(config.sockets));
         if (!sockets.is_number_unsigned() || sockets == 0)
             throw std::invalid_argument("limits.sockets is " + sockets.dump() +
                                         ", must be a whole number above 0");
-        c.sockets = sockets.get<std::size_t>();
+        config.sockets = sockets.get<std::size_t>();
     }
     if (const auto reports = settings.find("load_report"); reports != settings.end()) {
-        c.report_fields = strings(*reports, "fields");
+        config.report_fields = string_list(*reports, "fields");
     }
-    c.names = {strings(settings, "zones"), strings(settings, "flavors")};
-    if (const auto known = config.find("known"); known != config.end()) {
-        c.known = membership::parse_list(known->dump(), c.names);
+    config.names = {string_list(settings, "zones"), string_list(settings, "flavors")};
+    if (const auto known = document.find("known"); known != document.end()) {
+        config.known = membership::parse_list(known->dump(), config.names);
     }
-    c.known.kind = ListKind::cached;
-    return c;
+    config.known.kind = ListKind::cached;
+    return config;
 }
 
 Config load_config(const std::string& path) {
--- a/src/engine/config.h
+++ b/src/engine/config.h
@@ -1,7 +1,7 @@
-// The configuration as the platform hands it over (NODE_CONFIG): JSON in, settings and addresses out. The
-// format is the platform's (its deployment page).
+// Reads the platform's configuration (the file that NODE_CONFIG names): JSON to settings and addresses. The platform's
+// deployment page defines the format.
 //
-// Errors: std::runtime_error or std::invalid_argument, saying in one line what is missing or can't be read.
+// Errors: std::runtime_error or std::invalid_argument with a one-line message: what is missing or cannot be read.
 #pragma once
 
 #include <cstdint>
@@ -23,9 +23,9 @@
     std::uint64_t seed = 0;
     loop::tcp::endpoint listen;
     loop::tcp::endpoint discovery;
-    std::size_t sockets = 1024;  // descriptors that it may hold
+    std::size_t sockets = 1024;  // limit on open file descriptors
 
-    // As the settings name them, in their order: what messages hold are these names.
+    // The names that messages use, in the order of the settings.
     std::vector<std::string> report_fields;
     membership::ListNames names;
     core::MemberList known;  // of kind `cached`
@@ -34,7 +34,7 @@
 [[nodiscard]] Config parse_config(std::string_view text);
 [[nodiscard]] Config load_config(const std::string& path);
 
-// Nested JSON as the lines path=value that the simulator's wire has, for the one reader of settings.
+// Flattens nested JSON to lines path=value, the format of the simulator's messages, so that one reader serves both.
 [[nodiscard]] std::string flatten(const nlohmann::json& settings);
 
 }  // namespace flaxdoor::engine
--- a/src/engine/door_terms.cpp
+++ b/src/engine/door_terms.cpp
@@ -22,40 +22,40 @@
     door::Terms terms;
     for (const auto& each : settings.tenants) {
         std::string name = each.name;
-        // Nobody is of the second: whoever asks is of the first of that name. Its place stays.
+        // A second tenant of the same name keeps its index but gets no requests: they all count for the first one.
         while (door::place_of(terms.tenants, name)) name += " again";
         if (name != each.name) log("the platform names tenant " + each.name + " twice");
         terms.tenants.push_back(
             {name, each.fraction > 0 ? std::clamp(each.fraction * 100, 0.001, 1e6) : 1, {}});
     }
     if (terms.tenants.size() > 256) {
-        log("more than 256 tenants; the rest share one place");
+        log("more than 256 tenants; those beyond share one entry");
         terms.tenants.resize(256);
     }
     terms.others = {"others", table.get(keys::others_weight), {}};
     for (const auto& row : operators.rows("door_tenant")) {
         const auto name = row.get(keys::tenant_name);
-        const auto its = std::find_if(terms.tenants.begin(), terms.tenants.end(),
-                                      [&](const auto& each) { return each.name == name; });
-        if (its == terms.tenants.end()) {
+        const auto found = std::find_if(terms.tenants.begin(), terms.tenants.end(),
+                                        [&](const auto& each) { return each.name == name; });
+        if (found == terms.tenants.end()) {
             log("the platform names no tenant " + name);
             continue;
         }
-        its->weight = row.get(keys::tenant_weight);
-        its->limits =
+        found->weight = row.get(keys::tenant_weight);
+        found->limits =
             limits_of(row.get(keys::tenant_open), row.get(keys::tenant_rate), row.get(keys::tenant_burst));
     }
     for (const auto& each : settings.classes)
         terms.classes.push_back({each.name, each.worth, each.aim / 4, {}});
     for (const auto& row : operators.rows("door_class")) {
         const auto name = row.get(keys::class_name);
-        const auto its = std::find_if(terms.classes.begin(), terms.classes.end(),
-                                      [&](const auto& each) { return each.name == name; });
-        if (its == terms.classes.end()) {
+        const auto found = std::find_if(terms.classes.begin(), terms.classes.end(),
+                                        [&](const auto& each) { return each.name == name; });
+        if (found == terms.classes.end()) {
             log("the platform names no class " + name);
             continue;
         }
-        its->limits =
+        found->limits =
             limits_of(row.get(keys::class_open), row.get(keys::class_rate), row.get(keys::class_burst));
     }
     terms.client =
--- a/src/engine/door_terms.h
+++ b/src/engine/door_terms.h
@@ -1,5 +1,5 @@
-// The door's terms from the platform's settings (who there is) and the operator's file (what they get).
-// `log` is told of rows for tenants and classes that the platform does not name. No state, any thread.
+// Computes the options of the admission queue from the platform's settings (which tenants and classes exist) and the
+// operator's file (their limits and weights). No state; may be called on any thread.
 #pragma once
 
 #include <functional>
@@ -11,6 +11,7 @@
 
 namespace flaxdoor::engine {
 
+// `log` receives a message for each row of a tenant or class that the platform does not name.
 [[nodiscard]] door::Terms door_terms(const Settings& settings, const settings::Values& operators,
                                      const std::function<void(const std::string&)>& log);
 
--- a/src/engine/doorway.cpp
+++ b/src/engine/doorway.cpp
@@ -19,7 +19,7 @@
 door::Tokens::Secret new_secret() {
     door::Tokens::Secret secret{};
     if (RAND_bytes(secret.data(), static_cast<int>(secret.size())) != 1)
-        throw std::invalid_argument("[door]: no random bytes for its key");
+        throw std::invalid_argument("[door]: no random bytes available for the key of retry tokens");
     return secret;
 }
 
@@ -34,26 +34,28 @@
 
 }  // namespace
 
-Doorway::Doorway(const door::Gate::World& world, core::Log& log, http::Handler& handler,
-                 const Settings& settings, const settings::Values& operators, std::uint64_t seed)
+AdmissionQueueHandler::AdmissionQueueHandler(const door::Gate::World& world, core::Log& log,
+                                             http::Handler& handler, const Settings& settings,
+                                             const settings::Values& operators, std::uint64_t seed)
     : log_(log),
       handler_(handler),
       client_header_(header_of(operators)),
       gate_(world, terms_of(settings, operators), options_of(settings, operators), seed, new_secret()) {}
 
-door::Terms Doorway::terms_of(const Settings& settings, const settings::Values& operators) const {
+door::Terms AdmissionQueueHandler::terms_of(const Settings& settings,
+                                            const settings::Values& operators) const {
     return door_terms(settings, operators,
                       [this](const std::string& what) { log_.tell(log::events::door_terms, what); });
 }
 
-void Doorway::change(const Settings& settings, const settings::Values& operators) {
+void AdmissionQueueHandler::apply_settings(const Settings& settings, const settings::Values& operators) {
     gate_.change(terms_of(settings, operators), options_of(settings, operators));
     client_header_ = header_of(operators);
 }
 
-void Doorway::tell() const {
-    const door::Figures all = gate_.figures();
-    for (const auto& each : all.tenants) {
+void AdmissionQueueHandler::log_figures() const {
+    const door::Figures figures = gate_.figures();
+    for (const auto& each : figures.tenants) {
         if (each.came == 0) continue;
         std::string line = "came " + std::to_string(each.came) + ", handed " + std::to_string(each.handed) +
                            ", left " + std::to_string(each.left) + ", waiting " +
@@ -65,13 +67,13 @@
         }
         log_.tell(log::events::door_tenant, each.name,
                   line + ", promised " + std::to_string(each.promised) + ", returned " +
-                      std::to_string(each.returned) + ", without a token that counts " +
+                      std::to_string(each.returned) + ", with an invalid token " +
                       std::to_string(each.unheeded));
     }
 }
 
-std::variant<http::Handler::Answer, http::Handler::Ask> Doorway::on_request(http::Request message,
-                                                                            const From& from) {
+std::variant<http::Handler::Answer, http::Handler::Ask> AdmissionQueueHandler::on_request(
+    http::Request message, const From& from) {
     std::string client;
     if (!client_header_.empty()) client = message.fields[client_header_];
     if (client.empty()) client = from.peer().address().to_string();
@@ -80,13 +82,13 @@
     return handler_.on_request(std::move(message), from);
 }
 
-http::Response Doorway::on_final(core::Final final, http::Asked* asked) {
+http::Response AdmissionQueueHandler::on_final(core::Final final, http::Asked* asked) {
     http::Response response = handler_.on_final(std::move(final), asked);
     if (!gate_.telling().empty()) response.fields.set(token_field, gate_.telling());
     return response;
 }
 
-http::Handler::Answer Doorway::on_not_taken(core::Taken taken, http::Asked* asked) {
+http::Handler::Answer AdmissionQueueHandler::on_not_taken(core::Taken taken, http::Asked* asked) {
     return handler_.on_not_taken(taken, asked);
 }
 
--- a/src/engine/doorway.h
+++ b/src/engine/doorway.h
@@ -1,8 +1,8 @@
-// The door (door/gate.h) for HTTP: a handler that reads who asks, ahead of the one that knows what the requests
-// mean, and puts the token to come back with into a refusal. Without [door] there is none, and the front calls
-// the core.
+// Connects the admission queue (door/gate.h) to HTTP: a handler in front of the one that interprets the requests. It
+// identifies the client and adds the retry token to rejections. Without [door] it is not created, and the listener calls the
+// core directly.
 //
-// Threading, ownership, errors: as of the gate.
+// Threading, ownership, errors: as for door::Gate.
 #pragma once
 
 #include <string>
@@ -13,17 +13,17 @@
 
 namespace flaxdoor::engine {
 
-class Doorway final : public http::Handler {
+class AdmissionQueueHandler final : public http::Handler {
 public:
-    // `handler`: what the requests mean.
-    Doorway(const door::Gate::World& world, core::Log& log, http::Handler& handler, const Settings& settings,
-            const settings::Values& operators, std::uint64_t seed);
+    // `handler` interprets the requests.
+    AdmissionQueueHandler(const door::Gate::World& world, core::Log& log, http::Handler& handler,
+                          const Settings& settings, const settings::Values& operators, std::uint64_t seed);
 
     door::Gate& gate() { return gate_; }
     const door::Gate& gate() const { return gate_; }
-    void change(const Settings& settings, const settings::Values& operators);
-    // One line for each tenant, to the log.
-    void tell() const;
+    void apply_settings(const Settings& settings, const settings::Values& operators);
+    // Logs the counters of each tenant that sent requests, one line per tenant.
+    void log_figures() const;
 
     std::variant<Answer, Ask> on_request(http::Request message, const From& from) override;
     http::Response on_final(core::Final final, http::Asked* asked) override;
@@ -34,7 +34,7 @@
 
     core::Log& log_;
     http::Handler& handler_;
-    std::string client_header_;  // empty: the address
+    std::string client_header_;  // names the client; empty: the peer's address does
     door::Gate gate_;
 };
 
--- a/src/engine/engine.cpp
+++ b/src/engine/engine.cpp
@@ -29,24 +29,25 @@
 namespace {
 
 constexpr const char* pool_name = "api";
-constexpr auto drain_poll = std::chrono::milliseconds(10);
-// Descriptors for what is neither a client's nor an upstream's.
-constexpr std::size_t spare_sockets = 32;
+constexpr auto drain_poll_interval = std::chrono::milliseconds(10);
+// File descriptors reserved for everything except connections to clients and upstreams.
+constexpr std::size_t reserved_sockets = 32;
 
-std::size_t sockets_of(const Config& config) {
-    return std::max<std::size_t>(config.sockets, spare_sockets + 4) - spare_sockets;
+// Returns how many connections to clients and upstreams may be open.
+std::size_t connection_limit(const Config& config) {
+    return std::max<std::size_t>(config.sockets, reserved_sockets + 4) - reserved_sockets;
 }
 
-std::size_t part(std::size_t sockets, double share) {
-    return static_cast<std::size_t>(static_cast<double>(sockets) * share);
+std::size_t fraction_of(std::size_t sockets, double fraction) {
+    return static_cast<std::size_t>(static_cast<double>(sockets) * fraction);
 }
 
 http::FrontLimits front_limits(const settings::Values& operators, std::size_t sockets,
-                               std::size_t for_clients) {
+                               std::size_t max_client_connections) {
     namespace keys = settings::http;
     http::FrontLimits limits;
-    limits.most = for_clients;
-    limits.asked = part(sockets, operators.get(keys::keepalive_share));
+    limits.most = max_client_connections;
+    limits.asked = fraction_of(sockets, operators.get(keys::keepalive_share));
     limits.request = operators.get(keys::request_timeout);
     limits.idle = operators.get(keys::idle_timeout);
     limits.idle_crowded = operators.get(keys::idle_timeout_crowded);
@@ -56,7 +57,7 @@
     return limits;
 }
 
-core::Options core_options(const settings::Values& operators, std::size_t open_calls, Budgets* budgets) {
+core::Options core_options(const settings::Values& operators, std::size_t open_calls, FleetBudgets* budgets) {
     core::Options options;
     if (budgets) options.admission = &budgets->admission();
     options.open_calls = open_calls;
@@ -69,16 +70,17 @@
     return options;
 }
 
-membership::RosterLimits roster_limits(const settings::Values& operators) {
-    membership::RosterLimits limits;
-    limits.line_most = static_cast<std::size_t>(operators.get(settings::membership::max_line_bytes).count);
+membership::DiscoveryLimits discovery_limits(const settings::Values& operators) {
+    membership::DiscoveryLimits limits;
+    limits.max_line_size =
+        static_cast<std::size_t>(operators.get(settings::membership::max_line_bytes).count);
     limits.answer = operators.get(settings::membership::answer_timeout);
     limits.silence = operators.get(settings::membership::silence_timeout);
     return limits;
 }
 
-// A host that asks for nothing: only whether the module takes the settings is of interest.
-class Nobody final : public Actions {
+// Ignores all actions: it is used only to construct a Policy, which validates the settings.
+class NullActions final : public Actions {
     void submit(RequestId, UpstreamId, Micros) override {}
     void refuse(RequestId, Micros) override {}
     void fail(RequestId) override {}
@@ -96,8 +98,8 @@
 }  // namespace
 
 void check_settings(const Settings& settings) {
-    Nobody nobody;
-    Policy(settings, 0, Time{}, nobody);
+    NullActions actions;
+    Policy(settings, 0, Time{}, actions);
 }
 
 class Engine::Impl {
@@ -110,63 +112,68 @@
           open_calls_(options.open_calls),
           keep_taking_(options.keep_taking),
           on_operators_(std::move(options.on_operators)),
-          sockets_(sockets_of(config_)),
-          for_clients_(options.listens ? part(sockets_, operators_.get(settings::http::client_share)) : 0),
+          max_connections_(connection_limit(config_)),
+          max_client_connections_(
+              options.listens ? fraction_of(max_connections_, operators_.get(settings::http::client_share))
+                              : 0),
           alarm_(executor, clock_),
-          door_alarm_(executor, clock_),
-          budgets_(make_budgets(executor, log, config_, operators_)),
+          queue_alarm_(executor, clock_),
+          budgets_(make_fleet_budgets(executor, log, config_, operators_)),
           core_(clock_, alarm_, log, core_options(operators_, open_calls_, budgets_.get())),
-          budget_{sockets_ - for_clients_, 0},
-          back_(executor, core_, clock_, budget_, back_options()),
-          timer_(executor) {
+          connection_budget_{max_connections_ - max_client_connections_, 0},
+          upstream_connections_(executor, core_, clock_, connection_budget_, upstream_options()),
+          drain_timer_(executor) {
         alarm_.on_due([this] { core_.on_alarm(); });
         if (operators_.given("store")) {
-            auto its = Keeper::options_of(operators_);
-            its.open_folder = std::move(options.open_folder);
+            auto keeper_options = Keeper::options_of(operators_);
+            keeper_options.open_folder = std::move(options.open_folder);
             keeper_ = std::make_unique<Keeper>(
-                executor, log_, clock_, std::move(its),
+                executor, log_, clock_, std::move(keeper_options),
                 recovery::History{loop::text_of(config_.discovery), pool_name, config_.name});
             config_.known = keeper_->begin(std::move(config_.known), config_.settings);
         }
         if (options.asks_roster) {
-            roster_ = std::make_unique<membership::Roster>(
+            discovery_ = std::make_unique<membership::DiscoveryClient>(
                 executor, log, config_.discovery, config_.names, !config_.settings.must_ask_list,
                 config_.seed, [this](core::MemberList list) { take_list(std::move(list)); });
-            roster_->start_from(config_.known.version);
+            discovery_->start_from(config_.known.version);
         }
-        pool_ = core_.add_pool({pool_name, config_.settings, config_.seed}, back_, roster_.get());
+        pool_ = core_.add_pool({pool_name, config_.settings, config_.seed}, upstream_connections_,
+                               discovery_.get());
         core_.on_list(pool_, std::move(config_.known));
         if (keeper_)
             keeper_->remember([this](UpstreamId upstream) { return core_.learned(pool_, upstream); });
         if (options.listens) {
             handler_ = std::make_unique<http::PlatformHandler>(core_, pool_);
             if (operators_.given("door")) {
-                doorway_ = std::make_unique<Doorway>(door::Gate::World{core_, clock_, door_alarm_}, log_,
-                                                     *handler_, config_.settings, operators_, config_.seed);
-                door_alarm_.on_due([this] { doorway_->gate().on_alarm(); });
+                queue_ = std::make_unique<AdmissionQueueHandler>(
+                    door::Gate::World{core_, clock_, queue_alarm_}, log_, *handler_, config_.settings,
+                    operators_, config_.seed);
+                queue_alarm_.on_due([this] { queue_->gate().on_alarm(); });
             }
-            http::Handler& handler = doorway_ ? static_cast<http::Handler&>(*doorway_) : *handler_;
-            front_ = std::make_unique<http::Front>(
-                executor, core_, handler, clock_, front_limits(operators_, sockets_, for_clients_),
-                http::Front::MakeChannel{}, doorway_ ? &doorway_->gate() : nullptr);
+            http::Handler& handler = queue_ ? static_cast<http::Handler&>(*queue_) : *handler_;
+            listener_ = std::make_unique<http::Front>(
+                executor, core_, handler, clock_,
+                front_limits(operators_, max_connections_, max_client_connections_),
+                http::Front::MakeChannel{}, queue_ ? &queue_->gate() : nullptr);
         }
-        begin_sides(options.sides);
-        use_operators();
+        create_sides(options.sides);
+        apply_operators();
         if (budgets_) budgets_->start();
-        if (roster_ && !config_.settings.must_ask_list) roster_->watch();
-        if (!front_) return;
-        front_->listen(config_.listen);
-        log_.tell(log::events::listening, loop::text_of(front_->address()));
+        if (discovery_ && !config_.settings.must_ask_list) discovery_->watch();
+        if (!listener_) return;
+        listener_->listen(config_.listen);
+        log_.tell(log::events::listening, loop::text_of(listener_->address()));
     }
 
     ~Impl() {
-        front_.reset();  // it leaves what is open
+        listener_.reset();  // abandons the open calls
         sides_.clear();
         core_.remove_pool(pool_);
     }
 
     std::optional<loop::tcp::endpoint> address() const {
-        return front_ ? std::optional(front_->address()) : std::nullopt;
+        return listener_ ? std::optional(listener_->address()) : std::nullopt;
     }
     core::Core& core() { return core_; }
     core::PoolId pool() const { return pool_; }
@@ -175,20 +182,21 @@
     void reconfigure(const Config& config) {
         if (drained_) return;
         if (config.settings != config_.settings || config.report_fields != config_.report_fields) {
-            // What waits at the door goes by the new numbers before any of it can be handed over.
-            if (doorway_) {
+            // The admission queue applies the new settings first, because it must not pass a queued call to the core with
+            // the indexes of the old ones.
+            if (queue_) {
                 check_settings(config.settings);
-                doorway_->change(config.settings, operators_);
+                queue_->apply_settings(config.settings, operators_);
             }
             core_.change_pool(pool_, config.settings);
             config_.settings = config.settings;
             config_.report_fields = config.report_fields;
-            back_.set_options(back_options());
+            upstream_connections_.set_options(upstream_options());
             log_.tell(log::events::settings_taken);
         }
-        if (!roster_) return log_.tell(log::events::configuration_taken);
+        if (!discovery_) return log_.tell(log::events::configuration_taken);
         log_.tell(log::events::discovery_taken, loop::text_of(config.discovery));
-        roster_->move_to(config.discovery);
+        discovery_->move_to(config.discovery);
         if (keeper_) keeper_->move_to(loop::text_of(config.discovery));
     }
 
@@ -206,11 +214,11 @@
             log_.tell(log::events::operators_held, settings::line_of(each));
         }
         operators_ = std::move(reload.values);
-        use_operators();
-        if (doorway_) doorway_->change(config_.settings, operators_);
-        bool all = true;
-        for (const auto& side : sides_) all = side->change(operators_) && all;
-        return all;
+        apply_operators();
+        if (queue_) queue_->apply_settings(config_.settings, operators_);
+        bool all_applied = true;
+        for (const auto& side : sides_) all_applied = side->change(operators_) && all_applied;
+        return all_applied;
     }
 
     void take_list(core::MemberList list) {
@@ -223,86 +231,92 @@
         draining_ = true;
         on_drained_ = std::move(drained);
         log_.tell(log::events::draining);
-        Micros longest{};
-        for (const auto& c : config_.settings.classes) longest = std::max(longest, c.deadline);
-        for (const auto& side : sides_) longest = std::max(longest, side->longest_deadline());
-        const Micros keep_accepting = front_ ? keep_accepting_ : keep_taking_;
-        if (front_) front_->begin_drain();
-        if (doorway_) doorway_->gate().begin_drain();
+        Micros longest_deadline{};
+        for (const auto& call_class : config_.settings.classes)
+            longest_deadline = std::max(longest_deadline, call_class.deadline);
+        for (const auto& side : sides_)
+            longest_deadline = std::max(longest_deadline, side->longest_deadline());
+        const Micros keep_accepting = listener_ ? keep_accepting_ : keep_taking_;
+        if (listener_) listener_->begin_drain();
+        if (queue_) queue_->gate().begin_drain();
         for (const auto& side : sides_) side->begin_drain();
-        drain_end_ = clock_.now() + keep_accepting + longest + end_slack_;
-        wind_down_after(keep_accepting);
+        drain_end_ = clock_.now() + keep_accepting + longest_deadline + end_slack_;
+        finish_drain_after(keep_accepting);
     }
 
     bool drained() const { return drained_; }
     core::Figures figures() const { return core_.figures(); }
     std::optional<door::Figures> door() const {
-        return doorway_ ? std::optional(doorway_->gate().figures()) : std::nullopt;
+        return queue_ ? std::optional(queue_->gate().figures()) : std::nullopt;
+    }
+    std::size_t servers() const { return upstream_connections_.known(); }
+    std::size_t connections() const {
+        return connection_budget_.open + (listener_ ? listener_->figures().connections : 0);
     }
-    std::size_t servers() const { return back_.known(); }
-    std::size_t connections() const { return budget_.open + (front_ ? front_->figures().connections : 0); }
 
 private:
-    http::BackOptions back_options() const {
+    http::BackOptions upstream_options() const {
         return {config_.settings.connect_timeout, config_.settings.idle_close, config_.report_fields};
     }
 
-    void use_operators() {
-        if (front_) front_->set_limits(front_limits(operators_, sockets_, for_clients_));
-        if (roster_) roster_->set_limits(roster_limits(operators_));
+    void apply_operators() {
+        if (listener_)
+            listener_->set_limits(front_limits(operators_, max_connections_, max_client_connections_));
+        if (discovery_) discovery_->set_limits(discovery_limits(operators_));
         core_.set_own_limit(core_options(operators_, open_calls_, nullptr).own_limit);
         keep_accepting_ = operators_.get(settings::drain::keep_accepting);
         end_slack_ = operators_.get(settings::drain::end_slack);
         if (on_operators_) on_operators_(operators_);
     }
 
-    void begin_sides(const std::vector<SideMaker>& makers) {
+    void create_sides(const std::vector<SideMaker>& makers) {
         for (const SideMaker& maker : makers) {
             if (!operators_.given(maker.table)) continue;
             sides_.push_back(maker.make({executor_, core_, clock_, log_, operators_, config_.seed}));
         }
-        // Guards against a table that is thought to do something and does not.
-        if (operators_.given("door") && !doorway_)
+        // Rejects tables that this process would ignore: the operator would believe them to be in effect.
+        if (operators_.given("door") && !queue_)
             throw std::invalid_argument("[door] is served by the daemon only");
         for (const char* const table : {"postgres", "gateway"}) {
-            const bool served =
-                std::any_of(makers.begin(), makers.end(), [&](const auto& m) { return m.table == table; });
+            const bool served = std::any_of(makers.begin(), makers.end(),
+                                            [&](const auto& maker) { return maker.table == table; });
             if (operators_.given(table) && !served)
                 throw std::invalid_argument("[" + std::string(table) + "] is served by the daemon only");
         }
     }
 
-    void wind_down_after(Micros wait) {
-        timer_.expires_after(wait);
-        timer_.async_wait(alive_.guard([this](error_code error) {
-            if (!error) wind_down();
+    void finish_drain_after(Micros delay) {
+        drain_timer_.expires_after(delay);
+        drain_timer_.async_wait(alive_.guard([this](error_code error) {
+            if (!error) finish_drain();
         }));
     }
 
-    // Guards against a request lost at the end: one that is half here, or not yet read, is taken and answered
-    // too. A client that never ends its own is not waited for beyond the longest deadline.
-    void wind_down() {
-        bool others = (front_ && front_->wind_down()) || core_.figures().waiting > 0;
-        for (const auto& side : sides_) others = side->wind_down() || others;
-        if (others && clock_.now() < drain_end_) return wind_down_after(drain_poll);
+    // Ends the drain when no request is open. A request that is partly received or not yet read is still accepted and
+    // answered, so that none is lost at the end. A client that never completes its request is waited for no longer than the
+    // longest deadline.
+    void finish_drain() {
+        bool busy = (listener_ && listener_->wind_down()) || core_.figures().waiting > 0;
+        for (const auto& side : sides_) busy = side->wind_down() || busy;
+        if (busy && clock_.now() < drain_end_) return finish_drain_after(drain_poll_interval);
         drained_ = true;
         log_.tell(log::events::drained);
-        if (roster_) roster_->stop();
+        if (discovery_) discovery_->stop();
         core_.close();
-        if (doorway_) {
-            doorway_->gate().stop();
-            doorway_->tell();
+        if (queue_) {
+            queue_->gate().stop();
+            queue_->log_figures();
         }
-        // What was learned is asked for while the pool is there.
-        const auto end = [this] {
+        // The keeper reads the learned state here, while the pool still exists.
+        const auto on_finished = [this] {
             if (on_drained_) on_drained_();
         };
-        if (keeper_) keeper_->finish(end);
-        core_.remove_pool(pool_);  // answers all that is still open, while there is a front to tell it
-        if (front_) front_->stop();
+        if (keeper_) keeper_->finish(on_finished);
+        core_.remove_pool(pool_);  // answers the calls that are still open, while the listener still exists
+        if (listener_) listener_->stop();
         for (const auto& side : sides_) side->stop();
         if (budgets_) budgets_->leave();
-        if (!keeper_) end();
+        if (!keeper_) on_finished();
     }
 
     const loop::Executor executor_;
@@ -312,24 +326,24 @@
     const std::size_t open_calls_;
     const Micros keep_taking_;
     const std::function<void(const settings::Values&)> on_operators_;
-    const std::size_t sockets_;  // for clients and upstreams
-    const std::size_t for_clients_;
+    const std::size_t max_connections_;  // to clients and upstreams
+    const std::size_t max_client_connections_;
     Micros keep_accepting_{};
     Micros end_slack_{};
     loop::Clock clock_;
-    loop::Alarm alarm_, door_alarm_;
-    std::unique_ptr<Budgets> budgets_;  // with [budget]
+    loop::Alarm alarm_, queue_alarm_;
+    std::unique_ptr<FleetBudgets> budgets_;  // with [budget]
     core::Core core_;
-    http::ConnectionBudget budget_;
-    http::Back back_;
+    http::ConnectionBudget connection_budget_;
+    http::Back upstream_connections_;
     std::unique_ptr<Keeper> keeper_;
-    std::unique_ptr<membership::Roster> roster_;
+    std::unique_ptr<membership::DiscoveryClient> discovery_;
     core::PoolId pool_ = 0;
     std::unique_ptr<http::PlatformHandler> handler_;
-    std::unique_ptr<Doorway> doorway_;  // with [door]
-    std::unique_ptr<http::Front> front_;
+    std::unique_ptr<AdmissionQueueHandler> queue_;  // with [door]
+    std::unique_ptr<http::Front> listener_;
     std::vector<std::unique_ptr<Side>> sides_;
-    boost::asio::steady_timer timer_;
+    boost::asio::steady_timer drain_timer_;
     bool draining_ = false;
     Time drain_end_{};
     bool drained_ = false;
--- a/src/engine/engine.h
+++ b/src/engine/engine.h
@@ -1,12 +1,12 @@
-// All of it put together: one core with one pool, the HTTP back, the roster as its source, the HTTP front
-// where there is a listener, drain and reload. The daemon is a program over it, and the library another face
-// of it. It reads no environment, handles no signals and never stops a loop.
+// Assembles a complete balancer: one core with one pool, the HTTP connection pool to its upstreams, service discovery as its
+// source of lists, the HTTP listener if there is one, drain and reload. The daemon is a program over the engine, and the
+// library is another interface to it. The engine reads no environment, handles no signals and never stops a loop.
 //
-// Threading: the executor's one thread at a time.   Ownership: the log is borrowed and outlives it.
-// Waits:     the constructor, with a store, for what it holds (store.open_within); nothing after it.
+// Threading: the executor's one thread at a time.   Ownership: the log is borrowed and outlives the engine.
+// Blocking:  with a store, the constructor waits for what the store holds (store.open_within); nothing else blocks.
 // Errors:    the constructor throws std::invalid_argument when the settings contradict themselves, and
-//            boost::system::system_error when the address can't be listened on.
-// Life:      it may be destroyed at any time but from within its own callbacks; what is open then is not
+//            boost::system::system_error when the address cannot be listened on.
+// Lifetime:  it may be destroyed at any time except from within its own callbacks; calls that are open then are not
 //            answered.
 #pragma once
 
@@ -26,18 +26,18 @@
 
 struct EngineOptions {
     Config config;
-    settings::Values operators;
+    settings::Values operators;  // the operator's file
     bool listens = true;
-    bool asks_roster = true;  // else lists are handed in by take_list()
-    // Calls taken at once; 0: what the operator's file says.
+    bool asks_roster = true;  // uses service discovery; otherwise lists come through take_list()
+    // Limit on open calls; 0: the limit of the operator's file.
     std::size_t open_calls = 0;
-    // Without a listener: how long a drain goes on taking calls.
+    // Without a listener: how long a drain goes on accepting calls.
     Micros keep_taking{};
     // How the store's folder is opened, where the operator's file has a store.
     store::Store::OpenFolder open_folder = store::open_folder;
-    // Further fronts, each turned on by its table of the operator's file.
+    // Optional protocol front ends, each enabled by its table of the operator's file.
     std::vector<SideMaker> sides{};
-    // Told what counts of the operator's file, at the start and after each reload that is taken.
+    // Receives the settings in effect, at the start and after each reload that is applied.
     std::function<void(const settings::Values&)> on_operators{};
 };
 
@@ -48,28 +48,29 @@
     Engine(const Engine&) = delete;
     Engine& operator=(const Engine&) = delete;
 
-    // Of the listener.
+    // Returns the listener's address, if there is a listener.
     std::optional<loop::tcp::endpoint> address() const;
     core::Core& core();
     core::PoolId pool() const;
     const Config& config() const;
 
-    // Takes the settings where they differ (what was learned is kept where it still holds), and where
-    // discovery is. Throws std::invalid_argument, and nothing has changed then.
+    // Applies changed settings (keeping what was learned where it still applies) and the address of service discovery.
+    // Throws std::invalid_argument and changes nothing if the settings contradict themselves.
     void reconfigure(const Config& config);
-    // Takes from the operator's file what can change under way, and logs what does and what takes a restart.
-    // False when the new values do not go with those that take one: then nothing changes.
+    // Applies those settings of the operator's file that can change at run time. Logs which ones are applied and which take
+    // a restart. Returns false and changes nothing if the new values contradict settings that take a restart.
     bool set_operators(const settings::Values& wanted);
     void take_list(core::MemberList list);
 
-    // Serves on for a while, then answers what is held, ends, and calls `drained` once. Again: nothing new.
+    // Shuts down gracefully: accepts calls for a while longer, answers the open ones, ends, and calls `drained` once. A
+    // second call has no effect.
     void drain(std::function<void()> drained);
     bool drained() const;
 
     core::Figures figures() const;
-    std::optional<door::Figures> door() const;  // with [door]
-    std::size_t servers() const;                // that the pool lists
-    std::size_t connections() const;            // to servers and from clients
+    std::optional<door::Figures> door() const;  // of the admission queue; none without [door]
+    std::size_t servers() const;                // number of upstreams that the pool lists
+    std::size_t connections() const;            // number of connections to upstreams and from clients
 
 private:
     class Impl;
--- a/src/engine/keeper.cpp
+++ b/src/engine/keeper.cpp
@@ -15,14 +15,14 @@
 using boost::system::error_code;
 
 constexpr const char* space_name = "pools";
-constexpr std::size_t values_most = 4 * recovery::parts;
-constexpr std::size_t writes_most = 4;  // under way
-// Lists that come close together are written together.
-constexpr auto list_gap = std::chrono::milliseconds(50);
-constexpr auto again_after = std::chrono::seconds(30);
-constexpr auto end_within = std::chrono::seconds(2);
-// A thread that the disk holds is left to itself.
-constexpr auto leave_within = std::chrono::milliseconds(100);
+constexpr std::size_t max_values = 4 * recovery::parts;
+constexpr std::size_t max_writes = 4;  // in progress
+// Delay of a list's write, so that lists that follow each other closely are written together.
+constexpr auto list_write_delay = std::chrono::milliseconds(50);
+constexpr auto reopen_interval = std::chrono::seconds(30);
+constexpr auto finish_timeout = std::chrono::seconds(2);
+// How long the destructor waits for the store's thread. A thread that is blocked by the disk is abandoned.
+constexpr auto close_timeout = std::chrono::milliseconds(100);
 
 store::Identity identity_of(const std::string& hex) {
     store::Identity identity{};
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-// Of the first opening, on the store's thread; to be read once it is ready.
+// Filled by the store's thread when a store is opened; may be read once `ready` is.
 struct Keeper::Load {
     store::Result result;
     store::SpaceId space = 0;
@@ -44,8 +44,8 @@
 
 namespace {
 
-// False when the store could not be opened: on_opened() says why.
-bool is_kept(std::future<void>& ready) {
+// Returns false if the store could not be opened; on_opened() logs the reason.
+bool was_loaded(std::future<void>& ready) {
     try {
         ready.get();
         return true;
@@ -80,31 +80,31 @@
       clock_(clock),
       options_(std::move(options)),
       history_(std::move(history)),
-      tick_(executor),
-      soon_(executor),
-      again_(executor),
-      end_(executor) {
+      write_timer_(executor),
+      list_timer_(executor),
+      reopen_timer_(executor),
+      finish_timer_(executor) {
     open();
 }
 
 Keeper::~Keeper() {
-    if (store_) (void)store_->close(leave_within);
+    if (store_) (void)store_->close(close_timeout);
 }
 
 void Keeper::open() {
     const std::uint64_t opening = ++opening_;
-    store::Options its = options_.store;
-    its.post = [executor = executor_](std::function<void()> call) {
+    store::Options store_options = options_.store;
+    store_options.post = [executor = executor_](std::function<void()> call) {
         boost::asio::post(executor, std::move(call));
     };
     store_ = store::Store::start(
-        options_.folder, std::move(its),
-        alive_.guard([this, opening](const store::Result& result, const store::Opening& how) {
-            if (opening == opening_) on_opened(result, how);
+        options_.folder, std::move(store_options),
+        alive_.guard([this, opening](const store::Result& result, const store::Opening& details) {
+            if (opening == opening_) on_opened(result, details);
         }),
         options_.open_folder);
     const auto load = std::make_shared<Load>();
-    // The question's alone: it breaks when the store can't be opened and the question is dropped.
+    // Owned by the request alone: if the store cannot be opened, the request is dropped and the promise breaks.
     auto promise = std::make_shared<std::promise<void>>();
     load->ready = promise->get_future();
     load_ = load;
@@ -112,12 +112,12 @@
         [load, promise = std::move(promise), pool = history_.pool](store::Engine& engine) {
             const auto [from, to] = recovery::keys_of(pool);
             load->result = engine.space(space_name, store::SpaceKind::keys, true, load->space);
-            // The largest list has more than one scan gives.
+            // One scan does not return all values of the largest list.
             std::vector<store::Engine::Item> items;
-            for (std::string at = from; load->result && load->values.size() < values_most;) {
-                load->result = engine.scan(load->space, at, to, values_most - load->values.size(), items);
+            for (std::string next = from; load->result && load->values.size() < max_values;) {
+                load->result = engine.scan(load->space, next, to, max_values - load->values.size(), items);
                 if (!load->result || items.empty()) break;
-                at = items.back().key + '\0';
+                next = items.back().key + '\0';
                 for (auto& item : items)
                     load->values.emplace_back(std::move(item.key), std::move(item.value));
             }
@@ -130,8 +130,8 @@
 
 void Keeper::on_opened(const store::Result& result, const store::Opening& opening) {
     if (!result) {
-        say("not used: " + result.why + "; its files stay as they are");
-        return try_again(result);
+        log_trouble("not used: " + result.why + "; its files stay as they are");
+        return reopen_later(result);
     }
     if (opening.dropped > 0) {
         log_.tell(log::events::store_cut_off, opening.dropped, opening.dropped_in, opening.dropped_at);
@@ -140,24 +140,25 @@
 
 void Keeper::on_loaded(const std::shared_ptr<Load>& load) {
     if (!load->result) {
-        say("not used: " + load->result.why + "; its files stay as they are");
-        return try_again(load->result);
+        log_trouble("not used: " + load->result.why + "; its files stay as they are");
+        return reopen_later(load->result);
     }
-    if (!said_.empty()) log_.tell(log::events::store_in_use);
-    said_.clear();
+    if (!logged_trouble_.empty()) log_.tell(log::events::store_in_use);
+    logged_trouble_.clear();
     space_ = load->space;
-    // It may have come too late for begin().
+    // The store may have been loaded too late for begin(), which then could not check its history.
     const auto stored = recovery::history_of(history_.pool, load->values);
     if (recorder_ && stored && *stored != history_) recorder_->forget_stored();
     write_list_soon();
 }
 
-// What is damaged stays so. All else may pass: the process before still ends, the disk was full.
-void Keeper::try_again(const store::Result& why) {
+// Opens the store again later, unless it is damaged. All other errors may be temporary: the previous process has not ended
+// yet, or the disk is full.
+void Keeper::reopen_later(const store::Result& why) {
     space_.reset();
     if (why.status == store::Status::corrupt) return;
-    again_.expires_after(again_after);
-    again_.async_wait(alive_.guard([this](error_code error) {
+    reopen_timer_.expires_after(reopen_interval);
+    reopen_timer_.async_wait(alive_.guard([this](error_code error) {
         if (error || ending_) return;
         if (store_) (void)store_->close(std::chrono::milliseconds(0));
         store_.reset();
@@ -173,29 +174,29 @@
     const Time now = clock_.now();
     recovery::Belief belief;
     if (load->ready.wait_for(options_.open_within) != std::future_status::ready) {
-        say("not read within " + std::to_string(options_.open_within.count() / 1000) +
-            " ms: the configuration's list");
+        log_trouble("not read within " + std::to_string(options_.open_within.count() / 1000) +
+                    " ms: the configuration's list");
         belief.list = std::move(known);
-    } else if (!is_kept(load->ready) || !load->result) {
+    } else if (!was_loaded(load->ready) || !load->result) {
         belief.list = std::move(known);
     } else {
         space_ = load->space;
         auto stored = recovery::decode(history_.pool, load->values);
         for (const auto& fault : stored.faults) log_.tell(log::events::store_not_heeded, fault);
-        const bool any = stored.list.has_value();
+        const bool stored_list = stored.list.has_value();
         belief = recovery::believe(std::move(known), std::move(stored), history_, settings, now,
                                    options_.half_life);
-        tell(belief, any);
+        log_restored(belief, stored_list);
     }
-    // What is all there is to know is kept as it is: no news of it may ever come.
-    const bool all = belief.list.kind == ListKind::full;
+    // A complete list is recorded as it is: service discovery may never send another one.
+    const bool complete = belief.list.kind == ListKind::full;
     recorder_.emplace(history_, belief.list, now);
     if (belief.other_history) recorder_->forget_stored();
-    if (all) on_list(belief.list);
+    if (complete) on_list(belief.list);
     return std::move(belief.list);
 }
 
-void Keeper::tell(const recovery::Belief& belief, bool any) {
+void Keeper::log_restored(const recovery::Belief& belief, bool stored_list) {
     if (belief.clock_went_back) log_.tell(log::events::store_clock_back);
     const std::uint64_t version = belief.list.version;
     if (belief.stored) {
@@ -204,7 +205,7 @@
                   belief.remembered);
     } else if (belief.other_history) {
         log_.tell(log::events::store_other_history, version);
-    } else if (any) {
+    } else if (stored_list) {
         log_.tell(log::events::store_as_new, version, belief.remembered);
     } else {
         log_.tell(log::events::store_empty);
@@ -213,13 +214,13 @@
 
 void Keeper::remember(recovery::Recorder::Learned learned) {
     learned_ = std::move(learned);
-    tick();
+    write_periodically();
 }
 
-void Keeper::tick() {
-    tick_.expires_after(std::max<Micros>(options_.remember_every / recovery::Recorder::slices,
-                                         std::chrono::milliseconds(10)));
-    tick_.async_wait(alive_.guard([this](error_code error) {
+void Keeper::write_periodically() {
+    write_timer_.expires_after(std::max<Micros>(options_.remember_every / recovery::Recorder::slices,
+                                                std::chrono::milliseconds(10)));
+    write_timer_.async_wait(alive_.guard([this](error_code error) {
         if (error || ending_) return;
         if (store_ && space_) {
             if (const auto failed = store_->figures().sync_failed) on_written(*failed);
@@ -228,7 +229,7 @@
         if (may_write()) {
             write(recorder_->take_memory_changes(clock_.now(), learned_), store::Level::soon);
         }
-        tick();
+        write_periodically();
     }));
 }
 
@@ -244,33 +245,33 @@
 }
 
 void Keeper::write_list_soon() {
-    if (soon_set_ || !recorder_ || !recorder_->has_list_changes()) return;
-    soon_set_ = true;
-    soon_.expires_after(list_gap);
-    soon_.async_wait(alive_.guard([this](error_code error) {
-        soon_set_ = false;
+    if (list_timer_set_ || !recorder_ || !recorder_->has_list_changes()) return;
+    list_timer_set_ = true;
+    list_timer_.expires_after(list_write_delay);
+    list_timer_.async_wait(alive_.guard([this](error_code error) {
+        list_timer_set_ = false;
         if (!error && !ending_) write_list();
     }));
 }
 
-// After a write that came to nothing all is encoded anew: not at once again.
-bool Keeper::may_write() const { return space_ && under_way_ < writes_most && clock_.now() >= wait_until_; }
+// After a failed write everything is encoded again, so the next write waits until `wait_until_`.
+bool Keeper::may_write() const { return space_ && under_way_ < max_writes && clock_.now() >= wait_until_; }
 
-// One at a time: a write holds what has changed since the one before, and would be a mixture of two lists if
-// that one failed.
+// Writes changes of the list, one write at a time: a write contains the changes since the previous one, so if that one
+// failed the store would contain a mixture of two lists.
 void Keeper::write_list() {
     if (list_under_way_ || !may_write() || !recorder_->has_list_changes()) return;
     try {
         list_under_way_ = write(recorder_->take_list_changes(), store::Level::soon, true);
-    } catch (const std::exception& error) {  // a name that is no UTF-8
+    } catch (const std::exception& error) {  // a name is not valid UTF-8
         recorder_->on_lost();
-        return say(std::string("the list is not kept: ") + error.what());
+        return log_trouble(std::string("the list is not stored: ") + error.what());
     }
     const bool too_large = recorder_->too_large();
-    if (too_large && !said_too_large_) {
+    if (too_large && !logged_too_large_) {
         log_.tell(log::events::store_too_large, recorder_->members());
     }
-    said_too_large_ = too_large;
+    logged_too_large_ = too_large;
 }
 
 bool Keeper::write(std::vector<recovery::Change> changes, store::Level level, bool list) {
@@ -284,7 +285,7 @@
         }
     }
     if (batch.bytes() > store::batch_most) {
-        come_to_nothing("not kept: more than 4 MiB at once");
+        on_write_failed("not stored: more than 4 MiB in one write");
         return false;
     }
     const std::uint64_t opening = opening_;
@@ -305,54 +306,55 @@
 
 void Keeper::on_written(const store::Result& result) {
     if (result) {
-        if (!said_.empty()) log_.tell(log::events::store_in_use);
-        said_.clear();
+        if (!logged_trouble_.empty()) log_.tell(log::events::store_in_use);
+        logged_trouble_.clear();
         return;
     }
-    come_to_nothing("nothing is kept: " + result.why);
-    // A store that a failed sync has broken is opened anew.
-    if (result.status != store::Status::retry && space_) try_again(result);
+    on_write_failed("nothing is kept: " + result.why);
+    // A failed sync leaves the store unusable until it is opened again.
+    if (result.status != store::Status::retry && space_) reopen_later(result);
 }
 
-void Keeper::come_to_nothing(const std::string& what) {
+void Keeper::on_write_failed(const std::string& message) {
     recorder_->on_lost();
     wait_until_ = clock_.now() + options_.remember_every;
-    say(what);
+    log_trouble(message);
 }
 
-void Keeper::say(const std::string& what) {
-    if (what == said_) return;
-    said_ = what;
-    log_.tell(log::events::store_trouble, what);
+void Keeper::log_trouble(const std::string& message) {
+    if (message == logged_trouble_) return;
+    logged_trouble_ = message;
+    log_.tell(log::events::store_trouble, message);
 }
 
 void Keeper::finish(std::function<void()> finished) {
     finished_ = std::move(finished);
     ending_ = true;
-    tick_.cancel();
-    soon_.cancel();
-    again_.cancel();
-    // The pool is there now, and may not be when there is room for the last write.
+    write_timer_.cancel();
+    list_timer_.cancel();
+    reopen_timer_.cancel();
+    // Reads the learned state now: the pool may no longer exist when the last write can start.
     for (std::size_t i = 0; learned_ && i < recovery::Recorder::slices; ++i) {
-        auto some = recorder_->take_memory_changes(clock_.now(), learned_);
-        std::move(some.begin(), some.end(), std::back_inserter(last_));
+        auto slice = recorder_->take_memory_changes(clock_.now(), learned_);
+        std::move(slice.begin(), slice.end(), std::back_inserter(last_changes_));
     }
     learned_ = nullptr;
-    end_.expires_after(end_within);
-    end_.async_wait(alive_.guard([this](error_code) {
-        if (auto finished = std::exchange(finished_, nullptr)) finished();
+    finish_timer_.expires_after(finish_timeout);
+    finish_timer_.async_wait(alive_.guard([this](error_code) {
+        if (auto callback = std::exchange(finished_, nullptr)) callback();
     }));
     settle();
 }
 
-// Once nothing is under way the end need not wait. Never from within finish(): the timer calls.
+// While ending, starts the last writes, and ends early when none is in progress. Cancelling the timer runs its handler from
+// the loop, so `finished_` is never called from within finish().
 void Keeper::settle() {
     if (!ending_) return;
-    if (space_ && under_way_ < writes_most - 1) {
+    if (space_ && under_way_ < max_writes - 1) {
         write_list();
-        write(std::exchange(last_, {}), store::Level::durable);
+        write(std::exchange(last_changes_, {}), store::Level::durable);
     }
-    if (under_way_ == 0) end_.cancel();
+    if (under_way_ == 0) finish_timer_.cancel();
 }
 
 }  // namespace flaxdoor::engine
--- a/src/engine/side.h
+++ b/src/engine/side.h
@@ -1,7 +1,7 @@
-// A further front with its own pools beside HTTP's, brought by whoever makes an engine: so that the library
-// needs none of what they need.
+// An optional protocol front end with its own pools, beside the HTTP listener. The owner of an engine passes factories of
+// front ends to it, so that the library does not link what they depend on.
 //
-// Threading: the executor's one thread.   Ownership: what a side is made with is borrowed and outlives it.
+// Threading: the executor's one thread.   Ownership: everything in SideWorld is borrowed and outlives the front end.
 #pragma once
 
 #include <functional>
@@ -19,18 +19,18 @@
 class Side {
 public:
     virtual ~Side() = default;
-    // The operator's file has changed. False: something that it names can't be used, and what there was
-    // stays.
+    // Applies changed settings of the operator's file. Returns false if something that they name cannot be used; the
+    // previous settings stay in effect then.
     virtual bool change(const settings::Values& operators) = 0;
-    // The end has begun. Either takes nothing new from now on, and lets go of what rests; or goes on until
-    // wind_down(), which comes once nobody should be led here any more.
+    // Called when the drain begins. The front end either stops accepting new work now and closes its idle connections, or
+    // goes on until wind_down(), which is called once no new client should be routed to this process any more.
     virtual void begin_drain() = 0;
-    // From now on nobody new is taken. Returns whether there are others, who are still to be answered; to be
-    // called again until there are none.
+    // Stops accepting new clients. Returns whether clients remain that must still be answered; it is called again until
+    // none do.
     [[nodiscard]] virtual bool wind_down() { return false; }
-    // Answers what is left. Its pools are still there.
+    // Answers what is still open. The pools of the front end still exist.
     virtual void stop() = 0;
-    // The longest that a call of it may take.
+    // Returns the longest deadline that a call of this front end may have.
     virtual Micros longest_deadline() const = 0;
 };
 
@@ -44,8 +44,8 @@
 };
 
 struct SideMaker {
-    std::string table;  // of the operator's file, which turns it on
-    // Throws std::invalid_argument when what the file says can't be used.
+    std::string table;  // of the operator's file; its presence enables the front end
+    // Throws std::invalid_argument when the settings cannot be used.
     std::function<std::unique_ptr<Side>(const SideWorld&)> make;
 };
 
@@ -53,10 +53,10 @@
 
 namespace flaxdoor::detail {
 
-// What BalancerOptions carries, for the programs of this project.
+// The part of BalancerOptions that is reserved for the programs of this project.
 struct Sides {
     std::vector<engine::SideMaker> makers;
-    core::Log* log = nullptr;  // gets events as they are; outlives the Balancer
+    core::Log* log = nullptr;  // receives events unformatted; outlives the Balancer
     std::function<void(const settings::Values&)> on_operators{};
 };
 
--- a/src/log/descriptor.h
+++ b/src/log/descriptor.h
@@ -1,9 +1,9 @@
-// Lines on a descriptor, without ever waiting for whoever reads them.
+// A log sink over a file descriptor. It never blocks on the reader of the descriptor.
 //
-// Threading: one thread.   Errors: one that is closed or broken takes nothing.
-// Ownership: the descriptor is borrowed. It may be shared with other processes, so it is not made non-blocking: a pipe and a
-// terminal are opened anew for this program alone. Where that is refused (the file is another user's) it is asked each time
-// whether it takes a line; a terminal that stalls may hold the program up then.
+// Threading: one thread.   Errors: a closed or broken descriptor accepts no line.
+// Ownership: the descriptor is borrowed. Other processes may share it, so it is not made non-blocking. Instead, the sink
+// opens a pipe or terminal a second time for itself, non-blocking. Where that fails (for example, because the file belongs
+// to another user), the sink polls the borrowed descriptor before each line; a stalled terminal may then block the program.
 #pragma once
 
 #include <sys/types.h>
@@ -17,33 +17,35 @@
 class Sink {
 public:
     virtual ~Sink() = default;
-    // Of `line_most` bytes at most. False: it is not taken now, and no part of it has gone out.
-    [[nodiscard]] virtual bool take(std::string_view line) = 0;
-    // Whether the rest of a line that was taken in part is still to go out; pay() tries again, and is false while it is.
-    [[nodiscard]] virtual bool owes() const { return false; }
-    [[nodiscard]] virtual bool pay() { return true; }
+    // Writes a line of at most `max_line_bytes` bytes. Returns false if the sink cannot accept it now; no part of the line
+    // has been written then.
+    [[nodiscard]] virtual bool try_write(std::string_view line) = 0;
+    // Returns true while the end of a partly written line is still unwritten. finish_partial_line() tries to write it and
+    // returns false until all of it is written.
+    [[nodiscard]] virtual bool has_partial_line() const { return false; }
+    [[nodiscard]] virtual bool finish_partial_line() { return true; }
 };
 
-class Descriptor final : public Sink {
+class DescriptorSink final : public Sink {
 public:
     using Write = ssize_t (*)(int, const void*, std::size_t);
 
-    explicit Descriptor(int descriptor);
-    Descriptor(int descriptor, Write write);
-    ~Descriptor() override;
-    Descriptor(const Descriptor&) = delete;
-    Descriptor& operator=(const Descriptor&) = delete;
-    [[nodiscard]] bool take(std::string_view line) override;
-    [[nodiscard]] bool owes() const override { return !rest_.empty(); }
-    [[nodiscard]] bool pay() override;
+    explicit DescriptorSink(int descriptor);
+    DescriptorSink(int descriptor, Write write);
+    ~DescriptorSink() override;
+    DescriptorSink(const DescriptorSink&) = delete;
+    DescriptorSink& operator=(const DescriptorSink&) = delete;
+    [[nodiscard]] bool try_write(std::string_view line) override;
+    [[nodiscard]] bool has_partial_line() const override { return !unwritten_.empty(); }
+    [[nodiscard]] bool finish_partial_line() override;
 
 private:
-    bool ready() const;
+    bool writable() const;
 
-    const int own_;  // opened anew; -1: none
+    const int reopened_;  // the descriptor that this sink opened itself; -1: none
     const int descriptor_;
     const Write write_;
-    std::string rest_;  // of a line that it took in part: goes first
+    std::string unwritten_;  // the end of a partly written line, which is written before any other line
 };
 
 }  // namespace flaxdoor::log
--- a/src/log/events.h
+++ b/src/log/events.h
@@ -1,6 +1,7 @@
-// All events that a program of this project tells of, by the name under which an operator finds them on the page
-// (docs/operators/log.md; a test holds the two together). A name, once out, stays; the core's own are core/event.h.
-// Texts are the lines of format "text": programs read some of them ("listening on"), so they stay as well.
+// All events that the programs of this project log, except the core's (core/event.h). The page docs/operators/log.md lists
+// each event by its name; a test compares the page with this table. Event and field names never change.
+// The texts are the lines of the format "text". Scripts match some of them (such as "listening on"), so change a text only
+// together with what matches it.
 #pragma once
 
 #include <array>
@@ -12,7 +13,7 @@
 using core::event;
 using core::Level;
 
-// ---------------------------------------------------------------------------------------------- the daemon
+// Balancer daemon
 
 inline constexpr auto not_started = event("program.failed", Level::error, "flaxdoor: {why}", "why");
 inline constexpr auto listening = event("listening", Level::info, "listening on {address}", "address");
@@ -21,25 +22,26 @@
 inline constexpr auto configuration_taken = event("configuration.taken", Level::info, "configuration taken");
 inline constexpr auto discovery_taken =
     event("configuration.discovery", Level::info, "configuration taken, discovery at {address}", "address");
-inline constexpr auto settings_taken = event("configuration.settings", Level::info, "settings taken");
+inline constexpr auto settings_taken = event("configuration.settings", Level::info, "settings applied");
 inline constexpr auto configuration_kept =
     event("configuration.kept", Level::warning, "the old configuration stays: {why}", "why");
 inline constexpr auto operators_fault = event("operators.fault", Level::error, "{fault}", "fault");
 inline constexpr auto operators_kept =
     event("operators.kept", Level::warning, "the old operator's file stays");
-inline constexpr auto operators_contradict =
-    event("operators.contradict", Level::warning,
-          "the old operator's file stays: with what takes a restart it can't be used: {why}", "why");
+inline constexpr auto operators_contradict = event(
+    "operators.contradict", Level::warning,
+    "the old operator's file stays: the new values contradict settings that take a restart: {why}", "why");
 inline constexpr auto operators_taken =
     event("operators.taken", Level::info, "operator's file: {change}", "change");
 inline constexpr auto operators_held =
     event("operators.held", Level::warning, "operator's file: takes a restart: {change}", "change");
-inline constexpr auto log_dropped =
-    event("log.dropped", Level::warning, "log: {count} lines dropped, nobody read them", "count");
+inline constexpr auto log_dropped = event(
+    "log.dropped", Level::warning, "log: {count} lines dropped because they were not read in time", "count");
 inline constexpr auto log_left_out =
-    event("log.left_out", Level::warning, "log: {count} lines of {event} left out", "count", "event");
+    event("log.left_out", Level::warning, "log: {count} lines of event {event} suppressed by the rate limit",
+          "count", "event");
 
-// ------------------------------------------------------------------------------------------ the roster
+// Service discovery
 
 inline constexpr auto discovery_left_out =
     event("discovery.left_out", Level::warning, "discovery: left out: {why}", "why");
@@ -48,7 +50,7 @@
 inline constexpr auto discovery_call_failed =
     event("discovery.call_failed", Level::warning, "discovery: call failed: {why}", "why");
 
-// ------------------------------------------------------------------------------------------- the store
+// Embedded store
 
 inline constexpr auto store_cut_off =
     event("store.cut_off", Level::warning,
@@ -56,7 +58,7 @@
           "file", "offset");
 inline constexpr auto store_in_use = event("store.in_use", Level::info, "store: in use again");
 inline constexpr auto store_not_heeded =
-    event("store.not_heeded", Level::warning, "store: not heeded: {what}", "what");
+    event("store.not_heeded", Level::warning, "store: stored record ignored: {what}", "what");
 inline constexpr auto store_clock_back =
     event("store.clock_back", Level::warning, "store: the clock has gone back since it was written");
 inline constexpr auto store_list =
@@ -72,17 +74,17 @@
           "remembered");
 inline constexpr auto store_empty = event("store.empty", Level::info, "store: no list is kept yet");
 inline constexpr auto store_too_large =
-    event("store.too_large", Level::warning, "store: the list is not kept: {servers:server} are too many",
-          "servers");
+    event("store.too_large", Level::warning,
+          "store: the list is not stored: {servers:server} exceed the maximum", "servers");
 inline constexpr auto store_trouble = event("store.trouble", Level::warning, "store: {what}", "what");
 
-// -------------------------------------------------------------------------------------------- the door
+// Admission queue
 
 inline constexpr auto door_terms = event("door.terms", Level::warning, "door: {what}", "what");
 inline constexpr auto door_tenant =
     event("door.tenant", Level::info, "door: tenant {tenant}: {figures}", "tenant", "figures");
 
-// --------------------------------------------------------------------------------- budgets of the fleet
+// Fleet budgets
 
 inline constexpr auto budget_leased =
     event("budget.leased", Level::info, "budgets: leased by the coordinator at {address}", "address");
@@ -98,51 +100,53 @@
     event("budget.at_odds", Level::error, "budgets: the coordinator has other terms: {why}", "why");
 inline constexpr auto budget_terms = event("budget.terms", Level::warning, "budgets: {what}", "what");
 
-// ----------------------------------------------------------------------------------------- the gateway
+// Gateway
 
 inline constexpr auto gateway_listening = event(
     "gateway.listening", Level::info, "gateway: listening on {address} for port {port}", "address", "port");
 inline constexpr auto gateway_port_failed =
     event("gateway.port_failed", Level::error, "gateway: port {port}: {why}", "port", "why");
 inline constexpr auto gateway_port_closed =
-    event("gateway.port_closed", Level::info, "gateway: port {port} is listened on no more", "port");
+    event("gateway.port_closed", Level::info, "gateway: stopped listening on port {port}", "port");
 inline constexpr auto gateway_kept =
-    event("gateway.kept", Level::warning, "gateway: what there was stays: {fault}", "fault");
+    event("gateway.kept", Level::warning, "gateway: the previous settings stay in effect: {fault}", "fault");
 inline constexpr auto gateway_ended =
-    event("gateway.ended", Level::info, "gateway: {routed} requests went to pools, {told} were answered here",
-          "routed", "told");
+    event("gateway.ended", Level::info,
+          "gateway: {routed} requests went to pools, {told} were answered by the gateway", "routed", "told");
 inline constexpr auto gateway_watch_failed =
     event("gateway.watch_failed", Level::warning, "gateway: {kind}: {why}; what is known is served on",
           "kind", "why");
 inline constexpr auto gateway_watch_back =
-    event("gateway.watch_back", Level::info, "gateway: {kind}: followed again", "kind");
+    event("gateway.watch_back", Level::info, "gateway: {kind}: watch restored", "kind");
 inline constexpr auto gateway_fault = event("gateway.fault", Level::error, "gateway: fault: {what}", "what");
-inline constexpr auto gateway_known = event("gateway.known", Level::info, "gateway: all resources are known");
+inline constexpr auto gateway_known =
+    event("gateway.known", Level::info, "gateway: all resources have been listed");
 inline constexpr auto gateway_refused = event("gateway.refused", Level::warning, "gateway: {what}", "what");
 inline constexpr auto gateway_held_back =
     event("gateway.held_back", Level::warning, "gateway: held back: {what}", "what");
 inline constexpr auto gateway_released =
     event("gateway.released", Level::info, "gateway: nothing is held back any more");
 inline constexpr auto gateway_table_kept =
-    event("gateway.table_kept", Level::warning, "gateway: port {port} keeps its table: {why}", "port", "why");
+    event("gateway.table_kept", Level::warning, "gateway: port {port} keeps its previous route table: {why}",
+          "port", "why");
 inline constexpr auto gateway_status_refused =
     event("gateway.status_refused", Level::warning,
           "gateway: status of {kind} {name} was refused: {status} {body}", "kind", "name", "status", "body");
 inline constexpr auto gateway_lease_lost =
-    event("gateway.lease_lost", Level::warning, "gateway: the Lease is lost");
+    event("gateway.lease_lost", Level::warning, "gateway: lost the Lease");
 inline constexpr auto gateway_lease_ours =
-    event("gateway.lease_ours", Level::info, "gateway: the Lease is ours");
+    event("gateway.lease_ours", Level::info, "gateway: acquired the Lease");
 
-// ------------------------------------------------------------------------------------------ PostgreSQL
+// PostgreSQL
 
 inline constexpr auto postgres_listening =
     event("postgres.listening", Level::info, "postgres: listening on {address}", "address");
-inline constexpr auto postgres_kept =
-    event("postgres.kept", Level::warning, "postgres: what there was stays: {fault}", "fault");
+inline constexpr auto postgres_kept = event(
+    "postgres.kept", Level::warning, "postgres: the previous settings stay in effect: {fault}", "fault");
 inline constexpr auto postgres_ended =
     event("postgres.ended", Level::info, "postgres: {units} units went to the module", "units");
 
-// ------------------------------------------------------------------------------------- the coordinator
+// Coordinator
 
 inline constexpr auto coordinator_waiting =
     event("coordinator.waiting", Level::info, "coordinator: nothing is granted for {wait_ms} ms: {why}",
@@ -151,7 +155,7 @@
     event("coordinator.current", Level::info, "coordinator: the store is the latest, leases go on");
 inline constexpr auto coordinator_stepped_down =
     event("coordinator.stepped_down", Level::error,
-          "coordinator: stepped down: {holder} has heard of another of a later epoch", "holder");
+          "coordinator: stepped down: {holder} knows a coordinator of a later epoch", "holder");
 inline constexpr auto coordinator_not_written =
     event("coordinator.not_written", Level::error, "coordinator: nothing is granted: {why}", "why");
 inline constexpr auto coordinator_writes_again =
@@ -168,10 +172,10 @@
 inline constexpr auto coordinator_refused =
     event("coordinator.refused", Level::warning, "coordinator: {holder} ({instance}): {verdict}: {why}",
           "holder", "instance", "verdict", "why");
-inline constexpr auto coordinator_kept =
-    event("coordinator.kept", Level::warning, "coordinator: the old wholes stay: {why}", "why");
+inline constexpr auto coordinator_kept = event(
+    "coordinator.kept", Level::warning, "coordinator: the previous limits stay in effect: {why}", "why");
 
-// The table: each of them once.
+// All events, each exactly once.
 inline constexpr std::array<const core::Event*, 68> all{&core::events::from_module,
                                                         &core::events::fault,
                                                         &not_started,
--- a/src/log/format.cpp
+++ b/src/log/format.cpp
@@ -13,8 +13,8 @@
 using fmt::format_to;
 using fmt::memory_buffer;
 
-// 2026-12-02T09:05:01.250Z
-std::string time_of(Time at) {
+// Formats as ISO 8601 in UTC: 2026-12-02T09:05:01.250Z
+std::string timestamp(Time at) {
     const auto seconds = std::chrono::floor<std::chrono::seconds>(at);
     const auto millis = std::chrono::duration_cast<std::chrono::milliseconds>(at - seconds).count();
     const std::time_t unix = seconds.count();
@@ -24,85 +24,86 @@
                        tm.tm_mday, tm.tm_hour, tm.tm_min, tm.tm_sec, millis);
 }
 
-// In quotes, ASCII only.
+// Returns the text as a quoted JSON string in ASCII.
 std::string quoted(std::string_view text) {
     return nlohmann::json(text).dump(-1, ' ', true, nlohmann::json::error_handler_t::replace);
 }
 
+// Returns whether logfmt may write the text without quotes.
 bool is_bare(std::string_view text) {
     if (text.empty()) return false;
     for (const char c : text) {
-        const bool plain = (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') ||
-                           c == '.' || c == ':' || c == '_' || c == '-' || c == '/';
-        if (!plain) return false;
+        const bool allowed = (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') ||
+                             c == '.' || c == ':' || c == '_' || c == '-' || c == '/';
+        if (!allowed) return false;
     }
     return true;
 }
 
-// The longest beginning of a quoted text that has so many bytes and no escape cut in two, its quotes closed.
-std::string cut(std::string text, std::size_t room) {
-    std::size_t at = 1;  // behind the opening quote
+// Truncates a quoted text to at most `max_bytes` bytes without splitting an escape sequence, and closes the quotes.
+std::string truncated(std::string text, std::size_t max_bytes) {
+    std::size_t at = 1;  // after the opening quote
     while (at + 1 < text.size()) {
         std::size_t unit = text[at] != '\\' ? 1 : text[at + 1] == 'u' ? 6 : 2;
-        // Two halves of one character.
+        // A surrogate pair stands for one character.
         if (unit == 6 && text.compare(at + 2, 1, "d") == 0 && text[at + 3] >= '8' && text[at + 3] <= 'b')
             unit = 12;
-        if (at + unit + 1 > room) break;
+        if (at + unit + 1 > max_bytes) break;
         at += unit;
     }
     text.resize(at);
     return text + '"';
 }
 
-// Writes fields as long as they fit beside what ends the line.
+// Appends fields as long as they and the end of the line fit into max_line_bytes.
 class Fields {
 public:
     explicit Fields(bool json) : json_(json) {}
 
     void add(std::string_view name, const core::Value& value) {
-        if (cut_) return;
+        if (truncated_) return;
         std::string key;
         if (json_) {
             key = fmt::format("{}\"{}\":", out_.empty() ? "{" : ",", name);
         } else {
             key = fmt::format("{}{}=", out_.empty() ? "" : " ", name);
         }
-        std::string worded = std::visit([&](auto held) { return word(held); }, value.held());
-        const std::size_t room = line_most - end_most - out_.size();
-        if (key.size() + worded.size() > room) {
-            cut_ = true;
+        std::string formatted = std::visit([&](auto held) { return format_value(held); }, value.held());
+        const std::size_t available = max_line_bytes - max_end_bytes - out_.size();
+        if (key.size() + formatted.size() > available) {
+            truncated_ = true;
             const auto* const text = std::get_if<std::string_view>(&value.held());
-            if (key.size() + 2 > room || !text) return;
-            worded = quoted(*text);  // also what logfmt writes bare
-            worded = cut(std::move(worded), room - key.size());
+            if (key.size() + 2 > available || !text) return;
+            formatted = quoted(*text);  // logfmt, too, quotes a truncated value
+            formatted = truncated(std::move(formatted), available - key.size());
         }
         out_ += key;
-        out_ += worded;
+        out_ += formatted;
     }
 
     std::string line() && {
-        if (cut_) out_ += json_ ? ",\"cut\":true" : " cut=true";
+        if (truncated_) out_ += json_ ? ",\"cut\":true" : " cut=true";
         return std::move(out_) + (json_ ? "}\n" : "\n");
     }
 
 private:
-    static constexpr std::size_t end_most = std::string_view(",\"cut\":true}\n").size();
+    static constexpr std::size_t max_end_bytes = std::string_view(",\"cut\":true}\n").size();
 
-    std::string word(std::string_view text) const {
+    std::string format_value(std::string_view text) const {
         return !json_ && is_bare(text) ? std::string(text) : quoted(text);
     }
     template <std::integral T>
-    std::string word(T number) const {
+    std::string format_value(T number) const {
         return fmt::to_string(number);
     }
 
     const bool json_;
-    bool cut_ = false;
+    bool truncated_ = false;
     std::string out_;
 };
 
-// As it always was, but for what would begin another line or speak to a terminal.
-std::string plain(const core::Event& event, std::span<const core::Value> values) {
+// Formats the text for people. Control characters are escaped: they would start a new line or control a terminal.
+std::string text_line(const core::Event& event, std::span<const core::Value> values) {
     const std::string text = core::text_of(event, values);
     std::string line;
     line.reserve(text.size() + 1);
@@ -113,25 +114,25 @@
         } else {
             format_to(std::back_inserter(line), "\\x{:02x}", byte);
         }
-        if (line.size() >= line_most) break;
+        if (line.size() >= max_line_bytes) break;
     }
-    if (line.size() >= line_most) line.resize(line_most - 1);
+    if (line.size() >= max_line_bytes) line.resize(max_line_bytes - 1);
     return line + '\n';
 }
 
 }  // namespace
 
-std::string_view word_of(core::Level level) {
-    constexpr std::array<std::string_view, 4> words{"debug", "info", "warning", "error"};
-    return words[static_cast<std::size_t>(level)];
+std::string_view level_name(core::Level level) {
+    constexpr std::array<std::string_view, 4> names{"debug", "info", "warning", "error"};
+    return names[static_cast<std::size_t>(level)];
 }
 
-std::string line_of(Format format, Time at, core::Level level, const core::Event& event,
-                    std::span<const core::Value> values) {
-    if (format == Format::text) return plain(event, values);
+std::string format_line(Format format, Time at, core::Level level, const core::Event& event,
+                        std::span<const core::Value> values) {
+    if (format == Format::text) return text_line(event, values);
     Fields fields(format == Format::json);
-    fields.add("time", time_of(at));
-    fields.add("level", word_of(level));
+    fields.add("time", timestamp(at));
+    fields.add("level", level_name(level));
     fields.add("event", event.name);
     for (std::size_t i = 0; i < event.count && i < values.size(); ++i) fields.add(event.names[i], values[i]);
     return std::move(fields).line();
--- a/src/log/format.h
+++ b/src/log/format.h
@@ -1,8 +1,9 @@
-// One event as one line, with its newline: the words that people read, JSON, or logfmt. Whatever bytes a value has, the
-// line has one newline, at its end, and none but printable ASCII in JSON and logfmt (what is no UTF-8 becomes U+FFFD).
+// Formats an event as one line that ends with a newline: as text for people, as JSON, or as logfmt. Whatever bytes a value
+// contains, the only newline is the last byte. JSON and logfmt lines contain printable ASCII only; bytes that are not valid
+// UTF-8 become U+FFFD.
 //
-// A line has `line_most` bytes at most, which a pipe takes whole or not at all; of one that would be longer the values are
-// cut, and JSON and logfmt say so with a field `cut`.
+// A line has at most `max_line_bytes` bytes, which a pipe writes atomically. In a longer line, values are truncated; JSON
+// and logfmt mark that with a field `cut`.
 #pragma once
 
 #include <cstdint>
@@ -16,13 +17,13 @@
 
 enum class Format : std::uint8_t { text, json, logfmt };
 
-constexpr std::size_t line_most = 4096;
+constexpr std::size_t max_line_bytes = 4096;
 
-std::string_view word_of(core::Level level);
+std::string_view level_name(core::Level level);
 
-// `at` is Unix time, and `level` what the event counts as. Text has neither: whoever collects the lines writes the time
-// beside them.
-std::string line_of(Format format, Time at, core::Level level, const core::Event& event,
-                    std::span<const core::Value> values);
+// `at` is Unix time. `level` is the configured level of the event. The text format contains neither: the collector of the
+// lines (such as journald) records the time itself.
+std::string format_line(Format format, Time at, core::Level level, const core::Event& event,
+                        std::span<const core::Value> values);
 
 }  // namespace flaxdoor::log
--- a/src/log/limiter.h
+++ b/src/log/limiter.h
@@ -1,8 +1,9 @@
-// How many lines of each event are let through: so many a second and a burst, and how many were left out is kept until
-// it can be told. Each event has an allowance of its own, so a flood of one costs the others nothing.
+// Limits how many lines of each event are logged: a rate and a burst. Counts the suppressed lines until they are reported.
+// Each event has its own allowance, so a flood of one event does not suppress the others.
 //
-// Threading: one thread.   Time: an argument, never going back; no I/O.   Memory: 24 bytes an event, none without a rate.
-// The rule is the virtual scheduling of a leaky bucket: `due_` is when the line that was let through last is paid for.
+// Threading: one thread.   Time: passed in, never decreasing; no I/O.
+// Memory:    24 bytes per event, none while no rate is set.
+// Algorithm: virtual scheduling of a leaky bucket (GCRA); State::due is the theoretical arrival time of the next line.
 #pragma once
 
 #include <cstdint>
@@ -13,36 +14,37 @@
 
 namespace flaxdoor::log {
 
-class Limiter {
+class RateLimiter {
 public:
     struct Rate {
-        std::int64_t a_second = 0;  // 0: all are let through
-        std::int64_t burst = 1;     // at once, after a pause
+        std::int64_t per_second = 0;  // 0: unlimited
+        std::int64_t burst = 1;       // lines that may follow each other at once after a pause
     };
 
-    explicit Limiter(std::size_t events) : events_(events) {}
+    explicit RateLimiter(std::size_t event_count) : event_count_(event_count) {}
 
-    // What was left out stays to be told.
-    void set(Rate rate);
-    // Whether a line of this event goes out now.
-    [[nodiscard]] bool take(std::size_t event, Time now);
-    // Hands out, and forgets, how many of each event were left out; those only whose next line would go out by now,
-    // unless it is the end. False from `told`: nobody took it, so it is kept.
-    void tell(Time now, bool end, const std::function<bool(std::size_t event, std::uint64_t count)>& told);
-    // Whether anything is still to be told.
-    [[nodiscard]] bool owes() const { return owing_ > 0; }
+    // Changes the rate. The counts of suppressed lines are kept.
+    void set_rate(Rate rate);
+    // Returns whether a line of this event may be logged now, and counts it as suppressed if not.
+    [[nodiscard]] bool allow(std::size_t event, Time now);
+    // Reports and resets the count of suppressed lines of each event whose next line would be allowed by now; at the end
+    // (`end`), of all events. A count for which `report` returns false is kept.
+    void report_suppressed(Time now, bool end,
+                           const std::function<bool(std::size_t event, std::uint64_t count)>& report);
+    // Returns whether any suppressed lines have not been reported yet.
+    [[nodiscard]] bool has_suppressed() const { return suppressed_events_ > 0; }
 
 private:
     struct State {
         Time due{};
-        std::uint64_t left_out = 0;
+        std::uint64_t suppressed = 0;
     };
-    bool free(const State& state, Time now) const { return state.due - now <= slack_; }
+    bool conforms(const State& state, Time now) const { return state.due - now <= burst_tolerance_; }
 
-    std::size_t events_;
-    std::size_t owing_ = 0;  // events of which lines were left out
-    Micros each_{};          // what one line costs; 0: no rate
-    Micros slack_{};
+    std::size_t event_count_;
+    std::size_t suppressed_events_ = 0;  // events with suppressed lines
+    Micros interval_{};                  // between two lines at the rate; 0: unlimited
+    Micros burst_tolerance_{};
     std::vector<State> states_;
 };
 
--- a/src/log/logger.h
+++ b/src/log/logger.h
@@ -1,9 +1,9 @@
-// The log of a program: events in, lines out, to a sink that may take nothing for a while. What comes then waits in a
-// bounded queue; what finds no room is dropped and counted, and the count goes out with the next line that is taken.
-// Nothing here waits.
+// The log of a program: takes events and writes lines to a sink, which may accept nothing for a while. Lines that the sink
+// does not accept wait in a bounded queue. Lines that do not fit into the queue are dropped and counted; the count is
+// written before the next line that the sink accepts. The logger never blocks.
 //
-// Threading: one thread.   Ownership: sink and clock are borrowed.
-// Errors:    throws for want of memory only, and the line is lost then.
+// Threading: one thread.   Ownership: sink and clock are borrowed and must outlive the logger.
+// Errors:    throws std::bad_alloc only; the line is lost then.
 #pragma once
 
 #include <cstdint>
@@ -24,25 +24,25 @@
 
 struct Options {
     Format format = Format::text;
-    // From which level on events are written; none: nothing is.
-    std::optional<core::Level> least = core::Level::info;
-    // Events that count as another level than their own; none: never written. By their place in events::all.
-    struct Other {
-        std::size_t event;
+    // Events below this level are not written; none: no event is.
+    std::optional<core::Level> min_level = core::Level::info;
+    // Replaces the level of one event; none: the event is never written.
+    struct LevelOverride {
+        std::size_t event;  // index in events::all
         std::optional<core::Level> level;
     };
-    std::vector<Other> others{};
-    Limiter::Rate rate{};
+    std::vector<LevelOverride> overrides{};
+    RateLimiter::Rate rate{};
     LineQueue::Bounds queue{};
 };
 
-// Of the table [log]. Faults: an event or a level that there is not.
+// Reads the table [log]. Returns faults for an unknown event or level.
 std::variant<Options, settings::Faults> options_from(const settings::Values& values);
 
 class Logger final : public core::Log {
 public:
     Logger(Sink& sink, const core::Clock& clock);
-    // Tells what is still to be told, as far as the sink takes it.
+    // Writes what is pending, as far as the sink accepts it.
     ~Logger() override;
     Logger(const Logger&) = delete;
     Logger& operator=(const Logger&) = delete;
@@ -50,28 +50,30 @@
     void set(Options options);
     void event(const core::Event& event, std::span<const core::Value> values) override;
 
-    // While something is to be told that no further event may bring out, somebody is to call retry() now and then:
-    // `on_waiting` is called each time that this begins.
-    void on_waiting(std::function<void()> told) { on_waiting_ = std::move(told); }
-    [[nodiscard]] bool waiting() const {
-        return dropped_ > 0 || !queue_.empty() || limiter_.owes() || sink_.owes();
+    // Sets a callback that is called each time output becomes pending. While output is pending, the owner must call
+    // retry() from time to time, because no further event may come to write it.
+    void on_pending(std::function<void()> callback) { on_pending_ = std::move(callback); }
+    // Returns whether queued lines, counts of dropped or suppressed lines, or a partly written line wait for the sink.
+    [[nodiscard]] bool has_pending() const {
+        return dropped_ > 0 || !queue_.empty() || limiter_.has_suppressed() || sink_.has_partial_line();
     }
     void retry();
 
 private:
     std::optional<core::Level> level_of(std::size_t index) const;
-    // False: there is no room for it.
-    [[nodiscard]] bool put(std::size_t index, const core::Event& event, std::span<const core::Value> values);
+    // Writes the line or queues it. Returns false if the queue is full.
+    [[nodiscard]] bool write_or_queue(std::size_t index, const core::Event& event,
+                                      std::span<const core::Value> values);
     bool flush();
-    void tell_left_out(bool end);
+    void report_suppressed(bool end);
 
     Sink& sink_;
     const core::Clock& clock_;
     Options options_;
-    Limiter limiter_;
+    RateLimiter limiter_;
     LineQueue queue_;
     std::uint64_t dropped_ = 0;
-    std::function<void()> on_waiting_;
+    std::function<void()> on_pending_;
 };
 
 }  // namespace flaxdoor::log
--- a/src/membership/list.cpp
+++ b/src/membership/list.cpp
@@ -11,31 +11,33 @@
 
 using nlohmann::json;
 
-UpstreamState state_of(const std::string& word) {
-    if (word == "active") return UpstreamState::ready;
-    if (word == "leaving") return UpstreamState::draining;
-    if (word == "left") return UpstreamState::gone;
-    throw std::invalid_argument("unknown health: " + word);
+UpstreamState state_of(const std::string& health) {
+    if (health == "active") return UpstreamState::ready;
+    if (health == "leaving") return UpstreamState::draining;
+    if (health == "left") return UpstreamState::gone;
+    throw std::invalid_argument("unknown health: " + health);
 }
 
-int place_of(const std::vector<std::string>& names, const std::string& name) {
+// Returns the index of the name, or the number of names if it is not there.
+int index_of(const std::vector<std::string>& names, const std::string& name) {
     return static_cast<int>(std::find(names.begin(), names.end(), name) - names.begin());
 }
 
 core::Member parse_member(const json& host, const ListNames& names) {
-    core::Member m;
-    m.address = host.at("dial").get<std::string>();
-    m.entry.state = state_of(host.at("health").get<std::string>());
-    // A zone must be known: keyed requests are repeated only within it.
-    m.entry.zone = place_of(names.zones, host.at("site").get<std::string>());
-    if (m.entry.zone == static_cast<int>(names.zones.size())) throw std::invalid_argument("unknown zone");
-    m.entry.kind = place_of(names.kinds, host.value("class", ""));
-    m.entry.cell = host.value("block", 0);
-    m.entry.weight = host.value("share", 1.0);
+    core::Member member;
+    member.address = host.at("dial").get<std::string>();
+    member.entry.state = state_of(host.at("health").get<std::string>());
+    // The zone must be known: keyed requests are retried only within a zone.
+    member.entry.zone = index_of(names.zones, host.at("site").get<std::string>());
+    if (member.entry.zone == static_cast<int>(names.zones.size()))
+        throw std::invalid_argument("unknown zone");
+    member.entry.kind = index_of(names.kinds, host.value("class", ""));
+    member.entry.cell = host.value("block", 0);
+    member.entry.weight = host.value("share", 1.0);
     const double born_ms = host.value("born_ms", 0.0);
     if (!(born_ms >= 0 && born_ms < 1e15)) throw std::invalid_argument("born_ms out of range");
-    m.entry.started_at = Time(static_cast<std::int64_t>(born_ms * 1000));
-    return m;
+    member.entry.started_at = Time(static_cast<std::int64_t>(born_ms * 1000));
+    return member;
 }
 
 }  // namespace
@@ -46,7 +48,8 @@
     return hash;
 }
 
-// Guards against one entry that makes a balancer deaf to all others, their drains among them.
+// Parses one entry. An invalid entry counts as gone: one bad entry must not make a balancer miss the changes of all other
+// upstreams, such as their drains.
 core::Member usable_member(const json& host, const ListNames& names, std::string* left_out) {
     core::Member member;
     const std::string name = host.at("host").get<std::string>();
@@ -61,17 +64,18 @@
     return member;
 }
 
-// Hosts are taken one by one as they are read: the tree of a list of 5,000 would be many times its text.
+// Converts the hosts one by one while parsing: the JSON tree of a list of 5,000 hosts would take many times the memory of
+// its text.
 core::MemberList parse_list(std::string_view text, const ListNames& names, std::string* left_out) {
     core::MemberList list;
     bool in_hosts = false;
-    const auto take_host = [&](int depth, json::parse_event_t event, json& parsed) {
+    const auto on_parse_event = [&](int depth, json::parse_event_t event, json& parsed) {
         if (depth == 1 && event == json::parse_event_t::key) in_hosts = parsed == "hosts";
         if (!in_hosts || depth != 2 || event != json::parse_event_t::object_end) return true;
         list.members.push_back(usable_member(parsed, names, left_out));
         return false;
     };
-    const json rest = json::parse(text, take_host);
+    const json rest = json::parse(text, on_parse_event);
     if (!rest.at("seq").is_number_unsigned())
         throw std::invalid_argument("seq must be a whole number from 0 on");
     list.version = rest.at("seq").get<std::uint64_t>();
--- a/src/membership/list.h
+++ b/src/membership/list.h
@@ -1,8 +1,7 @@
-// Lists of upstreams in the roster's form: JSON with `seq`, `whole` and `hosts` (the platform's protocol
-// page, "Discovery"), to members of a pool.
+// Parses lists of upstreams in the format of service discovery: JSON with `seq`, `whole` and `hosts` (the platform's
+// protocol page, "Discovery").
 //
-// Errors: what can't be read throws std::exception with one line that says what; nothing of that list is
-//         used.
+// Errors: a list that cannot be parsed throws std::exception with a one-line message; nothing of that list is used.
 #pragma once
 
 #include <cstdint>
@@ -14,19 +13,19 @@
 
 namespace flaxdoor::membership {
 
-// Zones and kinds of machine, as the settings name them.
+// The zones and the kinds of machine, in the order in which the settings name them.
 struct ListNames {
     std::vector<std::string> zones;
     std::vector<std::string> kinds;
 };
 
-// The id of an upstream: drawn from its name alone (FNV-1a, 64 bits), so that it is the same at every
-// balancer. The module orders upstreams by id and relies on all balancers having the same order.
+// Returns the id of an upstream: a hash of its name (FNV-1a, 64 bits), so that every balancer computes the same id. The
+// module orders upstreams by id and relies on all balancers having the same order.
 [[nodiscard]] UpstreamId id_of(std::string_view name);
 
-// A whole list has kind `full`, changes have `delta`. Throws when it is no list. An entry that can't be used
-// (a zone that the settings don't name, an unknown health) counts as gone: what the list says of the others
-// holds all the same. `left_out` tells of the last such entry which one and why.
+// Parses a list. A snapshot (`whole`) has kind `full`, changes have kind `delta`. Throws if the text is not a list. An
+// entry that cannot be used (a zone that the settings do not name, an unknown health) counts as gone, so that the other
+// entries still apply. `left_out` receives the name of the last such entry and the reason.
 [[nodiscard]] core::MemberList parse_list(std::string_view text, const ListNames& names,
                                           std::string* left_out = nullptr);
 
--- a/src/membership/roster.cpp
+++ b/src/membership/roster.cpp
@@ -16,12 +16,13 @@
 
 namespace {
 
-// Between the starts of two watches where lists are pushed, if the first one fails: after one that spoke, and at most.
-constexpr Micros again_least = std::chrono::milliseconds(100);
-constexpr Micros again_most = std::chrono::seconds(1);
+// Back-off between the starts of two watches where lists are pushed and the first watch fails: the minimum, which also
+// applies after a watch that has delivered an update, and the maximum.
+constexpr Micros min_backoff = std::chrono::milliseconds(100);
+constexpr Micros max_backoff = std::chrono::seconds(1);
 
-// SplitMix64: small, the same on every platform.
-std::uint64_t draw(std::uint64_t& state) {
+// SplitMix64: small, and produces the same numbers on every platform.
+std::uint64_t next_random(std::uint64_t& state) {
     std::uint64_t z = (state += 0x9e3779b97f4a7c15ULL);
     z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9ULL;
     z = (z ^ (z >> 27)) * 0x94d049bb133111ebULL;
@@ -30,128 +31,132 @@
 
 }  // namespace
 
-// One call on a connection of its own. Once it has ended it reports nothing more.
-class Roster::Call : public std::enable_shared_from_this<Call> {
+// One call to the service, on its own connection. A call that has ended reports nothing more to its owner.
+class DiscoveryClient::Call : public std::enable_shared_from_this<Call> {
 public:
-    Call(Roster& owner, bool watching)
+    Call(DiscoveryClient& owner, bool watching)
         : owner_(owner),
           watching_(watching),
-          out_(RosterMachine::request(watching, owner.version_)),
-          machine_(watching, owner.names_, owner.limits_.line_most),
+          request_(DiscoveryParser::request(watching, owner.version_)),
+          parser_(watching, owner.names_, owner.limits_.max_line_size),
           socket_(owner.loop_),
-          silence_(owner.loop_) {}
+          silence_timer_(owner.loop_) {}
 
     void start() {
-        await_news();
-        error_code unopened;
-        loop::open(socket_, unopened);
-        if (unopened) {
-            asio::post(owner_.loop_, [self = shared_from_this()] { self->end("no descriptor", true); });
+        restart_silence_timer();
+        error_code open_error;
+        loop::open(socket_, open_error);
+        if (open_error) {
+            asio::post(owner_.loop_, [self = shared_from_this()] { self->end("no file descriptor available", true); });
             return;
         }
         socket_.async_connect(owner_.address_, [self = shared_from_this()](error_code error) {
-            if (self->over_) return;
-            if (error) return self->end("no connection", true);
-            self->ask();
+            if (self->ended_) return;
+            if (error) return self->end("connecting failed", true);
+            self->send_request();
         });
     }
 
-    // What has come and is not read yet. Of its end the loop will tell.
+    // Reads and reports what the socket has received. An end of the connection is left to the loop.
     void catch_up() {
         const auto self = shared_from_this();
-        for (std::size_t read = 0; !over_ && read < owner_.limits_.line_most;) {
-            const loop::Read got = loop::read_some(socket_, room_);
-            if (got.kind != loop::Read::Kind::bytes) return;
-            read += got.bytes.size();
-            machine_.receive(got.bytes);
-            if (!tell()) return;
+        for (std::size_t size = 0; !ended_ && size < owner_.limits_.max_line_size;) {
+            const loop::Read received = loop::read_some(socket_, buffer_);
+            if (received.kind != loop::Read::Kind::bytes) return;
+            size += received.bytes.size();
+            parser_.receive(received.bytes);
+            if (!report_updates()) return;
         }
     }
 
     bool watching() const { return watching_; }
-    bool spoke() const { return !first_; }
-    std::chrono::steady_clock::time_point since() const { return since_; }
-    bool first() { return std::exchange(first_, false); }
+    bool has_delivered() const { return !awaits_first_; }
+    std::chrono::steady_clock::time_point started_at() const { return started_at_; }
+    // Returns whether no update was delivered before, and marks one as delivered.
+    bool take_first() { return std::exchange(awaits_first_, false); }
 
-    // No further news, not even of its end.
+    // Closes the connection without a report, not even of the end.
     void drop() {
-        over_ = true;
-        silence_.cancel();
+        ended_ = true;
+        silence_timer_.cancel();
         error_code ignored;
         socket_.close(ignored);
     }
 
 private:
     void end(const std::string& why, bool failed) {
-        if (over_) return;
+        if (ended_) return;
         drop();
-        owner_.ended(*this, why, failed);
+        owner_.on_end(*this, why, failed);
     }
 
-    void await_news() {
-        silence_.expires_after(first_ ? owner_.limits_.answer : owner_.limits_.silence);
-        silence_.async_wait([self = shared_from_this()](error_code error) {
-            if (error || self->over_ || self->silence_.expiry() > std::chrono::steady_clock::now()) return;
+    void restart_silence_timer() {
+        silence_timer_.expires_after(awaits_first_ ? owner_.limits_.answer : owner_.limits_.silence);
+        silence_timer_.async_wait([self = shared_from_this()](error_code error) {
+            if (error || self->ended_ || self->silence_timer_.expiry() > std::chrono::steady_clock::now())
+                return;
             self->end("silence", true);
         });
     }
 
-    void ask() {
+    void send_request() {
         error_code ignored;
         socket_.set_option(tcp::no_delay(true), ignored);
-        asio::async_write(socket_, asio::buffer(out_), [self = shared_from_this()](error_code error, auto) {
-            if (error && !self->over_) self->end("broken", true);
-        });
-        read();
+        asio::async_write(socket_, asio::buffer(request_),
+                          [self = shared_from_this()](error_code error, auto) {
+                              if (error && !self->ended_) self->end("broken", true);
+                          });
+        wait_readable();
     }
 
-    // It is only waited here, and read when it is used: bytes that were read and wait for their turn would be
-    // overtaken by what catch_up() reads.
-    void read() {
+    // Only waits; on_readable() reads. Bytes that an asynchronous read had already taken from the socket would be overtaken
+    // by those that catch_up() reads.
+    void wait_readable() {
         socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code error) {
-            if (!self->over_) self->take(error);
+            if (!self->ended_) self->on_readable(error);
         });
     }
 
-    void take(error_code error) {
-        const loop::Read got =
-            error ? loop::Read{loop::Read::Kind::broken, {}} : loop::read_some(socket_, room_);
-        if (got.kind == loop::Read::Kind::bytes) {
-            machine_.receive(got.bytes);
-        } else if (got.kind != loop::Read::Kind::nothing) {
-            machine_.receive_end();
+    void on_readable(error_code error) {
+        const loop::Read received =
+            error ? loop::Read{loop::Read::Kind::broken, {}} : loop::read_some(socket_, buffer_);
+        if (received.kind == loop::Read::Kind::bytes) {
+            parser_.receive(received.bytes);
+        } else if (received.kind != loop::Read::Kind::nothing) {
+            parser_.receive_end();
         }
-        if (got.kind == loop::Read::Kind::nothing || tell()) read();
+        if (received.kind == loop::Read::Kind::nothing || report_updates()) wait_readable();
     }
 
-    // False when that was its end.
-    bool tell() {
-        while (auto news = machine_.next()) {
-            if (news->kind == RosterNews::Kind::ended || news->kind == RosterNews::Kind::failed) {
-                end(news->why, news->kind == RosterNews::Kind::failed);
+    // Reports the parsed updates to the owner. Returns false if the call has ended.
+    bool report_updates() {
+        while (auto update = parser_.next()) {
+            if (update->kind == DiscoveryUpdate::Kind::ended ||
+                update->kind == DiscoveryUpdate::Kind::failed) {
+                end(update->why, update->kind == DiscoveryUpdate::Kind::failed);
                 return false;
             }
-            owner_.hear(*this, std::move(*news));
-            if (over_) return false;
+            owner_.on_update(*this, std::move(*update));
+            if (ended_) return false;
         }
-        await_news();
+        restart_silence_timer();
         return true;
     }
 
-    Roster& owner_;
+    DiscoveryClient& owner_;
     const bool watching_;
-    const std::string out_;
-    RosterMachine machine_;
+    const std::string request_;
+    DiscoveryParser parser_;
     tcp::socket socket_;
-    asio::steady_timer silence_;
-    std::array<char, 16 * 1024> room_;
-    const std::chrono::steady_clock::time_point since_ = std::chrono::steady_clock::now();
-    bool first_ = true;  // it has told nothing yet
-    bool over_ = false;
+    asio::steady_timer silence_timer_;
+    std::array<char, 16 * 1024> buffer_;
+    const std::chrono::steady_clock::time_point started_at_ = std::chrono::steady_clock::now();
+    bool awaits_first_ = true;  // no update has been delivered yet
+    bool ended_ = false;
 };
 
-Roster::Roster(const loop::Executor& loop, core::Log& log, tcp::endpoint address, ListNames names,
-               bool pushed, std::uint64_t seed, Sink sink)
+DiscoveryClient::DiscoveryClient(const loop::Executor& loop, core::Log& log, tcp::endpoint address,
+                                 ListNames names, bool pushed, std::uint64_t seed, Sink sink)
     : loop_(loop),
       log_(log),
       address_(std::move(address)),
@@ -159,44 +164,44 @@
       pushed_(pushed),
       random_(seed),
       sink_(std::move(sink)),
-      again_(loop) {}
+      retry_timer_(loop) {}
 
-Roster::~Roster() { stop(); }
+DiscoveryClient::~DiscoveryClient() { stop(); }
 
-void Roster::watch() {
+void DiscoveryClient::watch() {
     watching_ = true;
     if (watch_) return;
     watch_ = std::make_shared<Call>(*this, true);
     watch_->start();
 }
 
-void Roster::unwatch() {
+void DiscoveryClient::unwatch() {
     watching_ = false;
-    for (auto* call : {&watch_, &former_}) {
+    for (auto* call : {&watch_, &former_watch_}) {
         if (*call) (*call)->drop();
         call->reset();
     }
 }
 
-void Roster::fetch() {
+void DiscoveryClient::fetch() {
     if (fetch_) return;
     fetch_ = std::make_shared<Call>(*this, false);
     fetch_->start();
 }
 
-void Roster::catch_up() {
-    // Each may end by what it hears.
-    for (const std::shared_ptr<Call>& call : {former_, watch_, fetch_}) {
+void DiscoveryClient::catch_up() {
+    // The copies keep each call alive: a call may end while it reports its updates.
+    for (const std::shared_ptr<Call>& call : {former_watch_, watch_, fetch_}) {
         if (call) call->catch_up();
     }
 }
 
-void Roster::move_to(const tcp::endpoint& address) {
+void DiscoveryClient::move_to(const tcp::endpoint& address) {
     if (address == address_) return;
     address_ = address;
     if (watching_) {
-        if (former_) former_->drop();
-        former_ = std::move(watch_);
+        if (former_watch_) former_watch_->drop();
+        former_watch_ = std::move(watch_);
         watch_.reset();
         watch();
     }
@@ -207,54 +212,55 @@
     }
 }
 
-void Roster::stop() {
-    again_.cancel();
+void DiscoveryClient::stop() {
+    retry_timer_.cancel();
     unwatch();
     if (fetch_) fetch_->drop();
     fetch_.reset();
 }
 
-// The first line of a watch tells that the call has succeeded, even when it brings nothing.
-void Roster::hear(Call& call, RosterNews news) {
-    const bool former = &call == former_.get();
-    const bool first = call.first();
-    if (news.kind == RosterNews::Kind::alive) {
+// The first line of a watch is passed on as an empty change even if it contains no list: it shows that the call succeeded.
+void DiscoveryClient::on_update(Call& call, DiscoveryUpdate update) {
+    const bool former = &call == former_watch_.get();
+    const bool first = call.take_first();
+    if (update.kind == DiscoveryUpdate::Kind::alive) {
         if (!first || former) return;
-        news.list = {};
-        news.list.kind = ListKind::delta;
-        news.list.version = version_;
+        update.list = {};
+        update.list.kind = ListKind::delta;
+        update.list.version = version_;
     } else {
-        // Overtaken meanwhile. What was known before the start overtakes nothing: the roster may count anew.
-        if (heard_ && (!call.watching() || former) && news.list.version < version_) return;
-        version_ = news.list.version;
-        heard_ = true;
-        if (!news.why.empty()) log_.tell(log::events::discovery_left_out, news.why);
+        // Ignores a list that is older than one already received. The version from before the start does not count: the
+        // service may have restarted its sequence.
+        if (received_list_ && (!call.watching() || former) && update.list.version < version_) return;
+        version_ = update.list.version;
+        received_list_ = true;
+        if (!update.why.empty()) log_.tell(log::events::discovery_left_out, update.why);
     }
-    if (&call == watch_.get() && former_) {
-        former_->drop();
-        former_.reset();
+    if (&call == watch_.get() && former_watch_) {
+        former_watch_->drop();
+        former_watch_.reset();
     }
-    sink_(std::move(news.list));
+    sink_(std::move(update.list));
 }
 
-void Roster::ended(Call& call, const std::string& why, bool failed) {
-    if (&call == former_.get()) {
-        former_.reset();
+void DiscoveryClient::on_end(Call& call, const std::string& why, bool failed) {
+    if (&call == former_watch_.get()) {
+        former_watch_.reset();
         return;
     }
     const bool watching = watch_.get() == &call;
     const std::shared_ptr<Call> ended = std::move(watching ? watch_ : fetch_);
     (watching ? watch_ : fetch_).reset();
-    if (!failed) return;  // a call for the list that was answered
+    if (!failed) return;  // a snapshot call that has completed
     log_.tell(watching ? log::events::discovery_watch_failed : log::events::discovery_call_failed, why);
     core::MemberList none;
     none.kind = ListKind::failed;
     sink_(std::move(none));
     if (!pushed_ || !watching_) return;
-    gap_ = ended->spoke() ? again_least : std::clamp(2 * gap_, again_least, again_most);
-    const auto spread = static_cast<std::uint64_t>(gap_.count() / 2);
-    again_.expires_at(ended->since() + gap_ - Micros(draw(random_) % spread));
-    again_.async_wait(alive_.guard([this](error_code error) {
+    backoff_ = ended->has_delivered() ? min_backoff : std::clamp(2 * backoff_, min_backoff, max_backoff);
+    const auto jitter = static_cast<std::uint64_t>(backoff_.count() / 2);
+    retry_timer_.expires_at(ended->started_at() + backoff_ - Micros(next_random(random_) % jitter));
+    retry_timer_.async_wait(alive_.guard([this](error_code error) {
         if (!error && watching_) watch();
     }));
 }
--- a/src/membership/roster_machine.cpp
+++ b/src/membership/roster_machine.cpp
@@ -13,160 +13,165 @@
 
 namespace {
 
-constexpr std::uint32_t header_most = 16 * 1024;
+constexpr std::uint32_t max_header_bytes = 16 * 1024;
 
-// Finds the end of a watch's next text: an empty line, or a list, on a line or indented over several. Guards against
-// one that was cut short and would swallow all that comes behind it: an object has no empty line in it, and a line
-// that is an object with hosts of its own is a list of its own (entries may stand one a line). What isn't JSON is no concern here.
-class ListText {
+// Finds the end of the next item of a watch: an empty line, or a list on one line or indented over several. A truncated list
+// must not swallow the items after it. Therefore an empty line ends an item, and so does a line that is a complete object
+// with a member "hosts", since that is a list of its own (other lines may be entries of an indented list). Whether the item
+// is valid JSON is not checked here.
+class ItemScanner {
 public:
-    // Behind its line's end; 0: not here yet. Told again with more at the end of the same text.
+    // Returns the position after the line end of the item, or 0 if the item is incomplete. Call again with the same text and
+    // more appended.
     std::size_t end_in(std::string_view text) {
-        while (at_ < text.size()) {
-            const char c = text[at_++];
+        while (position_ < text.size()) {
+            const char c = text[position_++];
             if (c == '\n') {
-                const std::string_view line = text.substr(line_, at_ - 1 - line_);
-                const bool alone = line.starts_with('{') && deep_ == deep_before_ &&
-                                   line.find("\"hosts\"") != std::string_view::npos;
-                if (deep_ <= 0 || in_string_ || alone || line.empty() || line == "\r") return at_;
-                line_ = at_;
-                deep_before_ = deep_;
+                const std::string_view line = text.substr(line_start_, position_ - 1 - line_start_);
+                const bool complete_list = line.starts_with('{') && depth_ == line_start_depth_ &&
+                                           line.find("\"hosts\"") != std::string_view::npos;
+                if (depth_ <= 0 || in_string_ || complete_list || line.empty() || line == "\r")
+                    return position_;
+                line_start_ = position_;
+                line_start_depth_ = depth_;
             } else if (in_string_) {
                 in_string_ = escaped_ || c != '"';
                 escaped_ = !escaped_ && c == '\\';
             } else {
                 in_string_ = c == '"';
-                deep_ += (c == '{' || c == '[') - (c == '}' || c == ']');
+                depth_ += (c == '{' || c == '[') - (c == '}' || c == ']');
             }
         }
         return 0;
     }
 
 private:
-    std::size_t at_ = 0, line_ = 0;   // read so far; where its line begins
-    int deep_ = 0, deep_before_ = 0;  // open objects and lists, here and where the line begins
+    std::size_t position_ = 0, line_start_ = 0;
+    int depth_ = 0,
+        line_start_depth_ = 0;  // open objects and arrays, at the position and at the start of its line
     bool in_string_ = false, escaped_ = false;
 };
 
 }  // namespace
 
-class RosterMachine::Impl {
+class DiscoveryParser::Impl {
 public:
-    Impl(bool watching, ListNames names, std::size_t line_most)
-        : watching_(watching), names_(std::move(names)), line_most_(line_most) {
-        parser_.header_limit(header_most);
-        parser_.body_limit(boost::none);  // a watch never ends; its lines are bounded
+    Impl(bool watching, ListNames names, std::size_t max_line_size)
+        : watching_(watching), names_(std::move(names)), max_line_size_(max_line_size) {
+        parser_.header_limit(max_header_bytes);
+        parser_.body_limit(boost::none);  // a watch has no end; max_line_size bounds its items
         parser_.eager(true);
     }
 
     void receive(std::string_view bytes) {
-        if (over_) return;
-        auto room = in_.prepare(bytes.size());
-        in_.commit(boost::asio::buffer_copy(room, boost::asio::buffer(bytes.data(), bytes.size())));
-        take();
+        if (finished_) return;
+        auto space = input_.prepare(bytes.size());
+        input_.commit(boost::asio::buffer_copy(space, boost::asio::buffer(bytes.data(), bytes.size())));
+        parse();
     }
 
     void receive_end() {
-        if (over_ || ended_) return;
-        ended_ = true;
+        if (finished_ || connection_ended_) return;
+        connection_ended_ = true;
         boost::system::error_code error;
         if (parser_.got_some() && !parser_.is_done()) parser_.put_eof(error);
-        if (error) return fail("cut off");
-        take();
+        if (error) return fail("response truncated");
+        parse();
     }
 
-    std::optional<RosterNews> next() {
-        if (told_) return std::nullopt;
-        if (const std::size_t end = watching_ ? text_.end_in(lines_) : 0; end > 0) {
-            std::string_view line = std::string_view(lines_).substr(0, end - 1);
+    std::optional<DiscoveryUpdate> next() {
+        if (reported_end_) return std::nullopt;
+        if (const std::size_t end = watching_ ? scanner_.end_in(body_) : 0; end > 0) {
+            std::string_view line = std::string_view(body_).substr(0, end - 1);
             if (!line.empty() && line.back() == '\r') line.remove_suffix(1);
-            RosterNews news = read(line);
-            lines_.erase(0, end);
-            text_ = {};
-            return tell(std::move(news));
+            DiscoveryUpdate update = update_of(line);
+            body_.erase(0, end);
+            scanner_ = {};
+            return report(std::move(update));
         }
-        if (!over_ && lines_.size() > line_most_) fail("line too long");
-        if (!over_) return std::nullopt;
-        if (whole_list_) {
-            whole_list_ = false;
-            RosterNews news = read(lines_);
-            lines_.clear();
-            return tell(std::move(news));
+        if (!finished_ && body_.size() > max_line_size_) fail("line too long");
+        if (!finished_) return std::nullopt;
+        if (snapshot_complete_) {
+            snapshot_complete_ = false;
+            DiscoveryUpdate update = update_of(body_);
+            body_.clear();
+            return report(std::move(update));
         }
-        RosterNews news;
-        news.kind = why_.empty() ? RosterNews::Kind::ended : RosterNews::Kind::failed;
-        news.why = why_;
-        return tell(std::move(news));
+        DiscoveryUpdate update;
+        update.kind = why_.empty() ? DiscoveryUpdate::Kind::ended : DiscoveryUpdate::Kind::failed;
+        update.why = why_;
+        return report(std::move(update));
     }
 
 private:
-    RosterNews tell(RosterNews news) {
-        told_ = news.kind == RosterNews::Kind::ended || news.kind == RosterNews::Kind::failed;
-        return news;
+    DiscoveryUpdate report(DiscoveryUpdate update) {
+        reported_end_ =
+            update.kind == DiscoveryUpdate::Kind::ended || update.kind == DiscoveryUpdate::Kind::failed;
+        return update;
     }
 
     void fail(const char* why) {
-        over_ = true;
+        finished_ = true;
         why_ = why;
     }
 
-    void take() {
+    void parse() {
         boost::system::error_code error;
-        if (in_.size() > 0) in_.consume(parser_.put(in_.data(), error));
-        if (error && error != http::error::need_more) return fail("malformed answer");
+        if (input_.size() > 0) input_.consume(parser_.put(input_.data(), error));
+        if (error && error != http::error::need_more) return fail("malformed response");
         if (parser_.is_header_done()) {
-            if (parser_.get().result() != http::status::ok) return fail("turned away");
-            lines_.append(parser_.get().body());
+            if (parser_.get().result() != http::status::ok) return fail("status other than 200");
+            body_.append(parser_.get().body());
             parser_.get().body().clear();
         }
-        if (!parser_.is_done() && !ended_) return;
-        over_ = true;
-        whole_list_ = !watching_ && parser_.is_done();
-        if (watching_ || !whole_list_) why_ = "ended";
+        if (!parser_.is_done() && !connection_ended_) return;
+        finished_ = true;
+        snapshot_complete_ = !watching_ && parser_.is_done();
+        if (watching_ || !snapshot_complete_) why_ = "ended";
     }
 
-    RosterNews read(std::string_view text) {
-        RosterNews news;
-        if (watching_ && text.empty()) return news;
+    DiscoveryUpdate update_of(std::string_view text) {
+        DiscoveryUpdate update;
+        if (watching_ && text.empty()) return update;
         try {
-            if (text.size() > line_most_) throw std::length_error("line too long");
-            news.list = parse_list(text, names_, &news.why);
-            news.kind = RosterNews::Kind::list;
+            if (text.size() > max_line_size_) throw std::length_error("line too long");
+            update.list = parse_list(text, names_, &update.why);
+            update.kind = DiscoveryUpdate::Kind::list;
         } catch (const std::exception& error) {
-            news.kind = RosterNews::Kind::failed;
-            news.list = {};
-            news.why = std::string("malformed list: ") + error.what();
-            over_ = true;
+            update.kind = DiscoveryUpdate::Kind::failed;
+            update.list = {};
+            update.why = std::string("malformed list: ") + error.what();
+            finished_ = true;
         }
-        return news;
+        return update;
     }
 
     const bool watching_;
     const ListNames names_;
-    const std::size_t line_most_;
-    beast::flat_buffer in_;
+    const std::size_t max_line_size_;
+    beast::flat_buffer input_;
     http::response_parser<http::string_body> parser_;
-    std::string lines_;  // of the body, not yet read
-    ListText text_;      // the first of them
+    std::string body_;     // the part of the body that has not been reported yet
+    ItemScanner scanner_;  // over the first item of the body
     std::string why_;
-    bool whole_list_ = false;  // a call's answer is all there
-    bool ended_ = false;
-    bool over_ = false;
-    bool told_ = false;
+    bool snapshot_complete_ = false;  // the snapshot is complete and not reported yet
+    bool connection_ended_ = false;
+    bool finished_ = false;      // no further bytes are parsed
+    bool reported_end_ = false;  // `ended` or `failed` has been returned
 };
 
-RosterMachine::RosterMachine(bool watching, ListNames names, std::size_t line_most)
-    : impl_(std::make_unique<Impl>(watching, std::move(names), line_most)) {}
-RosterMachine::~RosterMachine() = default;
+DiscoveryParser::DiscoveryParser(bool watching, ListNames names, std::size_t max_line_size)
+    : impl_(std::make_unique<Impl>(watching, std::move(names), max_line_size)) {}
+DiscoveryParser::~DiscoveryParser() = default;
 
-std::string RosterMachine::request(bool watching, std::uint64_t after_version) {
+std::string DiscoveryParser::request(bool watching, std::uint64_t after_version) {
     std::string target = "/v1/endpoints";
     if (watching) target += "?stream=1&index=" + std::to_string(after_version);
     return "GET " + target + " HTTP/1.1\r\nHost: discovery\r\n\r\n";
 }
 
-void RosterMachine::receive(std::string_view bytes) { impl_->receive(bytes); }
-void RosterMachine::receive_end() { impl_->receive_end(); }
-std::optional<RosterNews> RosterMachine::next() { return impl_->next(); }
+void DiscoveryParser::receive(std::string_view bytes) { impl_->receive(bytes); }
+void DiscoveryParser::receive_end() { impl_->receive_end(); }
+std::optional<DiscoveryUpdate> DiscoveryParser::next() { return impl_->next(); }
 
 }  // namespace flaxdoor::membership
--- a/src/membership/roster_machine.h
+++ b/src/membership/roster_machine.h
@@ -1,9 +1,9 @@
-// One call to the roster, without its socket: the answer's bytes in, lists out. A call for the whole list
-// ends with it; a watch goes on, one list or empty line at a time, until the roster ends it. A list may be indented,
-// over several lines.
+// Parses the response of one discovery call, without its socket: takes the response's bytes and returns lists. A call for
+// the snapshot ends with the list. A watch goes on, one list or empty line at a time, until the service ends it. A list may
+// be indented over several lines.
 //
 // Threading: one thread at a time.   Format: the platform's protocol page, "Discovery"; RFC 9112 around it.
-// Bounds:    a line is no longer than `line_most`; the buffer holds no more than one line and one read.
+// Bounds:    a list has at most `max_line_size` bytes; the buffer holds at most one list and one read.
 #pragma once
 
 #include <cstddef>
@@ -16,33 +16,33 @@
 
 namespace flaxdoor::membership {
 
-struct RosterNews {
+struct DiscoveryUpdate {
     enum class Kind {
-        list,    // of this call
+        list,    // a list was received
         alive,   // an empty line: nothing has changed
-        ended,   // the call is over, as it should be
-        failed,  // the call is over for a reason that `why` tells
+        ended,   // the call has completed
+        failed,  // the call has failed; `why` is the reason
     };
     Kind kind = Kind::alive;
     core::MemberList list;
-    std::string why;  // of kind `list`: which entry can't be used, where there is one
+    std::string why;  // with kind `list`: the entry that cannot be used and the reason, if there is one
 };
 
-class RosterMachine {
+class DiscoveryParser {
 public:
-    static constexpr std::size_t default_line_most = 4 * 1024 * 1024;
+    static constexpr std::size_t default_max_line_size = 4 * 1024 * 1024;
 
-    RosterMachine(bool watching, ListNames names, std::size_t line_most = default_line_most);
-    ~RosterMachine();
+    DiscoveryParser(bool watching, ListNames names, std::size_t max_line_size = default_max_line_size);
+    ~DiscoveryParser();
 
-    // What is to be written to ask for the list, or for what changes after this version.
+    // Returns the HTTP request for the snapshot, or for the changes after this version (`watching`).
     [[nodiscard]] static std::string request(bool watching, std::uint64_t after_version);
 
     void receive(std::string_view bytes);
     void receive_end();
 
-    // What has come, in order; nothing more after `ended` or `failed`.
-    [[nodiscard]] std::optional<RosterNews> next();
+    // Returns the updates in the order in which they were received; none after `ended` or `failed`.
+    [[nodiscard]] std::optional<DiscoveryUpdate> next();
 
 private:
     class Impl;
--- a/src/text/base64.h
+++ b/src/text/base64.h
@@ -1,4 +1,4 @@
-// Base64 (RFC 4648, 4), read leniently: what is none of its letters is passed over, as line ends are.
+// Decodes Base64 (RFC 4648, section 4) leniently: skips characters outside its alphabet, such as line ends.
 #pragma once
 
 #include <string>
