--- a/tests/engine/engine_test.cpp
+++ b/tests/engine/engine_test.cpp
@@ -1,5 +1,5 @@
-// All of it put together, as an object: its configuration, and that it may go at any time. What it does as
-// seen from outside is in tests/suite.
+// Tests the engine as an object: its configuration, and that it can be destroyed at any time. tests/suite tests its behaviour
+// as seen from outside.
 #include "engine/engine.h"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
 using flaxdoor::test::plain;
 using nlohmann::json;
 
-TEST(Config, FlattensToTheWiresLines) {
+TEST(Config, FlattensToLinesOfKeyAndValue) {
     const json settings = {{"a", {{"b", 1.5}, {"c", true}}},
                            {"names", {"full node", "x,y"}},
                            {"none", json::array()},
@@ -25,7 +25,7 @@
               "a.b=1.5\na.c=true\nitems.count=2\nitems.0.k=v\nitems.1.k=2\nnames=full_node,x_y\nnone=\n");
 }
 
-TEST(Config, NamesStayAsMessagesHoldThem) {
+TEST(Config, KeepsNamesAsMessagesUseThem) {
     const auto config = parse_config(plain().dump());
     EXPECT_EQ(config.settings.classes[1].name, "book it");
     EXPECT_EQ(config.known.version, 7U);
@@ -34,7 +34,7 @@
     EXPECT_EQ(config.seed, 0x8c1f30d27a5be964ULL);
 }
 
-TEST(Config, WhatIsMissingOrBrokenIsAnError) {
+TEST(Config, RejectsMissingAndMalformedMembers) {
     EXPECT_ANY_THROW((void)parse_config("{"));
     EXPECT_ANY_THROW((void)parse_config("[]"));
     for (const char* key : {"settings", "listen", "discovery", "seed"}) {
@@ -49,12 +49,12 @@
     EXPECT_ANY_THROW((void)loop::parse_endpoint("name:80"));
 }
 
-// What can be read and makes no sense: told by its key, with what it holds and what it may hold.
-TEST(Config, WhatMakesNoSenseIsNamed) {
+// Contradictory settings are reported by key, with the value and the permitted values.
+TEST(Config, NamesContradictorySettings) {
     struct Row {
-        const char* at;  // in the file
+        const char* path;  // in the file
         json value;
-        const char* told;
+        const char* message;
     };
     const json tenants = {{{"name", "a"}, {"quota_rps", 1.0}, {"fraction", 0.5}}, {{"name", "b"}}};
     for (const Row& row : std::vector<Row>{
@@ -67,36 +67,36 @@
              {"/settings/services/1/window", 0,
               "settings.services.1.window is 0, must be above 0 ms where effect is \"deduplicated\""},
              {"/settings/services/2/name", "look",
-              "settings.services.2.name is \"look\", must be another name than those before it"},
+              "settings.services.2.name is \"look\", must be a name that no entry before it has"},
              {"/settings/services/2/name", "",
-              "settings.services.2.name is \"\", must be what requests call it by"},
+              "settings.services.2.name is \"\", must be a name that is not empty"},
              {"/settings/tenants/1/name", "a",
-              "settings.tenants.1.name is \"a\", must be another name than those before it"},
+              "settings.tenants.1.name is \"a\", must be a name that no entry before it has"},
              {"/settings/tenants/0/quota_rps", -3,
               "settings.tenants.0.quota_rps is -3, must be 0 (none) or more, in requests a second"},
              {"/settings/tenants/0/fraction", 7,
               "settings.tenants.0.fraction is 7, must be a share from 0 to 1"},
              {"/settings/rank", 1, "settings.rank is 1, must be from 0, and below siblings"},
              {"/settings/siblings", 0, "settings.siblings is 0, must be at least 1"},
-             {"/settings/zone", 2, "settings.zone is 2, must be the place of one of zones, from 0"},
+             {"/settings/zone", 2, "settings.zone is 2, must be an index into zones, from 0"},
              {"/settings/tick", 0, "settings.tick is 0, must be above 0 ms"},
              {"/settings/limits/max_attempts", 0, "settings.limits.max_attempts is 0, must be at least 1"},
              {"/settings/over_share_worth", 2, "settings.over_share_worth is 2, must be from 0 to 1"},
              {"/settings/invariants/cold_from", 0,
               "settings.invariants.cold_from is 0, must be above 0, at most 1"},
              {"/settings/invariants/fall", 1000,
-              "settings.invariants.fall_multiple is missing, must be above 0 where fall is told"},
+              "settings.invariants.fall_multiple is missing, must be above 0 where invariants.fall is given"},
              {"/limits/sockets", -3, "limits.sockets is -3, must be a whole number above 0"},
              {"/limits/sockets", "many", "limits.sockets is \"many\", must be a whole number above 0"}}) {
         json config = plain();
         config["settings"]["tenants"] = tenants;
         EXPECT_NO_THROW((void)parse_config(config.dump()));
-        config[json::json_pointer(row.at)] = row.value;
+        config[json::json_pointer(row.path)] = row.value;
         try {
             (void)parse_config(config.dump());
-            ADD_FAILURE() << row.at << " was taken";
+            ADD_FAILURE() << row.path << " was accepted";
         } catch (const std::invalid_argument& error) {
-            EXPECT_STREQ(error.what(), row.told);
+            EXPECT_STREQ(error.what(), row.message);
         }
     }
 }
@@ -107,10 +107,9 @@
 
 using flaxdoor::test::Lines;
 
-// Destroyed with timers due, calls open and connections in every state, and the loop run on after it: nothing
-// of it is used any more (the address sanitizer tells). So it was with a host that held a bare `this` in its
-// handlers.
-TEST(Life, MayGoAtAnyTime) {
+// Destroys the engine with timers pending, calls open and connections in every state, and runs the loop on. Guards against
+// handlers that hold a bare `this` and use the destroyed engine; AddressSanitizer detects that.
+TEST(Life, CanBeDestroyedAtAnyTime) {
     for (int steps = 0; steps < 60; ++steps) {
         boost::asio::io_context io;
         Lines log;
@@ -135,27 +134,27 @@
     }
 }
 
-// It ends its own work and leaves the loop to whoever owns it.
-TEST(Life, ADrainDoesNotStopTheLoop) {
+// A drain ends the engine's own work; the loop belongs to the caller and runs on.
+TEST(Life, DrainDoesNotStopTheLoop) {
     boost::asio::io_context io;
     Lines log;
     Engine engine(io.get_executor(), log, options());
     int drained = 0;
     engine.drain([&] { ++drained; });
     engine.drain([&] { ++drained; });
-    bool ran_on = false;
+    bool loop_ran_on = false;
     boost::asio::steady_timer later(io);
     std::function<void()> wait = [&] {
         later.expires_after(std::chrono::milliseconds(1));
         later.async_wait([&](auto) {
             if (drained == 0) return wait();
-            ran_on = true;
+            loop_ran_on = true;
         });
     };
     wait();
     io.run();
     EXPECT_EQ(drained, 1);
-    EXPECT_TRUE(ran_on);
+    EXPECT_TRUE(loop_ran_on);
     EXPECT_TRUE(engine.drained());
     const core::Figures figures = engine.figures();
     EXPECT_EQ(figures.open, 0U);
--- a/tests/log/log_test.cpp
+++ b/tests/log/log_test.cpp
@@ -1,4 +1,5 @@
-// Lines whatever bytes there are, a reader that reads nothing, half, or is gone, and what a flood may cost.
+// Tests the formats with arbitrary bytes, sinks that accept nothing, half a line, or are closed, and what a flood of one
+// event may cost the others.
 #include <fcntl.h>
 #include <gtest/gtest.h>
 #include <poll.h>
@@ -28,16 +29,16 @@
 
 constexpr std::array<Format, 3> formats{Format::text, Format::json, Format::logfmt};
 
-struct Hand final : core::Clock {
+struct ManualClock final : core::Clock {
     Time now() const override { return at; }
     Time at = 1'764'666'301'250ms;  // 2025-12-02T09:05:01.250Z
 };
 
 std::string line(Format format, const core::Event& event, std::vector<Value> values) {
-    return line_of(format, Hand().at, event.level, event, values);
+    return format_line(format, ManualClock().at, event.level, event, values);
 }
 
-TEST(Format, OneEventThreeWays) {
+TEST(Format, WritesOneEventInEachFormat) {
     struct Case {
         Format format;
         const char* line;
@@ -58,11 +59,12 @@
     EXPECT_EQ(line(Format::text, events::store_as_new, {9U, 1}),
               "store: the configuration's list 9 is as new; 1 server remembered\n");
     EXPECT_EQ(line(Format::text, events::store_too_large, {0}),
-              "store: the list is not kept: 0 servers are too many\n");
+              "store: the list is not stored: 0 servers exceed the maximum\n");
 }
 
-// Printable ASCII but for the one newline, and in JSON the value comes back as it was.
-TEST(Format, EveryByte) {
+// Whatever byte a value contains, the line is printable ASCII (text: no control characters) with one newline at its end.
+// JSON preserves the value.
+TEST(Format, EscapesEveryByte) {
     for (int byte = 0; byte < 256; ++byte) {
         const std::string value = std::string("a") + static_cast<char>(byte) + "b";
         for (const Format format : formats) {
@@ -77,8 +79,8 @@
                 }
             }
             if (format == Format::json) {
-                const std::string back = json::parse(out)["what"];
-                EXPECT_EQ(back, byte < 128 ? value : "a\xef\xbf\xbd"s + "b");
+                const std::string parsed = json::parse(out)["what"];
+                EXPECT_EQ(parsed, byte < 128 ? value : "a\xef\xbf\xbd"s + "b");
             } else if (format == Format::logfmt) {
                 const auto at = out.find("what=") + 5;
                 const bool bare = std::isalnum(byte) || (byte != 0 && std::string_view(".:_-/").find(byte) !=
@@ -89,8 +91,8 @@
     }
 }
 
-// Never longer than what a pipe takes whole, and still a line of its format.
-TEST(Format, CutAtThePipesSize) {
+// A line is never longer than a pipe writes atomically, and a truncated line is still valid in its format.
+TEST(Format, TruncatesAtMaxLineBytes) {
     for (const std::string unit : {"a", "\"", "\x01", "\xc3\xa9", "\xf0\x9f\x98\x80", "\xff", "a b"}) {
         for (std::size_t size = 3700; size < 4300; size += unit.size() * 7) {
             std::string value;
@@ -98,13 +100,13 @@
             for (const Format format : formats) {
                 const std::string out =
                     line(format, events::gateway_status_refused, {"Gateway", value, 409, "no"});
-                ASSERT_LE(out.size(), line_most);
+                ASSERT_LE(out.size(), max_line_bytes);
                 ASSERT_EQ(out.find('\n'), out.size() - 1);
                 if (format == Format::logfmt) {
-                    ASSERT_NE(out.find(" name="), out.npos) << "cut, not left out";
+                    ASSERT_NE(out.find(" name="), out.npos) << "truncated, not left out";
                 }
                 if (format != Format::json) continue;
-                const json parsed = json::parse(out);  // throws where an escape is cut in two
+                const json parsed = json::parse(out);  // throws if an escape sequence is split
                 const std::string name = parsed["name"];
                 ASSERT_EQ(value.substr(0, name.size()) == name || unit == "\xff", true);
                 ASSERT_EQ(parsed.contains("cut"), !parsed.contains("body"));
@@ -112,189 +114,193 @@
         }
     }
     EXPECT_EQ(line(Format::text, events::operators_fault, {std::string(100'000, 'y')}),
-              std::string(line_most - 1, 'y') + "\n");
+              std::string(max_line_bytes - 1, 'y') + "\n");
 }
 
-// ------------------------------------------------------------------------------------------ the descriptor
+// DescriptorSink
 
 struct Pipe {
     Pipe() { EXPECT_EQ(::pipe(ends.data()), 0); }
     ~Pipe() {
         for (const int end : ends) ::close(end);
     }
-    // All that is there.
+    // Returns all bytes that are readable now.
     std::string read() {
         std::string all;
-        std::array<char, 65536> room;
-        for (pollfd asked{ends[0], POLLIN, 0}; ::poll(&asked, 1, 0) > 0;) {
-            const auto got = ::read(ends[0], room.data(), room.size());
-            if (got <= 0) break;
-            all.append(room.data(), static_cast<std::size_t>(got));
+        std::array<char, 65536> buffer;
+        for (pollfd request{ends[0], POLLIN, 0}; ::poll(&request, 1, 0) > 0;) {
+            const auto count = ::read(ends[0], buffer.data(), buffer.size());
+            if (count <= 0) break;
+            all.append(buffer.data(), static_cast<std::size_t>(count));
         }
         return all;
     }
     std::array<int, 2> ends{};
 };
 
-// One write takes half, the next nothing, and so on.
-ssize_t by_halves(int descriptor, const void* bytes, std::size_t size) {
-    static bool takes = false;
-    takes = !takes;
-    if (!takes) return -1;
+// Alternates between writing half of the bytes and failing.
+ssize_t write_half_or_fail(int descriptor, const void* bytes, std::size_t size) {
+    static bool accepts = false;
+    accepts = !accepts;
+    if (!accepts) return -1;
     return ::write(descriptor, bytes, size - size / 2);
 }
 
-TEST(Descriptor, WhatIsTakenInPartIsNeverTorn) {
+TEST(Descriptor, NeverInterleavesAPartlyWrittenLine) {
     Pipe pipe;
-    Descriptor sink(pipe.ends[1], by_halves);
-    std::string taken;
+    DescriptorSink sink(pipe.ends[1], write_half_or_fail);
+    std::string accepted;
     for (int i = 0; i < 200; ++i) {
         const std::string text = "line " + std::to_string(i) + " of many\n";
-        if (sink.take(text)) taken += text;
+        if (sink.try_write(text)) accepted += text;
     }
     const std::string out = pipe.read();
     EXPECT_GT(out.size(), 200U);
-    EXPECT_EQ(taken.substr(0, out.size()), out);
-    EXPECT_LT(taken.size() - out.size(), 40U) << "more than one line is on its way";
+    EXPECT_EQ(accepted.substr(0, out.size()), out);
+    EXPECT_LT(accepted.size() - out.size(), 40U) << "more than one line is unwritten";
 }
 
-TEST(Descriptor, OneThatIsGoneTakesNothing) {
-    Descriptor none(-1);
-    EXPECT_FALSE(none.take("nobody\n"));
+TEST(Descriptor, AcceptsNothingWhenClosedOrBroken) {
+    DescriptorSink none(-1);
+    EXPECT_FALSE(none.try_write("nobody\n"));
     std::signal(SIGPIPE, SIG_IGN);
     Pipe pipe;
     ::close(pipe.ends[0]);
-    Descriptor broken(pipe.ends[1]);
-    EXPECT_FALSE(broken.take("nobody\n"));
+    DescriptorSink broken(pipe.ends[1]);
+    EXPECT_FALSE(broken.try_write("nobody\n"));
     pipe.ends[0] = ::dup(pipe.ends[1]);
 }
 
-// ------------------------------------------------------------------------------------------------ the log
+// Logger
 
-// Takes so many lines.
-struct Reader final : Sink {
-    bool take(std::string_view line) override {
-        if (room == 0) return false;
-        if (room > 0) --room;
+// A sink that stores lines and accepts a limited number of them.
+struct RecordingSink final : Sink {
+    bool try_write(std::string_view line) override {
+        if (remaining == 0) return false;
+        if (remaining > 0) --remaining;
         lines.emplace_back(line.substr(0, line.size() - 1));
         return true;
     }
     std::size_t count(std::string_view start) const {
-        return static_cast<std::size_t>(
-            std::count_if(lines.begin(), lines.end(), [&](const auto& l) { return l.starts_with(start); }));
+        return static_cast<std::size_t>(std::count_if(
+            lines.begin(), lines.end(), [&](const auto& line) { return line.starts_with(start); }));
     }
-    int room = -1;  // less than 0: all
+    int remaining = -1;  // lines that it still accepts; negative: unlimited
     std::vector<std::string> lines;
 };
 
-// A full pipe holds up nobody (this test would not end); the first line after that tells how many were dropped.
-TEST(Logger, NobodyReadsForAWhile) {
+// A full pipe does not block the logger (otherwise this test would hang). The first line after the pipe is read again
+// reports how many lines were dropped.
+TEST(Logger, DropsAndCountsLinesWhileThePipeIsFull) {
     Pipe pipe;
-    Descriptor sink(pipe.ends[1]);
-    Hand clock;
+    DescriptorSink sink(pipe.ends[1]);
+    ManualClock clock;
     Logger log(sink, clock);
-    int waits = 0;
-    log.on_waiting([&] { ++waits; });
+    int callbacks = 0;
+    log.on_pending([&] { ++callbacks; });
     const std::string text(100, 'x');
     constexpr int lines = 3000;  // a pipe holds some 64 KiB
     for (int i = 0; i < lines; ++i) log.tell(events::operators_fault, text);
-    EXPECT_EQ(waits, 1);
+    EXPECT_EQ(callbacks, 1);
     std::string all = pipe.read();
     log.retry();
     all += pipe.read();
-    EXPECT_FALSE(log.waiting());
+    EXPECT_FALSE(log.has_pending());
     const auto end = all.find("log: ");
-    const auto kept = end / (text.size() + 1);
-    EXPECT_EQ(end % (text.size() + 1), 0U) << "a line was torn";
-    EXPECT_GT(kept, 100U);
-    EXPECT_EQ(all.substr(end), "log: " + std::to_string(lines - kept) + " lines dropped, nobody read them\n");
+    const auto written = end / (text.size() + 1);
+    EXPECT_EQ(end % (text.size() + 1), 0U) << "a line was written in part";
+    EXPECT_GT(written, 100U);
+    EXPECT_EQ(all.substr(end), "log: " + std::to_string(lines - written) +
+                                   " lines dropped because they were not read in time\n");
     log.tell(events::draining);
     EXPECT_EQ(pipe.read(), "draining\n");
 }
 
-// One event floods, another comes now and then; nobody reads. The queue's bounds hold, and the rare one is there.
-// A terminal that shows nothing more takes a part of a line and would wait for the rest: the test would not end.
-TEST(Logger, AStalledTerminalHoldsNothingUp) {
+// A stalled terminal accepts part of a line and would block the writer for the rest (then this test would hang).
+TEST(Logger, DoesNotBlockOnAStalledTerminal) {
     const int screen = ::posix_openpt(O_RDWR | O_NOCTTY);
     ASSERT_TRUE(screen >= 0 && ::grantpt(screen) == 0 && ::unlockpt(screen) == 0);
     const int terminal = ::open(::ptsname(screen), O_RDWR | O_NOCTTY);
     ASSERT_GE(terminal, 0);
-    Hand clock;
-    Descriptor sink(terminal);
+    ManualClock clock;
+    DescriptorSink sink(terminal);
     Logger log(sink, clock);
-    std::string told;  // lines of many lengths: one of them does not fit as a whole
-    for (std::size_t i = 0; !log.waiting(); ++i) {
+    std::string logged;  // lines of many lengths, so that one of them fits only in part
+    for (std::size_t i = 0; !log.has_pending(); ++i) {
         const std::string text(1 + i * 37 % 211, 'x');
-        told += "store: " + text + "\n";
+        logged += "store: " + text + "\n";
         log.tell(events::store_trouble, text);
     }
     std::string shown;
     const auto read = [&] {
-        std::array<char, 65536> room;
-        const auto got = ::read(screen, room.data(), room.size());
-        for (ssize_t i = 0; i < got; ++i) {
-            if (room[static_cast<std::size_t>(i)] != '\r') shown += room[static_cast<std::size_t>(i)];
+        std::array<char, 65536> buffer;
+        const auto count = ::read(screen, buffer.data(), buffer.size());
+        for (ssize_t i = 0; i < count; ++i) {
+            if (buffer[static_cast<std::size_t>(i)] != '\r') shown += buffer[static_cast<std::size_t>(i)];
         }
     };
-    for (; log.waiting(); log.retry()) read();
+    for (; log.has_pending(); log.retry()) read();
     log.tell(events::drained);
     while (!shown.ends_with("drained\n")) read();
-    EXPECT_EQ(shown, told + "drained\n");
+    EXPECT_EQ(shown, logged + "drained\n");
     ::close(terminal);
     ::close(screen);
 }
 
-TEST(Logger, AFloodCostsTheRareOneNothing) {
-    for (const bool rate : {false, true}) {
-        Reader reader;
-        Hand clock;
-        Logger log(reader, clock);
+// While nothing reads the log, a flood of one event fills its part of the queue; a rare event still finds space.
+TEST(Logger, AFloodOfOneEventDoesNotDropARareOne) {
+    for (const bool limited : {false, true}) {
+        RecordingSink sink;
+        ManualClock clock;
+        Logger log(sink, clock);
         Options options;
-        if (rate) options.rate = {5, 3};
+        if (limited) options.rate = {5, 3};
         log.set(options);
-        reader.room = 0;
+        sink.remaining = 0;
         for (int i = 0; i < 10'000; ++i) {
             log.tell(core::events::from_module, "flood");
             clock.at += 1ms;
             if (i % 2000 == 0) log.tell(events::discovery_call_failed, std::to_string(i));
         }
-        reader.room = -1;
+        sink.remaining = -1;
         log.tell(events::draining);
-        EXPECT_EQ(reader.count("discovery: call failed"), 5U);
-        EXPECT_EQ(reader.lines.back(), "draining");
-        if (!rate) {
-            EXPECT_EQ(reader.count("log: 9936 lines dropped"), 1U);  // a quarter of 256 waited
+        EXPECT_EQ(sink.count("discovery: call failed"), 5U);
+        EXPECT_EQ(sink.lines.back(), "draining");
+        if (!limited) {
+            EXPECT_EQ(sink.count("log: 9936 lines dropped"), 1U);  // a quarter of 256 entries was queued
         }
     }
 }
 
-TEST(Logger, RatesByEventTellWhatTheyLeftOut) {
-    Reader reader;
-    Hand clock;
+TEST(Logger, ReportsSuppressedLinesOfEachEvent) {
+    RecordingSink sink;
+    ManualClock clock;
     {
-        Logger log(reader, clock);
+        Logger log(sink, clock);
         Options options;
         options.rate = {2, 3};
         log.set(options);
         for (int i = 0; i < 10; ++i) log.tell(core::events::from_module, "m");
-        EXPECT_EQ(reader.count("m"), 3U);
-        EXPECT_TRUE(log.waiting());
+        EXPECT_EQ(sink.count("m"), 3U);
+        EXPECT_TRUE(log.has_pending());
         log.tell(events::draining);
-        EXPECT_EQ(reader.lines.back(), "draining") << "nothing of another event is told too early";
+        EXPECT_EQ(sink.lines.back(), "draining")
+            << "the suppressed lines of another event are not reported too early";
         clock.at += 500ms;
         log.retry();
-        EXPECT_EQ(reader.lines.back(), "log: 7 lines of module left out");
-        EXPECT_FALSE(log.waiting());
+        EXPECT_EQ(sink.lines.back(), "log: 7 lines of event module suppressed by the rate limit");
+        EXPECT_FALSE(log.has_pending());
         for (int i = 0; i < 3; ++i) log.tell(core::events::from_module, "m");
-        EXPECT_EQ(reader.count("m"), 4U);
+        EXPECT_EQ(sink.count("m"), 4U);
     }
-    EXPECT_EQ(reader.lines.back(), "log: 2 lines of module left out") << "at the end all is told";
+    EXPECT_EQ(sink.lines.back(), "log: 2 lines of event module suppressed by the rate limit")
+        << "all are reported at the end";
 }
 
-TEST(Logger, LevelsChangeWhileLinesFlow) {
-    Reader reader;
-    Hand clock;
-    Logger log(reader, clock);
+TEST(Logger, AppliesChangedLevelsAndFormats) {
+    RecordingSink sink;
+    ManualClock clock;
+    Logger log(sink, clock);
     struct Case {
         const char* file;
         std::vector<std::string> written;  // of module (info), watch failed (warning), fault (error)
@@ -318,15 +324,15 @@
             settings::read_text("[log]\n" + std::string(each.file), settings::product_schema());
         ASSERT_TRUE(std::holds_alternative<settings::Values>(reading));
         log.set(std::get<Options>(options_from(std::get<settings::Values>(reading))));
-        reader.lines.clear();
+        sink.lines.clear();
         log.tell(core::events::from_module, "m");
         log.tell(events::discovery_watch_failed, "w");
         log.tell(core::events::fault, "f");
-        EXPECT_EQ(reader.lines, each.written) << each.file;
+        EXPECT_EQ(sink.lines, each.written) << each.file;
     }
 }
 
-TEST(Logger, EventsAndLevelsThatThereAreNot) {
+TEST(Logger, RejectsUnknownEventsAndLevels) {
     for (const auto& [text, fault] : std::map<std::string, std::string>{
              {"modul=off", "there is no event \"modul\""},
              {"module=loud", "there is no level \"loud\""},
@@ -334,30 +340,30 @@
          }) {
         const auto values =
             settings::read_text("[log]\nevents = [\"" + text + "\"]\n", settings::product_schema());
-        const auto made = options_from(std::get<settings::Values>(values));
-        ASSERT_TRUE(std::holds_alternative<settings::Faults>(made)) << text;
-        const auto& first = std::get<settings::Faults>(made).first().front();
+        const auto options = options_from(std::get<settings::Values>(values));
+        ASSERT_TRUE(std::holds_alternative<settings::Faults>(options)) << text;
+        const auto& first = std::get<settings::Faults>(options).first().front();
         EXPECT_EQ(first.what, fault);
         EXPECT_EQ(first.at.line, 2U);
     }
 }
 
-// Whatever the reader does: each line told is written, dropped or left out, and each is counted once.
+// However the sink behaves, each logged line is written, dropped or suppressed, and is counted exactly once.
 TEST(Logger, EveryLineIsCountedOnce) {
     for (const std::uint32_t seed : {1U, 2U, 3U, 4U, 5U, 6U}) {
         SCOPED_TRACE("seed " + std::to_string(seed));
         std::mt19937 random(seed);
-        Reader reader;
-        Hand clock;
-        std::uint64_t told = 0;
+        RecordingSink sink;
+        ManualClock clock;
+        std::uint64_t logged = 0;
         {
-            Logger log(reader, clock);
+            Logger log(sink, clock);
             Options options;
             if (seed % 2 == 0) options.rate = {20, 5};
             options.queue = {32 << 10, 40};
             log.set(options);
             for (int i = 0; i < 3'000; ++i) {
-                if (random() % 50 == 0) reader.room = static_cast<int>(random() % 40);
+                if (random() % 50 == 0) sink.remaining = static_cast<int>(random() % 40);
                 clock.at += Micros(random() % 20'000);
                 const std::string text(random() % 900, 'x');
                 switch (random() % 3) {
@@ -365,13 +371,13 @@
                     case 1: log.tell(events::operators_fault, text); break;
                     case 2: log.tell(core::events::fault, text); break;
                 }
-                ++told;
+                ++logged;
                 if (random() % 10 == 0) log.retry();
             }
-            reader.room = -1;
+            sink.remaining = -1;
         }
         std::uint64_t written = 0, missing = 0;
-        for (const auto& each : reader.lines) {
+        for (const auto& each : sink.lines) {
             unsigned long count = 0;
             if (std::sscanf(each.c_str(), "log: %lu lines", &count) == 1) {
                 missing += count;
@@ -379,7 +385,7 @@
                 ++written;
             }
         }
-        EXPECT_EQ(written + missing, told);
+        EXPECT_EQ(written + missing, logged);
         EXPECT_GT(missing, 100U);
     }
 }
@@ -389,7 +395,7 @@
         SCOPED_TRACE("seed " + std::to_string(seed));
         std::mt19937 random(seed);
         LineQueue queue;
-        queue.set({40'000, 64});
+        queue.set_bounds({40'000, 64});
         std::size_t most_bytes = 0;
         for (int i = 0; i < 5000; ++i) {
             (void)queue.push(random() % 6, std::string(random() % 4096, 'x'));
--- a/tests/log/reload_test.sh
+++ b/tests/log/reload_test.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# The daemon's own lines: by its file, changed by SIGHUP while lines flow; a file with a fault changes nothing.
+# The daemon's log settings: SIGHUP changes them while lines are written; a file with faults changes nothing.
 # usage: reload_test.sh BALANCER FLAXDOOR
 set -eu
 balancer=$1 flaxdoor=$2
@@ -13,12 +13,12 @@
     tries=0
     until grep -q -- "$1" log; do
         tries=$((tries + 1))
-        [ $tries -lt 600 ] || fail "never: $1"
+        [ $tries -lt 600 ] || fail "missing in the log: $1"
         sleep 0.05
     done
 }
 "$flaxdoor" check "$root/deploy/examples/log.toml"
-# Nobody listens at the roster's address, so `discovery.watch_failed` flows.
+# Nothing listens on the discovery address, so `discovery.watch_failed` is logged again and again.
 sed -E 's/"listen": *"[^"]*"/"listen": "127.0.0.1:0"/; s/"discovery": *"[^"]*"/"discovery": "127.0.0.1:1"/' \
     "$root/deploy/examples/config.json" >config.json
 printf '[log]\nformat = "json"\n[drain]\nkeep_accepting = "0s"\n' >my.toml
@@ -34,7 +34,7 @@
 wait_for 'there is no event \\"modul\\"'
 printf '[log]\nformat = "logfmt"\nevents = ["discovery.watch_failed=off"]\n[drain]\nkeep_accepting = "0s"\n' >my.toml
 kill -HUP $job
-# Told in the old format, since the engine takes it after that.
+# This event still has the old format: the logger applies the new one after the engine.
 wait_for '"event":"operators.taken","change":"log.format'
 before=$(grep -c 'discovery.watch_failed"' log)
 kill -HUP $job
@@ -54,7 +54,7 @@
     else:
         assert line.startswith("time="), line
 EOP
-# Without a standard error: its number is not left to a socket or to the loop, into which the lines would go.
+# Without standard error, descriptor 2 must not become a socket or the loop's epoll: log lines would be written into it.
 NODE_CONFIG=config.json "$balancer" 2>&- &
 job=$!
 tries=0
--- a/tests/membership/roster_machine_test.cpp
+++ b/tests/membership/roster_machine_test.cpp
@@ -1,4 +1,4 @@
-// The roster's answers in every split and cut, and what can't be used of them.
+// Tests the parser of discovery responses: every split and truncation of a response, and lists that cannot be used.
 #include "membership/roster_machine.h"
 
 #include <gtest/gtest.h>
@@ -32,30 +32,30 @@
 
 const std::string watch_head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-// What has come of it, in short words.
-std::string drained(RosterMachine& machine) {
-    std::string told;
-    while (const auto news = machine.next()) {
-        switch (news->kind) {
-            case RosterNews::Kind::alive: told += "alive "; break;
-            case RosterNews::Kind::ended: told += "ended "; break;
-            case RosterNews::Kind::failed: told += "failed "; break;
-            case RosterNews::Kind::list:
-                told += (news->list.kind == ListKind::full ? "full" : "delta") +
-                        std::to_string(news->list.version) + ":";
-                for (const auto& m : news->list.members) told += m.name + " ";
+// Returns all pending updates of the parser in short notation.
+std::string pending_updates(DiscoveryParser& parser) {
+    std::string updates;
+    while (const auto update = parser.next()) {
+        switch (update->kind) {
+            case DiscoveryUpdate::Kind::alive: updates += "alive "; break;
+            case DiscoveryUpdate::Kind::ended: updates += "ended "; break;
+            case DiscoveryUpdate::Kind::failed: updates += "failed "; break;
+            case DiscoveryUpdate::Kind::list:
+                updates += (update->list.kind == ListKind::full ? "full" : "delta") +
+                           std::to_string(update->list.version) + ":";
+                for (const auto& member : update->list.members) updates += member.name + " ";
                 break;
         }
     }
-    return told;
+    return updates;
 }
 
 struct Case {
     const char* name;
     bool watching;
     std::string bytes;
-    std::string told;    // by then
-    std::string at_end;  // with the end of the connection
+    std::string updates;  // after all bytes
+    std::string at_end;   // after the end of the connection
 };
 
 std::vector<Case> cases() {
@@ -66,17 +66,17 @@
         {"call chunked", false, watch_head + chunk(body.substr(0, 30)) + chunk(body.substr(30)) + "0\r\n\r\n",
          "full4:a b ended ", ""},
         {"call without a length", false, "HTTP/1.1 200 OK\r\n\r\n" + body, "", "full4:a b ended "},
-        {"call turned away", false, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n",
+        {"call with status 503", false, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n",
          "failed ", ""},
-        {"call cut off", false, "HTTP/1.1 200 OK\r\n" + length + body.substr(0, 20), "", "failed "},
+        {"call truncated", false, "HTTP/1.1 200 OK\r\n" + length + body.substr(0, 20), "", "failed "},
         {"noise", false, "nonsense\r\n\r\n", "failed ", ""},
         {"watch", true,
          watch_head + chunk("\n") + chunk(list(5, false, host("c")) + "\n\n") +
              chunk(list(6, true, "") + "\r\n"),
          "alive delta5:c alive full6:", "failed "},
-        {"watch that ends well is a failed one all the same", true, watch_head + chunk("\n") + "0\r\n\r\n",
+        {"watch that the service ends has failed", true, watch_head + chunk("\n") + "0\r\n\r\n",
          "alive failed ", ""},
-        {"watch with a bad line between", true,
+        {"watch with a truncated line between lists", true,
          watch_head + chunk(list(5, false, host("c")) + "\n{\"seq\":\n" + list(7, false, "") + "\n"),
          "delta5:c failed ", ""},
         {"watch with indented lists", true,
@@ -98,78 +98,79 @@
     };
 }
 
-TEST(RosterMachine, EverySplitTellsTheSame) {
-    for (const Case& c : cases()) {
-        for (std::size_t cut = 0; cut <= c.bytes.size(); ++cut) {
-            RosterMachine machine(c.watching, names);
-            machine.receive(c.bytes.substr(0, cut));
-            std::string told = drained(machine);
-            machine.receive(c.bytes.substr(cut));
-            told += drained(machine);
-            ASSERT_EQ(told, c.told) << c.name << ", cut at " << cut;
-            machine.receive_end();
-            ASSERT_EQ(drained(machine), c.at_end) << c.name << ", cut at " << cut;
+TEST(DiscoveryParser, EverySplitGivesTheSameUpdates) {
+    for (const Case& test_case : cases()) {
+        for (std::size_t cut = 0; cut <= test_case.bytes.size(); ++cut) {
+            DiscoveryParser parser(test_case.watching, names);
+            parser.receive(test_case.bytes.substr(0, cut));
+            std::string updates = pending_updates(parser);
+            parser.receive(test_case.bytes.substr(cut));
+            updates += pending_updates(parser);
+            ASSERT_EQ(updates, test_case.updates) << test_case.name << ", cut at " << cut;
+            parser.receive_end();
+            ASSERT_EQ(pending_updates(parser), test_case.at_end) << test_case.name << ", cut at " << cut;
         }
     }
 }
 
-// Cut at every byte: nothing of a list that is not whole, and the end is told once.
-TEST(RosterMachine, ACutTellsOnlyWhatWasWhole) {
-    for (const Case& c : cases()) {
-        const std::string all = c.told + c.at_end;
-        for (std::size_t cut = 0; cut < c.bytes.size(); ++cut) {
-            RosterMachine machine(c.watching, names);
-            machine.receive(c.bytes.substr(0, cut));
-            std::string told = drained(machine);
-            machine.receive_end();
-            told += drained(machine);
-            const bool failed = told.ends_with("failed ");
-            if (failed) told.resize(told.size() - 7);
-            EXPECT_TRUE(failed || told.ends_with("ended ")) << c.name << ", cut at " << cut << ": " << told;
-            EXPECT_TRUE(all.starts_with(told)) << c.name << ", cut at " << cut << ": " << told;
-            EXPECT_EQ(drained(machine), "");
+// For a response truncated at every byte: no part of an incomplete list is reported, and the end is reported once.
+TEST(DiscoveryParser, ATruncatedResponseGivesOnlyCompleteLists) {
+    for (const Case& test_case : cases()) {
+        const std::string all = test_case.updates + test_case.at_end;
+        for (std::size_t cut = 0; cut < test_case.bytes.size(); ++cut) {
+            DiscoveryParser parser(test_case.watching, names);
+            parser.receive(test_case.bytes.substr(0, cut));
+            std::string updates = pending_updates(parser);
+            parser.receive_end();
+            updates += pending_updates(parser);
+            const bool failed = updates.ends_with("failed ");
+            if (failed) updates.resize(updates.size() - 7);
+            EXPECT_TRUE(failed || updates.ends_with("ended "))
+                << test_case.name << ", cut at " << cut << ": " << updates;
+            EXPECT_TRUE(all.starts_with(updates)) << test_case.name << ", cut at " << cut << ": " << updates;
+            EXPECT_EQ(pending_updates(parser), "");
         }
     }
 }
 
-TEST(RosterMachine, ALineIsBounded) {
+TEST(DiscoveryParser, BoundsTheLengthOfALine) {
     for (const bool watching : {true, false}) {
-        RosterMachine machine(watching, names, 1000);
-        machine.receive(watch_head + chunk(list(1, true, host("a"))) + chunk("\n"));
-        std::string told = drained(machine);
+        DiscoveryParser parser(watching, names, 1000);
+        parser.receive(watch_head + chunk(list(1, true, host("a"))) + chunk("\n"));
+        std::string updates = pending_updates(parser);
         const std::string filler = std::string(600, ' ');
-        for (int i = 0; i < 3 && told.find("failed") == std::string::npos; ++i) {
-            machine.receive(chunk(filler));
-            told += drained(machine);
+        for (int i = 0; i < 3 && updates.find("failed") == std::string::npos; ++i) {
+            parser.receive(chunk(filler));
+            updates += pending_updates(parser);
         }
-        EXPECT_TRUE(told.ends_with("failed ")) << told;
+        EXPECT_TRUE(updates.ends_with("failed ")) << updates;
     }
 }
 
-TEST(RosterMachine, FiveThousandInOneLine) {
+TEST(DiscoveryParser, ParsesFiveThousandHostsInOneLine) {
     std::string hosts;
     for (int i = 0; i < 5000; ++i) hosts += (i ? "," : "") + host("s-" + std::to_string(i));
     const std::string line = watch_head + chunk(list(9, true, hosts) + "\n");
-    RosterMachine machine(true, names);
+    DiscoveryParser parser(true, names);
     std::size_t members = 0;
     for (std::size_t at = 0; at < line.size(); at += 16384) {
-        machine.receive(std::string_view(line).substr(at, 16384));
-        while (const auto news = machine.next()) members += news->list.members.size();
+        parser.receive(std::string_view(line).substr(at, 16384));
+        while (const auto update = parser.next()) members += update->list.members.size();
     }
     EXPECT_EQ(members, 5000U);
 }
 
-TEST(List, TakesWhatItIsToldAndNothingElse) {
-    const auto l = parse_list(
+TEST(List, ParsesEntriesAndRejectsMalformedLists) {
+    const auto parsed = parse_list(
         list(8, false, host("a", "leaving") + "," + host("b", "left", R"(,"extra":{"hosts":[{}]})")), names);
-    EXPECT_EQ(l.kind, ListKind::delta);
-    EXPECT_EQ(l.version, 8U);
-    ASSERT_EQ(l.members.size(), 2U);
-    EXPECT_EQ(l.members[0].entry.state, UpstreamState::draining);
-    EXPECT_EQ(l.members[0].entry.started_at, Time(5000));
-    EXPECT_EQ(l.members[0].address, "127.0.0.1:7001");
-    EXPECT_EQ(l.members[1].entry.state, UpstreamState::gone);
-    EXPECT_EQ(l.members[1].entry.id, id_of("b"));
+    EXPECT_EQ(parsed.kind, ListKind::delta);
+    EXPECT_EQ(parsed.version, 8U);
+    ASSERT_EQ(parsed.members.size(), 2U);
+    EXPECT_EQ(parsed.members[0].entry.state, UpstreamState::draining);
+    EXPECT_EQ(parsed.members[0].entry.started_at, Time(5000));
+    EXPECT_EQ(parsed.members[0].address, "127.0.0.1:7001");
+    EXPECT_EQ(parsed.members[1].entry.state, UpstreamState::gone);
+    EXPECT_EQ(parsed.members[1].entry.id, id_of("b"));
     for (const std::string& bad :
          {std::string("{"), std::string("[]"), std::string("null"), list(1, true, "7"), list(1, true, "[{}]"),
           list(1, true, "{}"), std::string(R"({"seq":1,"whole":true})"),
@@ -179,24 +180,24 @@
     }
 }
 
-// One entry that can't be used has gone; the others count, and it is told which one it was.
-TEST(List, AnEntryThatCannotBeUsedHidesNoOther) {
+// An entry that cannot be used counts as gone and is named in `left_out`; the other entries still apply.
+TEST(List, AnInvalidEntryDoesNotAffectOthers) {
     for (const std::string& bad :
          {host("x", "well"), std::string(R"({"host":"x"})"), host("x", "active", R"(,"born_ms":-1)"),
           std::string(R"({"host":"x","dial":"127.0.0.1:1","site":"nowhere","health":"active"})"),
           std::string(R"({"host":"x","dial":7,"site":"here","health":"active"})")}) {
         std::string left_out;
-        const auto l = parse_list(list(8, false, bad + "," + host("a", "leaving")), names, &left_out);
-        ASSERT_EQ(l.members.size(), 2U) << bad;
-        EXPECT_EQ(l.members[0].entry.id, id_of("x")) << bad;
-        EXPECT_EQ(l.members[0].entry.state, UpstreamState::gone) << bad;
-        EXPECT_EQ(l.members[1].entry.state, UpstreamState::draining) << bad;
+        const auto parsed = parse_list(list(8, false, bad + "," + host("a", "leaving")), names, &left_out);
+        ASSERT_EQ(parsed.members.size(), 2U) << bad;
+        EXPECT_EQ(parsed.members[0].entry.id, id_of("x")) << bad;
+        EXPECT_EQ(parsed.members[0].entry.state, UpstreamState::gone) << bad;
+        EXPECT_EQ(parsed.members[1].entry.state, UpstreamState::draining) << bad;
         EXPECT_TRUE(left_out.starts_with("x: ")) << left_out;
     }
 }
 
-// All balancers must give an upstream the same id: the module's order of upstreams rests on it.
-TEST(List, IdsComeFromNamesAlone) {
+// All balancers must compute the same id for an upstream: the module orders upstreams by it.
+TEST(List, IdsDependOnNamesOnly) {
     EXPECT_EQ(id_of("s-5be2a07c"), id_of("s-5be2a07c"));
     EXPECT_NE(id_of("s-5be2a07c"), id_of("s-5be2a07d"));
     EXPECT_EQ(id_of("a"), 0xaf63dc4c8601ec8cULL);
