--- a/src/apps/simhost.cpp
+++ b/src/apps/simhost.cpp
@@ -21,7 +21,7 @@
 
     void start(const wire::CreateEvent& create, Time now) {
         policy_.reset();
-        policy_ = std::make_unique<Policy>(wire::parse_facts(create.facts), create.seed, now, *this);
+        policy_ = std::make_unique<Policy>(wire::parse_settings(create.settings), create.seed, now, *this);
     }
     void stop() { policy_.reset(); }
     Policy* policy() { return policy_.get(); }
--- a/src/engine/config.cpp
+++ b/src/engine/config.cpp
@@ -165,7 +165,7 @@
     const json& settings = document.at("settings");
     Config config;
     config.name = document.value("name", "");
-    config.settings = wire::parse_facts(flatten(settings));
+    config.settings = wire::parse_settings(flatten(settings));
     restore_names(config.settings.classes, settings, "services");
     restore_names(config.settings.tenants, settings, "tenants");
     Validator(settings).check(config.settings);
--- a/src/simwire/wire.cpp
+++ b/src/simwire/wire.cpp
@@ -10,7 +10,7 @@
 
 namespace flaxdoor::wire {
 
-static_assert(std::endian::native == std::endian::little, "the wire is little-endian");
+static_assert(std::endian::native == std::endian::little, "the protocol is little-endian");
 
 namespace {
 
@@ -37,13 +37,13 @@
     std::memcpy(to, &value, sizeof value);
 }
 
-std::string at_text(std::uint32_t batch, std::uint32_t record) {
+std::string location(std::uint32_t batch, std::uint32_t record) {
     return " (batch " + std::to_string(batch) + ", record " + std::to_string(record) + ")";
 }
 
-constexpr std::uint32_t everyone = 0xffffffff;  // the receiver of a message to every other instance
+constexpr std::uint32_t broadcast = 0xffffffff;  // as receiver: all other instances
 
-constexpr double max_ms = 1e12;  // beyond it, microseconds in 64 bits would be in danger
+constexpr double max_ms = 1e12;  // larger values could overflow microseconds in 64 bits
 
 std::optional<Micros> micros(double ms) {
     if (!(std::fabs(ms) <= max_ms)) return std::nullopt;
@@ -52,7 +52,7 @@
 
 double millis(Micros span) { return static_cast<double>(span.count()) / 1000.0; }
 
-// An upstream's id is its six bytes: address first, port last.
+// The id of an upstream consists of its six bytes on the wire: the address, then the port.
 UpstreamId load_upstream(std::string_view bytes, std::size_t at) {
     UpstreamId id = 0;
     std::memcpy(&id, bytes.data() + at, 6);
@@ -75,7 +75,7 @@
 
 }  // namespace
 
-// ------------------------------------------------------------------------------------------------ frames
+// Frames
 
 BatchHeader decode_header(std::string_view bytes) {
     if (bytes.size() != batch_header_size) throw WireError("batch header cut off");
@@ -100,15 +100,15 @@
     }
     body_ = body;
     number_ = header.number;
-    records_ = header.records;
-    record_ = 0;
+    record_count_ = header.records;
+    record_index_ = 0;
     tail_ = body.substr(std::size_t{header.records} * event_size);
 }
 
 bool Decoder::next(Event& event) {
-    while (record_ < records_) {
-        const auto record = body_.substr(std::size_t{record_} * event_size, event_size);
-        const auto where = [&] { return at_text(number_, record_); };
+    while (record_index_ < record_count_) {
+        const auto record = body_.substr(std::size_t{record_index_} * event_size, event_size);
+        const auto where = [&] { return location(number_, record_index_); };
         const auto outcome_at = [&](std::size_t at) {
             const auto outcome = outcome_of(load<std::uint8_t>(record, at));
             if (!outcome) throw WireError("unknown outcome" + where());
@@ -120,15 +120,15 @@
             return *span;
         };
         const auto read_report = [&](std::size_t at, Report& report) {
-            const auto n = load<std::uint8_t>(record, at);
-            if (n > 4) throw WireError("load report too long" + where());
-            report.resize(n);
-            for (std::size_t i = 0; i < n; ++i) report[i] = load<float>(record, at + 1 + 4 * i);
+            const auto count = load<std::uint8_t>(record, at);
+            if (count > 4) throw WireError("load report too long" + where());
+            report.resize(count);
+            for (std::size_t i = 0; i < count; ++i) report[i] = load<float>(record, at + 1 + 4 * i);
         };
-        const auto text_at = [&](std::size_t field, const char* what) {
+        const auto text_at = [&](std::size_t field, const char* name) {
             const std::uint64_t at = load<std::uint32_t>(record, field),
                                 size = load<std::uint32_t>(record, field + 4);
-            if (at + size > tail_.size()) throw WireError(what + (" beyond the frame" + where()));
+            if (at + size > tail_.size()) throw WireError(name + (" beyond the frame" + where()));
             return tail_.substr(at, size);
         };
         const auto code = load<std::uint16_t>(record, 0);
@@ -136,7 +136,7 @@
         switch (code) {
             case event_code::catalog: {
                 read_list(record);
-                ++record_;
+                ++record_index_;
                 continue;
             }
             case event_code::create: {
@@ -150,9 +150,10 @@
                                               ListKind::failed};
                 ListEvent list{kinds[kind], nullptr, load<std::uint64_t>(record, 7)};
                 if (list.kind != ListKind::failed) {
-                    const auto sheet = load<std::uint32_t>(record, 15);
-                    if (sheet >= lists_.size() || !listed_[sheet]) throw WireError("unknown list" + where());
-                    list.entries = &lists_[sheet];
+                    const auto list_number = load<std::uint32_t>(record, 15);
+                    if (list_number >= lists_.size() || !list_defined_[list_number])
+                        throw WireError("unknown list" + where());
+                    list.entries = &lists_[list_number];
                 }
                 event.body = list;
                 break;
@@ -164,10 +165,10 @@
                 request.tenant = static_cast<int>(load<std::uint32_t>(record, 12) & 0x7fffffffU);
                 request.key = load<std::uint64_t>(record, 16);
                 request.deadline = span_at(24);
-                const auto marks = load<std::uint8_t>(record, 40);
-                if (marks & 1) request.cost_hint = span_at(32);
-                request.client_retry = marks & 2;
-                request.write = marks & 4;
+                const auto flags = load<std::uint8_t>(record, 40);
+                if (flags & 1) request.cost_hint = span_at(32);
+                request.client_retry = flags & 2;
+                request.write = flags & 4;
                 event.body = request;
                 break;
             }
@@ -205,19 +206,19 @@
             case event_code::exit: event.body = ExitEvent{}; break;
             default: throw WireError("unknown event code " + std::to_string(code) + where());
         }
-        ++record_;
+        ++record_index_;
         return true;
     }
     return false;
 }
 
 void Decoder::read_list(std::string_view record) {
-    const auto where = [&] { return at_text(number_, record_); };
-    const auto sheet = load<std::uint32_t>(record, 2);
-    if (sheet >= lists_.size()) throw WireError("list number out of range" + where());
+    const auto where = [&] { return location(number_, record_index_); };
+    const auto list_number = load<std::uint32_t>(record, 2);
+    if (list_number >= lists_.size()) throw WireError("list number out of range" + where());
     const std::uint64_t at = load<std::uint32_t>(record, 6), count = load<std::uint32_t>(record, 10);
     if (at + count * entry_size > tail_.size()) throw WireError("list beyond the frame" + where());
-    auto& list = lists_[sheet];
+    auto& list = lists_[list_number];
     list.clear();
     list.reserve(count);
     for (std::uint64_t i = 0; i < count; ++i) {
@@ -238,7 +239,7 @@
         entry.started_at = *started_at;
         list.push_back(entry);
     }
-    listed_[sheet] = true;
+    list_defined_[list_number] = true;
 }
 
 char* ReplyWriter::record(std::uint16_t code, std::uint32_t instance) {
@@ -301,7 +302,7 @@
 
 void ReplyWriter::tell(std::uint32_t instance, std::optional<int> peer, std::string_view payload) {
     char* const bytes = record(action_code::broadcast_to, instance);
-    store(bytes + 6, peer ? static_cast<std::uint32_t>(*peer) : everyone);
+    store(bytes + 6, peer ? static_cast<std::uint32_t>(*peer) : broadcast);
     text(bytes, 10, payload);
 }
 
@@ -326,13 +327,14 @@
     return frame;
 }
 
-// ------------------------------------------------------------------------------------------------- facts
+// Settings
 
 namespace {
 
-class Facts {
+// Reads settings from lines path=value. Throws std::invalid_argument for a missing or malformed setting.
+class SettingsReader {
 public:
-    explicit Facts(std::string_view text) {
+    explicit SettingsReader(std::string_view text) {
         while (!text.empty()) {
             const auto end = text.find('\n');
             const auto line = text.substr(0, end);
@@ -372,7 +374,7 @@
 
     Micros span(const std::string& name) const {
         const auto value = micros(number(name));
-        if (!value) unreadable(name, "a time that can be counted in microseconds");
+        if (!value) unreadable(name, "a time of at most 1e12 ms");
         return *value;
     }
 
@@ -382,21 +384,19 @@
         return value == "true";
     }
 
-    double number(const std::string& name, double otherwise) const {
-        return find(name) ? number(name) : otherwise;
+    double number(const std::string& name, double fallback) const {
+        return find(name) ? number(name) : fallback;
     }
-    int whole(const std::string& name, int otherwise) const { return find(name) ? whole(name) : otherwise; }
-    Micros span(const std::string& name, Micros otherwise) const {
-        return find(name) ? span(name) : otherwise;
-    }
-    bool flag(const std::string& name, bool otherwise) const { return find(name) ? flag(name) : otherwise; }
+    int whole(const std::string& name, int fallback) const { return find(name) ? whole(name) : fallback; }
+    Micros span(const std::string& name, Micros fallback) const { return find(name) ? span(name) : fallback; }
+    bool flag(const std::string& name, bool fallback) const { return find(name) ? flag(name) : fallback; }
 
-    // A list of objects tells its length; an absent or empty one has none.
+    // Returns the length of a list of objects; 0 if the list is missing or empty.
     int count(const std::string& name) const {
         if (!find(name + ".count")) return 0;
-        const int n = whole(name + ".count");
-        if (n < 0 || n > 65536) unreadable(name + ".count", "from 0 to 65536");
-        return n;
+        const int length = whole(name + ".count");
+        if (length < 0 || length > 65536) unreadable(name + ".count", "from 0 to 65536");
+        return length;
     }
 
     static std::vector<std::string_view> split(std::string_view list) {
@@ -409,28 +409,28 @@
         return items;
     }
 
-    [[noreturn]] static void unreadable(const std::string& name, std::string_view must_be) {
-        throw std::invalid_argument("setting unreadable: " + name + ", must be " + std::string(must_be));
+    [[noreturn]] static void unreadable(const std::string& name, std::string_view permitted) {
+        throw std::invalid_argument("setting unreadable: " + name + ", must be " + std::string(permitted));
     }
 
 private:
     std::map<std::string_view, std::string_view, std::less<>> values_;
 };
 
-Effect effect_of(const Facts& facts, const std::string& name) {
-    const auto word = facts.text(name);
+Effect effect_of(const SettingsReader& reader, const std::string& name) {
+    const auto word = reader.text(name);
     if (word == "idempotent") return Effect::safe;
     if (word == "deduplicated") return Effect::keyed;
     if (word == "at_most_once") return Effect::unsafe;
-    Facts::unreadable(name, "idempotent, deduplicated or at_most_once");
+    SettingsReader::unreadable(name, "idempotent, deduplicated or at_most_once");
 }
 
-Group group_of(const Facts& facts, const std::string& name) {
-    const auto word = facts.text(name);
+Group group_of(const SettingsReader& reader, const std::string& name) {
+    const auto word = reader.text(name);
     if (word == "all") return Group::all;
     if (word == "zone") return Group::zone;
     if (word == "cell") return Group::cell;
-    Facts::unreadable(name, "all, zone or cell");
+    SettingsReader::unreadable(name, "all, zone or cell");
 }
 
 ReportField field_of(std::string_view word) {
@@ -443,113 +443,114 @@
     return ReportField::other;
 }
 
-ReportSource source_of(const Facts& facts, const std::string& name) {
-    const auto word = facts.find(name).value_or("off");
+ReportSource source_of(const SettingsReader& reader, const std::string& name) {
+    const auto word = reader.find(name).value_or("off");
     if (word == "off") return ReportSource::none;
     if (word == "inline") return ReportSource::answers;
     if (word == "on_probe") return ReportSource::probes;
-    Facts::unreadable(name, "off, inline or on_probe");
+    SettingsReader::unreadable(name, "off, inline or on_probe");
 }
 
-Weights weights_of(const Facts& facts, const std::string& name) {
-    const auto word = facts.find(name).value_or("off");
+Weights weights_of(const SettingsReader& reader, const std::string& name) {
+    const auto word = reader.find(name).value_or("off");
     if (word == "off") return Weights::none;
     if (word == "nominal") return Weights::nominal;
     if (word == "rough") return Weights::rough;
     if (word == "live") return Weights::live;
-    Facts::unreadable(name, "off, nominal, rough or live");
+    SettingsReader::unreadable(name, "off, nominal, rough or live");
 }
 
-bool by_work(const Facts& facts, const std::string& name) {
-    const auto word = facts.find(name).value_or("request");
-    if (word != "request" && word != "work") Facts::unreadable(name, "request or work");
+bool by_work(const SettingsReader& reader, const std::string& name) {
+    const auto word = reader.find(name).value_or("request");
+    if (word != "request" && word != "work") SettingsReader::unreadable(name, "request or work");
     return word == "work";
 }
 
 }  // namespace
 
-Settings parse_facts(std::string_view text) {
-    const Facts facts(text);
-    Settings s;
-    s.rank = facts.whole("rank");
-    s.balancers = facts.whole("siblings");
-    s.zone = facts.whole("zone");
-    s.zones = static_cast<int>(Facts::split(facts.text("zones")).size());
-    s.tier = facts.whole("tier", 0);
-    s.tick = facts.span("tick");
-
-    const int classes = facts.whole("services.count");
+Settings parse_settings(std::string_view text) {
+    const SettingsReader reader(text);
+    Settings settings;
+    settings.rank = reader.whole("rank");
+    settings.balancers = reader.whole("siblings");
+    settings.zone = reader.whole("zone");
+    settings.zones = static_cast<int>(SettingsReader::split(reader.text("zones")).size());
+    settings.tier = reader.whole("tier", 0);
+    settings.tick = reader.span("tick");
+
+    const int classes = reader.whole("services.count");
     for (int i = 0; i < classes; ++i) {
-        const std::string at = "services." + std::to_string(i) + ".";
-        ClassSettings c;
-        c.name = std::string(facts.find(at + "name").value_or(""));
-        c.aim = facts.span(at + "aim");
-        c.deadline = facts.span(at + "hard_limit");
-        c.worth = facts.number(at + "worth", 1);
-        c.late_worth = facts.number(at + "late_worth", 0);
-        c.effect = effect_of(facts, at + "effect");
-        if (c.effect == Effect::keyed) {
-            c.group = group_of(facts, at + "group");
-            c.window = facts.span(at + "window");
+        const std::string prefix = "services." + std::to_string(i) + ".";
+        ClassSettings call_class;
+        call_class.name = std::string(reader.find(prefix + "name").value_or(""));
+        call_class.aim = reader.span(prefix + "aim");
+        call_class.deadline = reader.span(prefix + "hard_limit");
+        call_class.worth = reader.number(prefix + "worth", 1);
+        call_class.late_worth = reader.number(prefix + "late_worth", 0);
+        call_class.effect = effect_of(reader, prefix + "effect");
+        if (call_class.effect == Effect::keyed) {
+            call_class.group = group_of(reader, prefix + "group");
+            call_class.window = reader.span(prefix + "window");
         }
-        c.streams = facts.flag(at + "stream", false);
-        c.aim_stretch = facts.number(at + "aim_stretch", 0);
-        s.classes.push_back(std::move(c));
+        call_class.streams = reader.flag(prefix + "stream", false);
+        call_class.aim_stretch = reader.number(prefix + "aim_stretch", 0);
+        settings.classes.push_back(std::move(call_class));
     }
-    for (int i = 0; i < facts.count("tenants"); ++i) {
-        const std::string at = "tenants." + std::to_string(i) + ".";
-        s.tenants.push_back({std::string(facts.find(at + "name").value_or("")),
-                             facts.number(at + "quota_rps", 0), facts.number(at + "fraction", 0)});
+    for (int i = 0; i < reader.count("tenants"); ++i) {
+        const std::string prefix = "tenants." + std::to_string(i) + ".";
+        settings.tenants.push_back({std::string(reader.find(prefix + "name").value_or("")),
+                                    reader.number(prefix + "quota_rps", 0),
+                                    reader.number(prefix + "fraction", 0)});
     }
-    s.over_share_worth = facts.number("over_share_worth", 1);
-    s.worth_by_work = by_work(facts, "worth_by");
-
-    const auto mode = facts.text("registry_mode");
-    if (mode != "ask" && mode != "push") Facts::unreadable("registry_mode", "ask or push");
-    s.must_ask_list = mode == "ask";
-    s.may_probe = facts.flag("limits.may_probe", false);
-    s.may_cancel = facts.flag("limits.cancel", false);
-    s.parallel_attempts = facts.flag("limits.parallel_tries", false);
-    s.retry_after = facts.flag("limits.retry_after", false);
-    s.warm_keys = facts.flag("specifics.warm_keys", false);
-    s.passes_deadline = facts.flag("specifics.passes_deadline", false);
-    s.marks_retry = facts.flag("callers.marks_retry", false);
-    s.may_tell_peers = facts.flag("limits.peers", false);
-    s.weights = weights_of(facts, "weights");
-    s.max_attempts = facts.whole("limits.max_attempts");
-    s.max_retry_after = facts.span("limits.max_retry_after", Micros{0});
-    s.connect_timeout = facts.span("limits.connect_timeout", Micros{0});
-    s.max_open = facts.whole("limits.max_open", 0);
-    s.idle_close = facts.span("limits.idle_close", Micros{0});
-    s.streams_per_connection = facts.whole("limits.streams_per_conn", 1);
-    s.cpu_per_s = Micros(facts.whole("limits.cpu_us_per_s", 0));
-    s.cpu_us_per_request = facts.number("limits.cpu_us_per_request", 0);
-    s.reports = source_of(facts, "load_report.how");
-    if (s.reports != ReportSource::none) {
-        for (const auto word : Facts::split(facts.find("load_report.fields").value_or(""))) {
-            s.report_fields.push_back(field_of(word));
+    settings.over_share_worth = reader.number("over_share_worth", 1);
+    settings.worth_by_work = by_work(reader, "worth_by");
+
+    const auto mode = reader.text("registry_mode");
+    if (mode != "ask" && mode != "push") SettingsReader::unreadable("registry_mode", "ask or push");
+    settings.must_ask_list = mode == "ask";
+    settings.may_probe = reader.flag("limits.may_probe", false);
+    settings.may_cancel = reader.flag("limits.cancel", false);
+    settings.parallel_attempts = reader.flag("limits.parallel_tries", false);
+    settings.retry_after = reader.flag("limits.retry_after", false);
+    settings.warm_keys = reader.flag("specifics.warm_keys", false);
+    settings.passes_deadline = reader.flag("specifics.passes_deadline", false);
+    settings.marks_retry = reader.flag("callers.marks_retry", false);
+    settings.may_tell_peers = reader.flag("limits.peers", false);
+    settings.weights = weights_of(reader, "weights");
+    settings.max_attempts = reader.whole("limits.max_attempts");
+    settings.max_retry_after = reader.span("limits.max_retry_after", Micros{0});
+    settings.connect_timeout = reader.span("limits.connect_timeout", Micros{0});
+    settings.max_open = reader.whole("limits.max_open", 0);
+    settings.idle_close = reader.span("limits.idle_close", Micros{0});
+    settings.streams_per_connection = reader.whole("limits.streams_per_conn", 1);
+    settings.cpu_per_s = Micros(reader.whole("limits.cpu_us_per_s", 0));
+    settings.cpu_us_per_request = reader.number("limits.cpu_us_per_request", 0);
+    settings.reports = source_of(reader, "load_report.how");
+    if (settings.reports != ReportSource::none) {
+        for (const auto word : SettingsReader::split(reader.find("load_report.fields").value_or(""))) {
+            settings.report_fields.push_back(field_of(word));
         }
     }
 
-    s.answer_slack = facts.span("invariants.answer_slack", Micros{0});
-    s.ask_within = s.must_ask_list ? facts.span("invariants.ask_within") : Micros{0};
-    s.drain_grace = facts.span("invariants.drain_grace", Micros{0});
-    s.drain_close = facts.span("invariants.close_on_drain_within", Micros{0});
-    s.cold_share = facts.number("invariants.cold_from", 1);
-    s.ramp_time = facts.span("invariants.ramp_time", Micros{0});
-    s.fall_multiple = facts.number("invariants.fall_multiple", 0);
-    s.fall_span = facts.span("invariants.fall", Micros{0});
+    settings.answer_slack = reader.span("invariants.answer_slack", Micros{0});
+    settings.ask_within = settings.must_ask_list ? reader.span("invariants.ask_within") : Micros{0};
+    settings.drain_grace = reader.span("invariants.drain_grace", Micros{0});
+    settings.drain_close = reader.span("invariants.close_on_drain_within", Micros{0});
+    settings.cold_share = reader.number("invariants.cold_from", 1);
+    settings.ramp_time = reader.span("invariants.ramp_time", Micros{0});
+    settings.fall_multiple = reader.number("invariants.fall_multiple", 0);
+    settings.fall_span = reader.span("invariants.fall", Micros{0});
 
     const auto weight = [&](const char* part) {
-        return facts.number(std::string("objective_mix.") + part, 0);
+        return reader.number(std::string("objective_mix.") + part, 0);
     };
-    s.goal = {weight("whole"),        weight("worst_window"), weight("worst_class"),
-              weight("worst_tenant"), weight("nines_part"),   weight("full_at_nines")};
-    const auto price = [&](const char* unit) { return facts.number(std::string("deductions.") + unit, 0); };
-    s.prices = {price("connection"), price("cross_zone"), price("registry_mode"), price("fleet"),
-                price("handshake"),  price("late_fail"),  price("moves"),         price("origin"),
-                price("peer"),       price("probe"),      price("waste")};
-    return s;
+    settings.goal = {weight("whole"),        weight("worst_window"), weight("worst_class"),
+                     weight("worst_tenant"), weight("nines_part"),   weight("full_at_nines")};
+    const auto price = [&](const char* unit) { return reader.number(std::string("deductions.") + unit, 0); };
+    settings.prices = {price("connection"), price("cross_zone"), price("registry_mode"), price("fleet"),
+                       price("handshake"),  price("late_fail"),  price("moves"),         price("origin"),
+                       price("peer"),       price("probe"),      price("waste")};
+    return settings;
 }
 
 }  // namespace flaxdoor::wire
--- a/src/simwire/wire.h
+++ b/src/simwire/wire.h
@@ -1,4 +1,7 @@
-// The wire: frames in, frames out, and the facts of a start turned into Settings. No decision is made here.
+// The codec of the simulator's binary protocol: decodes frames of events, encodes frames of actions, and parses the settings
+// of a new instance. It makes no decisions.
+//
+// Errors: malformed frames throw WireError; settings that are missing or cannot be parsed throw std::invalid_argument.
 #pragma once
 
 #include <array>
@@ -21,7 +24,7 @@
 inline constexpr std::size_t entry_size = 25;
 inline constexpr std::uint32_t max_body = 1U << 30;
 
-// Input that breaks the wire's rules; what() says what and where.
+// A frame that violates the protocol; what() names the violation and its place.
 class WireError : public std::runtime_error {
 public:
     using std::runtime_error::runtime_error;
@@ -36,11 +39,11 @@
 
 struct CreateEvent {
     std::uint64_t seed = 0;
-    std::string_view facts;
+    std::string_view settings;  // lines path=value; see parse_settings()
 };
 struct ListEvent {
     ListKind kind = ListKind::failed;
-    const std::vector<UpstreamEntry>* entries = nullptr;  // null for a failed call
+    const std::vector<UpstreamEntry>* entries = nullptr;  // null if the call for the list failed
     std::uint64_t version = 0;
 };
 struct TimerEvent {
@@ -64,7 +67,7 @@
 
 BatchHeader decode_header(std::string_view bytes);
 
-// Walks the records of one batch in order. Lists live on between batches, as the wire numbers them.
+// Decodes the records of a batch in order. Numbered lists that a batch defines remain available to later batches.
 class Decoder {
 public:
     template <typename Visitor>
@@ -80,15 +83,15 @@
     void read_list(std::string_view record);
 
     std::string_view body_;
-    std::string_view tail_;
-    std::uint32_t number_ = 0;
-    std::uint32_t records_ = 0;
-    std::uint32_t record_ = 0;
+    std::string_view tail_;     // the part of the body after the records: texts and list entries
+    std::uint32_t number_ = 0;  // of the batch
+    std::uint32_t record_count_ = 0;
+    std::uint32_t record_index_ = 0;
     std::array<std::vector<UpstreamEntry>, 16> lists_;
-    std::array<bool, 16> listed_{};
+    std::array<bool, 16> list_defined_{};
 };
 
-// Collects the actions of one reply.
+// Encodes the actions of one reply.
 class ReplyWriter {
 public:
     void submit(std::uint32_t instance, RequestId request, UpstreamId upstream, Micros timeout);
@@ -104,18 +107,20 @@
     void log(std::uint32_t instance, std::string_view line);
     void fault(std::uint32_t instance, std::string_view text);
 
-    std::string finish(std::uint32_t number);  // the whole frame; the writer is empty afterwards
+    // Returns the complete frame and clears the writer.
+    std::string finish(std::uint32_t number);
 
 private:
     char* record(std::uint16_t code, std::uint32_t instance);
     void text(char* record, std::size_t at, std::string_view text);
 
     std::string records_;
-    std::string tail_;
+    std::string tail_;  // texts that the records refer to
     std::uint32_t count_ = 0;
 };
 
-// Throws std::invalid_argument naming the setting that is missing or can't be read. Unknown ones are skipped.
-Settings parse_facts(std::string_view facts);
+// Parses settings from lines path=value. Throws std::invalid_argument naming a setting that is missing or cannot be parsed.
+// Ignores unknown settings.
+Settings parse_settings(std::string_view text);
 
 }  // namespace flaxdoor::wire
--- a/tests/drawn.h
+++ b/tests/drawn.h
@@ -1,4 +1,4 @@
-// What a random test draws; all by its seed, which the test prints.
+// Random choices of a randomized test. They depend only on the seed, which the test prints.
 #pragma once
 
 #include <cstdint>
@@ -12,9 +12,13 @@
 public:
     explicit Drawn(std::uint64_t seed) : random_(seed) {}
 
+    // Returns a number from 0 to n - 1.
     std::size_t below(std::size_t n) { return std::uniform_int_distribution<std::size_t>(0, n - 1)(random_); }
+    // Returns true with probability 1 / n.
     bool once_in(std::size_t n) { return below(n) == 0; }
+    // Returns a number from 0 to 1.
     double chance() { return std::uniform_real_distribution<double>(0, 1)(random_); }
+    // Returns one of the texts.
     std::string of(std::initializer_list<const char*> all) { return all.begin()[below(all.size())]; }
 
 private:
--- a/tests/on_loop.h
+++ b/tests/on_loop.h
@@ -1,4 +1,5 @@
-// A loop that the test itself runs. Tests wait for what happens; the limit in run_until is a net only.
+// A fixture with an event loop that the test itself runs. Tests wait for conditions; the time limit of run_until() only keeps
+// a failing test from hanging.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -13,13 +14,14 @@
 
 class OnLoop : public ::testing::Test {
 protected:
-    boost::asio::io_context loop{1};  // goes last
+    boost::asio::io_context loop{1};  // destroyed last
 
-    template <typename Happened>
-    bool until(Happened happened) {
-        return run_until(loop, happened);
+    // Runs the loop until the condition holds. Returns false if it does not within the time limit.
+    template <typename Condition>
+    bool until(Condition condition) {
+        return run_until(loop, condition);
     }
-    // All that is ready now is done; nothing is waited for.
+    // Runs all handlers that are ready, without waiting.
     void settle() {
         if (loop.stopped()) loop.restart();
         while (loop.poll() > 0) {
@@ -30,7 +32,7 @@
         ASSERT_TRUE(parsed.fault) << parsed.error.text;
         to.add(*parsed.fault);
     }
-    // A node whose every request works so long.
+    // Settings of a node that works on each request for the given time.
     static BookingNode::Settings working(std::chrono::microseconds time = std::chrono::hours(1)) {
         BookingNode::Settings settings;
         settings.work.mean = time;
--- a/tests/plain_config.h
+++ b/tests/plain_config.h
@@ -1,4 +1,4 @@
-// A configuration of one balancer before one server, as an object; a test changes what it is about.
+// A configuration of one balancer with one upstream, as a JSON object. A test changes the members that it is about.
 #pragma once
 
 #include <nlohmann/json.hpp>
--- a/tests/program.h
+++ b/tests/program.h
@@ -1,5 +1,5 @@
-// A program as a shell runs it: what it prints where, and how it ends. Its output goes by files in `folder`,
-// which the caller has made.
+// Runs a program through the shell and returns its output and exit status. The output goes through files in `folder`, which
+// must exist.
 #pragma once
 
 #include <sys/wait.h>
@@ -18,14 +18,14 @@
 }
 
 struct Ended {
-    int status = -1;  // -1: by a signal
+    int status = -1;  // exit status; -1: ended by a signal
     std::string out, err;
 };
 
-inline Ended run_program(const std::string& program, const std::string& words,
+inline Ended run_program(const std::string& program, const std::string& arguments,
                          const std::filesystem::path& folder) {
     const std::string out = folder / "out", err = folder / "err";
-    const std::string command = "'" + program + "' " + words + " >'" + out + "' 2>'" + err + "'";
+    const std::string command = "'" + program + "' " + arguments + " >'" + out + "' 2>'" + err + "'";
     const int status = std::system(command.c_str());
     return {WIFEXITED(status) ? WEXITSTATUS(status) : -1, content_of(out), content_of(err)};
 }
--- a/tests/share.h
+++ b/tests/share.h
@@ -1,5 +1,5 @@
-// How much of a long loop is gone through: all of it, but under the address sanitizer a part, the first of what the seed
-// draws. FLAXDOOR_WHOLE=1: all of it there too.
+// The number of iterations of a long test loop: `whole`, but under AddressSanitizer only the first `part` of them.
+// FLAXDOOR_WHOLE=1 runs all of them there, too.
 #pragma once
 
 #include <cstdlib>
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,4 +1,4 @@
-// The codec: exact bytes both ways, frames that are cut off or corrupt, and the facts of a start.
+// Tests the simulator's codec: exact bytes in both directions, truncated and corrupt frames, and the parsing of settings.
 #include "simwire/wire.h"
 
 #include <gtest/gtest.h>
@@ -49,15 +49,15 @@
     return events;
 }
 
-std::string order_record() {
+std::string request_record() {
     std::string r = record(262, 3);
     put(r, std::uint32_t{77});    // id
     put(r, std::uint16_t{2});     // class
     put(r, std::uint32_t{1});     // tenant
     put(r, std::uint64_t{4711});  // key
     put(r, 612.5);                // deadline
-    put(r, 12.25);                // hint
-    put(r, std::uint8_t{5});      // hint valid, a write
+    put(r, 12.25);                // cost hint, in ms
+    put(r, std::uint8_t{5});      // flags: cost hint valid, write
     return padded(r);
 }
 
@@ -93,7 +93,7 @@
     Decoder decoder;
     std::string bell = record(259, 4);
     put(bell, std::uint64_t{0x4d});
-    const auto events = decode(decoder, order_record() + padded(bell), 2);
+    const auto events = decode(decoder, request_record() + padded(bell), 2);
     ASSERT_EQ(events.size(), 2u);
     const auto& request = std::get<Request>(events[0].body);
     EXPECT_EQ(events[0].instance, 3u);
@@ -108,8 +108,8 @@
     EXPECT_EQ(std::get<TimerEvent>(events[1].body).token, 0x4du);
 }
 
-TEST(Frames, ACostHintCountsOnlyWhereItIsMarked) {
-    std::string r = order_record();
+TEST(Frames, CostHintRequiresItsFlag) {
+    std::string r = request_record();
     r[40] = 2;
     Decoder decoder;
     const auto request = std::get<Request>(decode(decoder, r, 1).at(0).body);
@@ -140,7 +140,7 @@
     EXPECT_EQ(started.latency, Micros(9250));
 }
 
-TEST(Frames, OutcomeWithItsReport) {
+TEST(Frames, AttemptEndWithLoadReport) {
     std::string r = record(263, 1);
     put(r, std::uint32_t{5});
     r += bytes({2, 254, 1});
@@ -190,7 +190,7 @@
     expected += padded(bytes({0, 1, 3, 0, 0, 0, 0, 0, 0, 0, 2, 0, 0, 0}), action_size);
     expected += "hi";
     EXPECT_EQ(frame, expected);
-    EXPECT_EQ(reply.finish(8).size(), reply_header_size);  // empty afterwards
+    EXPECT_EQ(reply.finish(8).size(), reply_header_size);  // the writer is empty afterwards
 }
 
 TEST(Frames, EveryActionHasItsCode) {
@@ -222,15 +222,15 @@
         std::memcpy(&value, frame.data() + reply_header_size + action * action_size + byte, 4);
         return value;
     };
-    EXPECT_EQ(word(5, 6), 1u);           // subscribes
-    EXPECT_EQ(word(11, 6), 0u);          // ends it
-    EXPECT_EQ(word(9, 6), 0xffffffffu);  // a message to all others
-    EXPECT_EQ(word(10, 6), 6u);          // to one
-    EXPECT_EQ(word(10, 10), 2u);         // its text is the third of the tail
+    EXPECT_EQ(word(5, 6), 1u);           // starts the watch
+    EXPECT_EQ(word(11, 6), 0u);          // ends the watch
+    EXPECT_EQ(word(9, 6), 0xffffffffu);  // broadcast
+    EXPECT_EQ(word(10, 6), 6u);          // to one instance
+    EXPECT_EQ(word(10, 10), 2u);         // its text is at offset 2 of the tail
     EXPECT_EQ(frame.substr(frame.size() - 3), "xyz");
 }
 
-TEST(BadFrames, SayWhatAndWhere) {
+TEST(BadFrames, NameTheViolationAndItsPlace) {
     const auto error_of = [](auto&& act) -> std::string {
         try {
             act();
@@ -272,14 +272,14 @@
               std::string::npos);
 }
 
-// Frames changed at random places are either decoded or refused with a WireError; nothing else happens.
+// Frames with random changes are either decoded or rejected with a WireError; nothing else happens.
 TEST(BadFrames, Mutations) {
-    const std::string good = order_record() + list_frame(1, 1);
+    const std::string good = request_record() + list_frame(1, 1);
     std::uint64_t state = 1;
     const auto next = [&] {
         return state = state * 6364136223846793005ULL + 1442695040888963407ULL, state >> 33;
     };
-    int refused = 0, accepted = 0;
+    int rejected = 0, accepted = 0;
     for (int round = 0; round < 20000; ++round) {
         std::string body = good;
         const auto changes = 1 + next() % 4;
@@ -290,14 +290,14 @@
             decode(decoder, body, 3);
             ++accepted;
         } catch (const WireError&) {
-            ++refused;
+            ++rejected;
         }
     }
-    EXPECT_GT(refused, 1000);
+    EXPECT_GT(rejected, 1000);
     EXPECT_GT(accepted, 1000);
 }
 
-std::string facts() {
+std::string settings_text() {
     return "rank=1\nsiblings=3\nzone=1\nzones=a,b\ntick=2.0\nservices.count=2\nservices.0.aim=150.0\n"
            "services.0.hard_limit=600.0\nservices.0.effect=idempotent\nservices.1.aim=75.0\n"
            "services.1.hard_limit=150.0\nservices.1.effect=deduplicated\nservices.1.group=cell\n"
@@ -307,28 +307,28 @@
            "tenants.count=1\ntenants.0.quota_rps=12.5\nsomething.new=7\n";
 }
 
-TEST(Facts, BecomeSettings) {
-    const Settings s = parse_facts(facts());
-    EXPECT_EQ(s.rank, 1);
-    EXPECT_EQ(s.zones, 2);
-    EXPECT_EQ(s.tick, Micros(2000));
-    ASSERT_EQ(s.classes.size(), 2u);
-    EXPECT_EQ(s.classes[1].effect, Effect::keyed);
-    EXPECT_EQ(s.classes[1].group, Group::cell);
-    EXPECT_EQ(s.classes[1].window, Micros(5000000));
-    EXPECT_TRUE(s.must_ask_list);
-    EXPECT_TRUE(s.may_probe);
-    EXPECT_FALSE(s.may_cancel);
-    EXPECT_EQ(s.report_fields,
+TEST(WireSettings, AreParsed) {
+    const Settings settings = parse_settings(settings_text());
+    EXPECT_EQ(settings.rank, 1);
+    EXPECT_EQ(settings.zones, 2);
+    EXPECT_EQ(settings.tick, Micros(2000));
+    ASSERT_EQ(settings.classes.size(), 2u);
+    EXPECT_EQ(settings.classes[1].effect, Effect::keyed);
+    EXPECT_EQ(settings.classes[1].group, Group::cell);
+    EXPECT_EQ(settings.classes[1].window, Micros(5000000));
+    EXPECT_TRUE(settings.must_ask_list);
+    EXPECT_TRUE(settings.may_probe);
+    EXPECT_FALSE(settings.may_cancel);
+    EXPECT_EQ(settings.report_fields,
               (std::vector{ReportField::in_flight, ReportField::other, ReportField::service_ms}));
-    ASSERT_EQ(s.tenants.size(), 1u);
-    EXPECT_DOUBLE_EQ(s.tenants[0].quota_per_s, 12.5);
+    ASSERT_EQ(settings.tenants.size(), 1u);
+    EXPECT_DOUBLE_EQ(settings.tenants[0].quota_per_s, 12.5);
 }
 
-// Every setting that the wire page lists reaches the interface.
-TEST(Facts, EverySettingIsPassedOn) {
-    const Settings s = parse_facts(
-        facts() +
+// Every setting that the protocol page lists is passed to the policy.
+TEST(WireSettings, EverySettingIsPassedOn) {
+    const Settings settings = parse_settings(
+        settings_text() +
         "callers.marks_retry=true\ndeductions.connection=1\ndeductions.cross_zone=2\n"
         "deductions.registry_mode=3\ndeductions.fleet=4\ndeductions.handshake=5\ndeductions.late_fail=6\n"
         "deductions.moves=7\ndeductions.origin=8\ndeductions.peer=9\ndeductions.probe=10\n"
@@ -344,45 +344,51 @@
         "services.0.stream=true\nservices.0.worth=4\nservices.0.late_worth=0.25\nsiblings=8\n"
         "specifics.passes_deadline=true\nspecifics.warm_keys=true\ntenants.0.fraction=0.75\ntier=1\n"
         "weights=live\nworth_by=work\nzone=1\n");
-    EXPECT_TRUE(s.marks_retry && s.may_cancel && s.parallel_attempts && s.may_tell_peers && s.retry_after);
-    EXPECT_TRUE(s.passes_deadline && s.warm_keys && s.worth_by_work && s.classes[0].streams);
-    const Prices& p = s.prices;
+    EXPECT_TRUE(settings.marks_retry && settings.may_cancel && settings.parallel_attempts &&
+                settings.may_tell_peers && settings.retry_after);
+    EXPECT_TRUE(settings.passes_deadline && settings.warm_keys && settings.worth_by_work &&
+                settings.classes[0].streams);
+    const Prices& p = settings.prices;
     EXPECT_EQ((std::vector{p.connection, p.cross_zone, p.discovery, p.fleet, p.handshake, p.late_fail,
                            p.moves, p.origin, p.peer, p.probe, p.waste}),
               (std::vector<double>{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11}));
-    const Goal& g = s.goal;
+    const Goal& g = settings.goal;
     EXPECT_EQ((std::vector{g.whole, g.worst_window, g.worst_class, g.worst_tenant, g.nines, g.full_at_nines}),
               (std::vector<double>{0.1, 0.2, 0.3, 0.4, 0.5, 3}));
-    EXPECT_EQ((std::vector{s.answer_slack, s.drain_close, s.drain_grace, s.fall_span, s.ramp_time,
-                           s.connect_timeout, s.idle_close, s.max_retry_after, s.cpu_per_s}),
+    EXPECT_EQ((std::vector{settings.answer_slack, settings.drain_close, settings.drain_grace,
+                           settings.fall_span, settings.ramp_time, settings.connect_timeout,
+                           settings.idle_close, settings.max_retry_after, settings.cpu_per_s}),
               (std::vector{Micros(20000), Micros(800000), Micros(1000000), Micros(1500000), Micros(8100000),
                            Micros(250000), Micros(5000000), Micros(1200000), Micros(15000)}));
-    EXPECT_EQ((std::vector{s.cold_share, s.fall_multiple, s.cpu_us_per_request, s.over_share_worth,
-                           s.classes[0].aim_stretch, s.classes[0].worth, s.classes[0].late_worth,
-                           s.tenants[0].fraction}),
-              (std::vector<double>{0.35, 3, 12.5, 0.1, 1.5, 4, 0.25, 0.75}));
-    EXPECT_EQ((std::vector{s.max_open, s.streams_per_connection, s.balancers, s.zone, s.tier}),
+    EXPECT_EQ(
+        (std::vector{settings.cold_share, settings.fall_multiple, settings.cpu_us_per_request,
+                     settings.over_share_worth, settings.classes[0].aim_stretch, settings.classes[0].worth,
+                     settings.classes[0].late_worth, settings.tenants[0].fraction}),
+        (std::vector<double>{0.35, 3, 12.5, 0.1, 1.5, 4, 0.25, 0.75}));
+    EXPECT_EQ((std::vector{settings.max_open, settings.streams_per_connection, settings.balancers,
+                           settings.zone, settings.tier}),
               (std::vector{1234, 7, 8, 1, 1}));
-    EXPECT_EQ(s.reports, ReportSource::answers);
-    EXPECT_EQ(s.weights, Weights::live);
+    EXPECT_EQ(settings.reports, ReportSource::answers);
+    EXPECT_EQ(settings.weights, Weights::live);
 }
 
-TEST(Facts, AbsentSettingsAreSafe) {
-    const Settings s = parse_facts(facts());
-    EXPECT_FALSE(s.may_cancel || s.parallel_attempts || s.may_tell_peers || s.retry_after || s.warm_keys);
-    EXPECT_EQ(s.drain_close, Micros{0});
-    EXPECT_EQ(s.cold_share, 1);
-    EXPECT_EQ(s.weights, Weights::none);
-    EXPECT_FALSE(s.worth_by_work);
+TEST(WireSettings, MissingSettingsHaveSafeDefaults) {
+    const Settings settings = parse_settings(settings_text());
+    EXPECT_FALSE(settings.may_cancel || settings.parallel_attempts || settings.may_tell_peers ||
+                 settings.retry_after || settings.warm_keys);
+    EXPECT_EQ(settings.drain_close, Micros{0});
+    EXPECT_EQ(settings.cold_share, 1);
+    EXPECT_EQ(settings.weights, Weights::none);
+    EXPECT_FALSE(settings.worth_by_work);
 }
 
-TEST(Facts, MissingOrUnreadableOnesAreNamed) {
+TEST(WireSettings, ErrorsNameTheSetting) {
     const auto error_without = [](const std::string& from, const std::string& to) -> std::string {
-        std::string text = facts();
+        std::string text = settings_text();
         const auto at = text.find(from);
         text.replace(at, from.size(), to);
         try {
-            parse_facts(text);
+            parse_settings(text);
         } catch (const std::invalid_argument& error) {
             return error.what();
         }
