--- a/src/engine/keeper.cpp
+++ b/src/engine/keeper.cpp
@@ -285,7 +285,7 @@
         }
     }
     if (batch.bytes() > store::batch_most) {
-        on_write_failed("not stored: more than 4 MiB in one write");
+        on_write_failed("not kept: more than 4 MiB at once");
         return false;
     }
     const std::uint64_t opening = opening_;
--- a/src/membership/roster.cpp
+++ b/src/membership/roster.cpp
@@ -47,7 +47,8 @@
         error_code open_error;
         loop::open(socket_, open_error);
         if (open_error) {
-            asio::post(owner_.loop_, [self = shared_from_this()] { self->end("no file descriptor available", true); });
+            asio::post(owner_.loop_,
+                       [self = shared_from_this()] { self->end("no file descriptor available", true); });
             return;
         }
         socket_.async_connect(owner_.address_, [self = shared_from_this()](error_code error) {
--- a/src/membership/roster_machine.cpp
+++ b/src/membership/roster_machine.cpp
@@ -16,9 +16,9 @@
 constexpr std::uint32_t max_header_bytes = 16 * 1024;
 
 // Finds the end of the next item of a watch: an empty line, or a list on one line or indented over several. A truncated list
-// must not swallow the items after it. Therefore an empty line ends an item, and so does a line that is a complete object
-// with a member "hosts", since that is a list of its own (other lines may be entries of an indented list). Whether the item
-// is valid JSON is not checked here.
+// must not swallow the items after it. Therefore an item also ends at an empty line, at a line end within a string, and at a
+// line that is a complete object with a member "hosts": such a line is a list of its own, while other lines may be entries
+// of an indented list. Whether the item is valid JSON is not checked here.
 class ItemScanner {
 public:
     // Returns the position after the line end of the item, or 0 if the item is incomplete. Call again with the same text and
--- a/src/simwire/wire.h
+++ b/src/simwire/wire.h
@@ -17,12 +17,13 @@
 
 namespace flaxdoor::wire {
 
+// Sizes of the frames' parts, in bytes.
 inline constexpr std::size_t batch_header_size = 20;
 inline constexpr std::size_t reply_header_size = 12;
 inline constexpr std::size_t event_size = 48;
 inline constexpr std::size_t action_size = 24;
 inline constexpr std::size_t entry_size = 25;
-inline constexpr std::uint32_t max_body = 1U << 30;
+inline constexpr std::uint32_t max_body = 1U << 30;  // a longer body is rejected as malformed
 
 // A frame that violates the protocol; what() names the violation and its place.
 class WireError : public std::runtime_error {
