--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -22,51 +22,51 @@
 }
 
 std::string header(std::uint32_t number, double now, std::uint32_t size, std::uint32_t records) {
-    std::string h;
-    put(h, number);
-    put(h, now);
-    put(h, size);
-    put(h, records);
-    return h;
+    std::string encoded;
+    put(encoded, number);
+    put(encoded, now);
+    put(encoded, size);
+    put(encoded, records);
+    return encoded;
 }
 
 std::string record(std::uint16_t code, std::uint32_t instance) {
-    std::string r;
-    put(r, code);
-    put(r, instance);
-    return r;
+    std::string encoded;
+    put(encoded, code);
+    put(encoded, instance);
+    return encoded;
 }
 
-std::string padded(std::string r, std::size_t size = event_size) {
-    r.resize(size, '\0');
-    return r;
+std::string padded(std::string encoded, std::size_t size = event_size) {
+    encoded.resize(size, '\0');
+    return encoded;
 }
 
 std::vector<Event> decode(Decoder& decoder, const std::string& body, std::uint32_t records) {
-    const auto h = decode_header(header(9, 500.0, static_cast<std::uint32_t>(body.size()), records));
+    const auto decoded = decode_header(header(9, 500.0, static_cast<std::uint32_t>(body.size()), records));
     std::vector<Event> events;
-    decoder.decode(h, body, [&](const Event& e) { events.push_back(e); });
+    decoder.decode(decoded, body, [&](const Event& e) { events.push_back(e); });
     return events;
 }
 
 std::string request_record() {
-    std::string r = record(262, 3);
-    put(r, std::uint32_t{77});    // id
-    put(r, std::uint16_t{2});     // class
-    put(r, std::uint32_t{1});     // tenant
-    put(r, std::uint64_t{4711});  // key
-    put(r, 612.5);                // deadline
-    put(r, 12.25);                // cost hint, in ms
-    put(r, std::uint8_t{5});      // flags: cost hint valid, write
-    return padded(r);
+    std::string encoded = record(262, 3);
+    put(encoded, std::uint32_t{77});    // id
+    put(encoded, std::uint16_t{2});     // class
+    put(encoded, std::uint32_t{1});     // tenant
+    put(encoded, std::uint64_t{4711});  // key
+    put(encoded, 612.5);                // deadline
+    put(encoded, 12.25);                // cost hint, in ms
+    put(encoded, std::uint8_t{5});      // flags: cost hint valid, write
+    return padded(encoded);
 }
 
 std::string list_frame(std::uint32_t count, std::uint8_t state) {
-    std::string r = record(260, 0).substr(0, 2);
-    put(r, std::uint32_t{2});  // number of the list
-    put(r, std::uint32_t{0});  // offset
-    put(r, count);
-    std::string body = padded(r);
+    std::string encoded = record(260, 0).substr(0, 2);
+    put(encoded, std::uint32_t{2});  // number of the list
+    put(encoded, std::uint32_t{0});  // offset
+    put(encoded, count);
+    std::string body = padded(encoded);
     std::string registry = record(257, 3);
     put(registry, std::uint8_t{1});
     put(registry, std::uint64_t{41});
@@ -83,10 +83,10 @@
 }
 
 TEST(Frames, Header) {
-    const auto h = decode_header(header(12, 16604.5, 96, 2));
-    EXPECT_EQ(h.number, 12u);
-    EXPECT_EQ(h.now, Micros(16604500));
-    EXPECT_EQ(h.records, 2u);
+    const auto decoded = decode_header(header(12, 16604.5, 96, 2));
+    EXPECT_EQ(decoded.number, 12u);
+    EXPECT_EQ(decoded.now, Micros(16604500));
+    EXPECT_EQ(decoded.records, 2u);
 }
 
 TEST(Frames, RequestAndTimer) {
@@ -109,10 +109,10 @@
 }
 
 TEST(Frames, CostHintRequiresItsFlag) {
-    std::string r = request_record();
-    r[40] = 2;
+    std::string encoded = request_record();
+    encoded[40] = 2;
     Decoder decoder;
-    const auto request = std::get<Request>(decode(decoder, r, 1).at(0).body);
+    const auto request = std::get<Request>(decode(decoder, encoded, 1).at(0).body);
     EXPECT_FALSE(request.cost_hint);
     EXPECT_TRUE(request.client_retry);
     EXPECT_FALSE(request.write);
@@ -141,15 +141,15 @@
 }
 
 TEST(Frames, AttemptEndWithLoadReport) {
-    std::string r = record(263, 1);
-    put(r, std::uint32_t{5});
-    r += bytes({2, 254, 1});
-    put(r, 1.25);
-    r += bytes({10, 0, 0, 7, 1, 0, 2});
-    put(r, 7.0F);
-    put(r, 0.5F);
+    std::string encoded = record(263, 1);
+    put(encoded, std::uint32_t{5});
+    encoded += bytes({2, 254, 1});
+    put(encoded, 1.25);
+    encoded += bytes({10, 0, 0, 7, 1, 0, 2});
+    put(encoded, 7.0F);
+    put(encoded, 0.5F);
     Decoder decoder;
-    const auto events = decode(decoder, padded(r), 1);
+    const auto events = decode(decoder, padded(encoded), 1);
     const auto& end = std::get<AttemptEnd>(events.at(0).body);
     EXPECT_EQ(end.request, 5u);
     EXPECT_EQ(end.attempt, 2);
