--- a/tests/log/reload_test.sh
+++ b/tests/log/reload_test.sh
@@ -17,6 +17,14 @@
         sleep 0.05
     done
 }
+# Whether the process catches or blocks SIGTERM: before that, the signal ends it with status 143.
+handles_sigterm() {
+    python3 -c '
+import re, sys
+status = open("/proc/%s/status" % sys.argv[1]).read()
+masks = [int(mask, 16) for mask in re.findall(r"^Sig(?:Cgt|Blk):\s*(\w+)", status, re.M)]
+sys.exit(0 if any(mask >> 14 & 1 for mask in masks) else 1)' "$1"
+}
 "$flaxdoor" check "$root/deploy/examples/log.toml"
 # Nothing listens on the discovery address, so `discovery.watch_failed` is logged again and again.
 sed -E 's/"listen": *"[^"]*"/"listen": "127.0.0.1:0"/; s/"discovery": *"[^"]*"/"discovery": "127.0.0.1:1"/' \
@@ -58,7 +66,7 @@
 NODE_CONFIG=config.json "$balancer" 2>&- &
 job=$!
 tries=0
-until [ "$(readlink /proc/$job/fd/2)" = /dev/null ]; do
+until [ "$(readlink /proc/$job/fd/2)" = /dev/null ] && handles_sigterm $job; do
     tries=$((tries + 1))
     [ $tries -lt 200 ] || fail "standard error is $(readlink /proc/$job/fd/2)"
     sleep 0.05
