--- a/tests/core/world.h
+++ b/tests/core/world.h
@@ -1,6 +1,6 @@
-// A random world round a core, from one seed: calls, servers, lists, pools, time. It keeps its own model of
-// what each call, attempt and address has been through, and checks everything that the core does against
-// that. The model is told by what the ports hear and by what the world itself did, never by the core.
+// A random environment of a core, made from one seed: calls, servers, lists, pools and time. It keeps a model of the history
+// of each call, attempt and address, and checks all actions of the core against it. The model is derived from the calls of
+// the ports and from the environment's own actions, never from the state of the core.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -21,10 +21,10 @@
 
 namespace flaxdoor::core::test {
 
-// What may differ from one world to the next; all by its seed.
-struct Nature {
-    explicit Nature(std::uint32_t seed) {
-        const auto bit = [&](int n) { return (seed >> n & 1U) != 0; };
+// The traits in which environments differ. They follow from the seed.
+struct Traits {
+    explicit Traits(std::uint32_t seed) {
+        const auto bit = [&](int index) { return (seed >> index & 1U) != 0; };
         may_cancel = !(bit(0) && bit(3));
         nested = bit(1);
         throws = bit(2) && bit(4);
@@ -32,25 +32,25 @@
         stalls = bit(4);
         slow_ports = bit(5) && bit(0);
         open_limit = bit(6) && bit(1);
-        asks = bit(7);
-        parallel = !bit(8) || bit(2);
+        must_ask_list = bit(7);
+        hedges = !bit(8) || bit(2);
         few_attempts = bit(9) && bit(3);
-        calm = bit(5);
-        known_only = bit(6) && bit(3);
+        few_failures = bit(5);
+        rejects_unknown_tenants = bit(6) && bit(3);
     }
-    bool may_cancel, nested, throws, late_ends, stalls, slow_ports, open_limit, asks, parallel, few_attempts,
-        calm, known_only;
+    bool may_cancel, nested, throws, late_ends, stalls, slow_ports, open_limit, must_ask_list, hedges,
+        few_attempts, few_failures, rejects_unknown_tenants;
 };
 
 class World final : public Front, public Log, public Alarm, public Clock {
 public:
-    explicit World(std::uint32_t seed) : seed_(seed), nature_(seed), random_(seed * 2654435761U + 1) {
+    explicit World(std::uint32_t seed) : seed_(seed), traits_(seed), random_(seed * 2654435761U + 1) {
         Options options;
         options.own_limit = ms(700);
         options.doubt_kept = ms(300);
         options.doubts = 4;
-        if (nature_.open_limit) options.open_calls = 12;
-        options.refuse_unknown_tenants = nature_.known_only;
+        if (traits_.open_limit) options.open_calls = 12;
+        options.refuse_unknown_tenants = traits_.rejects_unknown_tenants;
         options_ = options;
         core_ = std::make_unique<Core>(static_cast<Clock&>(*this), static_cast<Alarm&>(*this),
                                        static_cast<Log&>(*this), options);
@@ -60,24 +60,23 @@
             servers_[i].cell = static_cast<int>(i % 2);
         }
         const auto count = 1 + below(4);
-        for (std::uint32_t i = 0; i < count; ++i) news(add_pool(i), ListKind::full);
+        for (std::uint32_t i = 0; i < count; ++i) send_list(add_pool(i), ListKind::full);
     }
 
-    // One thing that happens.
+    // Performs one random action.
     void step() {
-        act(below(24));
-        settle();
+        do_action(below(24));
+        check_invariants();
     }
-    const std::vector<std::uint64_t>& script() const { return script_; }
+    const std::vector<std::uint64_t>& event_hashes() const { return event_hashes_; }
     std::uint64_t sends() const { return sends_; }
-    // What the calls came to, so that a test can tell that it met all of them.
-    std::map<std::string, std::uint64_t> met;
+    // Counts of the outcomes of calls, so that a test can check that each of them occurred.
+    std::map<std::string, std::uint64_t> outcomes;
 
 private:
     static constexpr std::size_t addresses = 8;
     static constexpr std::size_t slots = 4;
-    // Whether the module takes changed settings (Policy::on_settings): then classes come in another order and
-    // go.
+    // Whether the policy applies changed settings (Policy::on_settings). If so, classes are reordered and removed.
     static constexpr bool follows_settings = true;
 
     struct Server {
@@ -92,65 +91,66 @@
     enum class Phase { connecting, sending, whole, started, ended };
 
     struct PoolModel;
-    struct Tried {
+    struct AttemptModel {
         AttemptKey key;
         std::uint64_t token = 0;
         PoolModel* pool = nullptr;
         UpstreamId upstream = 0;
-        std::uint64_t link = 0;  // the entry of its back that it connects to
-        Time sent_at{}, expires{}, began{};
+        std::uint64_t link = 0;  // number of the Link that it connects to
+        Time sent_at{}, expires{}, begun_at{};
         int zone = 0, cell = 0;
         Phase phase = Phase::connecting;
-        Outcome fate = Outcome::ok;
-        bool was_whole = false;
-        bool cancelled = false;  // its back was told; it ends, now or later
-        bool ran = false;
-        bool never_ran = false;  // and never will: told so
-        std::optional<Outcome> told;
+        Outcome planned_outcome = Outcome::ok;
+        bool fully_sent = false;
+        bool cancelled = false;  // the back was told to cancel it; it ends now or later
+        bool executed = false;
+        bool not_executed = false;  // and never will be: its end was reported as such
+        std::optional<Outcome> reported;
         Time started_limit{};
     };
     struct CallModel {
         std::uint64_t token = 0;
         CallId id = 0;
         PoolModel* pool = nullptr;
-        ClassSettings kind;
+        ClassSettings class_settings;
         std::string name;
         std::optional<UpstreamId> pinned;
         Time limit{}, deadline{};
         Micros started_limit{};
-        bool over = false, left = false;
-        bool unsure = false;  // an attempt ended here without its end there being known
-        bool told_not_run = false;
+        bool ended = false, abandoned = false;
+        bool in_doubt = false;  // an attempt ended here, and its end at the server is unknown
+        bool reported_not_executed = false;
         int finals = 0;
         int started = -1;
-        std::vector<std::size_t> tried;  // in tried_
+        std::vector<std::size_t> attempts;  // indices into attempts_
 
-        bool repeatable() const {
-            return kind.effect == Effect::safe || (kind.effect == Effect::keyed && kind.group == Group::all);
+        bool retry_is_harmless() const {
+            return class_settings.effect == Effect::safe ||
+                   (class_settings.effect == Effect::keyed && class_settings.group == Group::all);
         }
     };
     struct Listed {
         std::string address;
         bool draining = false;
         Time started{};
-        std::uint64_t since = 0;
+        std::uint64_t added_at = 0;
     };
-    // All that was told of an address. `fresh`: the same id with a later start.
-    enum class Notice { drains, ready, fresh };
-    struct Told {
-        std::uint64_t at = 0;
+    // The notices about an address. `restarted`: the same id with a later start time.
+    enum class NoticeKind { drains, ready, restarted };
+    struct Notice {
+        std::uint64_t received_at = 0;
         PoolModel* pool = nullptr;
         UpstreamId upstream = 0;
-        Notice what = Notice::ready;
+        NoticeKind kind = NoticeKind::ready;
     };
 
-    // A pool with its back and source. Kept when it has gone: it must not be called then.
+    // A pool with its back and source. Retained after its removal, to detect calls that come after it.
     struct PoolModel final : Back, Source {
-        PoolModel(World& w, std::uint32_t its_slot) : world(w), slot(its_slot) {}
+        PoolModel(World& owner, std::uint32_t pool_slot) : world(owner), slot(pool_slot) {}
         void set_upstream(UpstreamId upstream, const std::string& address, bool takes_work) override {
             world.port("set", upstream, takes_work, *this);
             Link& link = links[upstream];
-            if (link.address != address) link = {address, takes_work, ++world.links_};
+            if (link.address != address) link = {address, takes_work, ++world.last_link_};
             link.takes_work = takes_work;
         }
         void remove_upstream(UpstreamId upstream) override {
@@ -168,7 +168,7 @@
         struct Link {
             std::string address;
             bool takes_work = false;
-            std::uint64_t made = 0;
+            std::uint64_t number = 0;
         };
         World& world;
         const std::uint32_t slot;
@@ -176,90 +176,90 @@
         Settings settings;
         bool removed = false;  // remove_pool was called
         std::uint64_t removed_at = 0;
-        bool gone = false;     // and has returned
-        bool changed = false;  // its settings, once
-        bool vague = false;    // nobody outside can tell whether its last lists came before its end
-        std::map<UpstreamId, Link> links;     // as its back was told
-        std::map<UpstreamId, Listed> listed;  // as its lists said
+        bool gone = false;                 // remove_pool has returned
+        bool changed = false;              // its settings were changed
+        bool order_unknown = false;        // its last lists may have been handled before or after its removal
+        std::map<UpstreamId, Link> links;  // as reported to its back
+        std::map<UpstreamId, Listed> listed;  // according to its lists
         std::uint64_t version = 0;
     };
 
     std::uint32_t below(std::uint32_t n) { return random_() % n; }
     bool one_in(std::uint32_t n) { return below(n) == 0; }
 
-    void note(const char* what, std::uint64_t a, std::uint64_t b) {
+    void record_event(const char* name, std::uint64_t first, std::uint64_t second) {
         std::uint64_t hash = 0xcbf29ce484222325ULL;
-        for (const char* c = what; *c != 0; ++c) {
-            hash = (hash ^ static_cast<std::uint64_t>(*c)) * 0x100000001b3ULL;
+        for (const char* character = name; *character != 0; ++character) {
+            hash = (hash ^ static_cast<std::uint64_t>(*character)) * 0x100000001b3ULL;
         }
-        for (const std::uint64_t n : {a, b, static_cast<std::uint64_t>(now_.count())}) {
-            hash = (hash ^ n) * 0x100000001b3ULL;
+        for (const std::uint64_t value : {first, second, static_cast<std::uint64_t>(now_.count())}) {
+            hash = (hash ^ value) * 0x100000001b3ULL;
         }
-        script_.push_back(hash);
+        event_hashes_.push_back(hash);
     }
 
     // ------------------------------------------------------------------------------------------ ports
 
     Time now() const override { return now_; }
     void set(Time at) override {
-        note("alarm", static_cast<std::uint64_t>(at.count()), 0);
+        record_event("alarm", static_cast<std::uint64_t>(at.count()), 0);
         maybe_throw();
         alarm_ = at;
     }
     void event(const Event& event, std::span<const Value> values) override {
         const std::string text = text_of(event, values);
-        if (!nature_.throws) {
+        if (!traits_.throws) {
             EXPECT_FALSE(text.starts_with("fault")) << text;
         }
         port("log", text.size(), 0);
     }
 
     void maybe_throw() {
-        if (nature_.throws && throwing_ && one_in(40)) throw std::runtime_error("no memory");
+        if (traits_.throws && throwing_ && one_in(40)) throw std::runtime_error("no memory");
     }
-    // Every call of a port passes here.
-    void port(const char* what, std::uint64_t a, std::uint64_t b) {
-        note(what, a, b);
+    // Called for each call of a port.
+    void port(const char* name, std::uint64_t first, std::uint64_t second) {
+        record_event(name, first, second);
         maybe_throw();
-        if (nature_.slow_ports && one_in(4)) now_ += Micros(below(3000));
-        if (nature_.nested && inside_ && meddling_ < 2 && one_in(12)) {
-            ++meddling_;
-            act(below(22));  // all but time passing
-            --meddling_;
+        if (traits_.slow_ports && one_in(4)) now_ += Micros(below(3000));
+        if (traits_.nested && in_core_ && nested_actions_ < 2 && one_in(12)) {
+            ++nested_actions_;
+            do_action(below(22));  // any action except letting time pass
+            --nested_actions_;
         }
     }
-    void port(const char* what, std::uint64_t a, std::uint64_t b, PoolModel& pool) {
-        EXPECT_FALSE(pool.gone) << what << " at a pool that has gone";
-        port(what, a, b);
+    void port(const char* name, std::uint64_t first, std::uint64_t second, PoolModel& pool) {
+        EXPECT_FALSE(pool.gone) << name << " of a removed pool";
+        port(name, first, second);
     }
 
     void on_started(std::uint64_t token, std::unique_ptr<Payload> head) override {
         CallModel& call = *calls_.at(token);
-        EXPECT_FALSE(call.over) << "begun after its end: call " << token;
-        EXPECT_EQ(call.started, -1) << "begun twice";
+        EXPECT_FALSE(call.ended) << "answer begun after the end of call " << token;
+        EXPECT_EQ(call.started, -1) << "answer begun twice";
         const auto* ticket = dynamic_cast<Ticket*>(head.get());
-        EXPECT_TRUE(ticket && ticket->number < tried_.size());
+        EXPECT_TRUE(ticket && ticket->number < attempts_.size());
         if (!ticket) return;
-        EXPECT_EQ(tried_[ticket->number].key.call, call.id);
-        call.started = tried_[ticket->number].key.number;
-        ++met["started"];
+        EXPECT_EQ(attempts_[ticket->number].key.call, call.id);
+        call.started = attempts_[ticket->number].key.number;
+        ++outcomes["started"];
         port("started", token, 0);
     }
 
     void on_final(std::uint64_t token, Final answer) override {
         CallModel& call = *calls_.at(token);
         ++call.finals;
-        EXPECT_FALSE(call.over) << "a second end of call " << token;
-        EXPECT_FALSE(call.left) << "told although it has left";
-        if (call.over) return;
-        call.over = true;
-        ++met[text_of(answer.cause)];
-        if (!nature_.throws) {
+        EXPECT_FALSE(call.ended) << "second end of call " << token;
+        EXPECT_FALSE(call.abandoned) << "answered although it was abandoned";
+        if (call.ended) return;
+        call.ended = true;
+        ++outcomes[text_of(answer.cause)];
+        if (!traits_.throws) {
             EXPECT_NE(answer.cause, Cause::fault);
             EXPECT_NE(answer.cause, Cause::overdue);
         }
-        // In its time: to the moment, where alarms are served in time.
-        if (call.started < 0 && !nature_.slow_ports && !nature_.throws) {
+        // Answers are exactly on time where alarms are served on time.
+        if (call.started < 0 && !traits_.slow_ports && !traits_.throws) {
             EXPECT_TRUE(now_ <= call.limit || call.limit > stalled_from_)
                 << "answered " << (now_ - call.limit).count() << " us late: call " << token;
         }
@@ -268,66 +268,68 @@
     }
 
     void check_verdict(CallModel& call, const Final& answer) {
-        const bool may_have_run = std::any_of(call.tried.begin(), call.tried.end(), [&](std::size_t t) {
-            return !tried_[t].never_ran && tried_[t].phase != Phase::connecting;
-        });
-        const bool ran =
-            std::any_of(call.tried.begin(), call.tried.end(), [&](std::size_t t) { return tried_[t].ran; });
+        const bool may_have_run =
+            std::any_of(call.attempts.begin(), call.attempts.end(), [&](std::size_t index) {
+                return !attempts_[index].not_executed && attempts_[index].phase != Phase::connecting;
+            });
+        const bool executed = std::any_of(call.attempts.begin(), call.attempts.end(),
+                                          [&](std::size_t index) { return attempts_[index].executed; });
         EXPECT_EQ(answer.cause == Cause::none, answer.verdict == Verdict::served);
         switch (answer.verdict) {
             case Verdict::served: {
                 const auto* ticket = dynamic_cast<Ticket*>(answer.answer.get());
-                EXPECT_TRUE(ticket && ticket->number < tried_.size());
+                EXPECT_TRUE(ticket && ticket->number < attempts_.size());
                 if (!ticket) return;
-                const Tried& tried = tried_[ticket->number];
-                EXPECT_EQ(tried.key.call, call.id) << "another call's answer";
-                EXPECT_EQ(tried.told, Outcome::ok);
-                EXPECT_TRUE(call.started < 0 || call.started == tried.key.number);
+                const AttemptModel& attempt = attempts_[ticket->number];
+                EXPECT_EQ(attempt.key.call, call.id) << "another call's answer";
+                EXPECT_EQ(attempt.reported, Outcome::ok);
+                EXPECT_TRUE(call.started < 0 || call.started == attempt.key.number);
                 break;
             }
             case Verdict::refused:
                 EXPECT_EQ(call.started, -1) << "refused after its answer had begun";
-                if (!call.repeatable()) {
-                    EXPECT_FALSE(may_have_run || ran) << "refused, and may have run: call " << call.token;
-                    call.told_not_run = true;
+                if (!call.retry_is_harmless()) {
+                    EXPECT_FALSE(may_have_run || executed)
+                        << "refused although it may have executed: call " << call.token;
+                    call.reported_not_executed = true;
                 }
-                if (!answer.may_have_run) call.told_not_run = true;
+                if (!answer.may_have_run) call.reported_not_executed = true;
                 break;
             case Verdict::failed:
-                if (!answer.may_have_run) call.told_not_run = true;
+                if (!answer.may_have_run) call.reported_not_executed = true;
                 break;
         }
-        if (call.told_not_run) {
-            EXPECT_FALSE(ran) << "told that it has not run: call " << call.token;
+        if (call.reported_not_executed) {
+            EXPECT_FALSE(executed) << "reported as not executed, but executed: call " << call.token;
         }
     }
 
-    Tried* find(AttemptKey key) {
+    AttemptModel* find(AttemptKey key) {
         const auto found = by_key_.find(key);
-        return found == by_key_.end() ? nullptr : &tried_[found->second];
+        return found == by_key_.end() ? nullptr : &attempts_[found->second];
     }
 
     void send(PoolModel& pool, Attempt attempt) {
         EXPECT_FALSE(pool.gone);
         maybe_throw();
         ++sends_;
-        EXPECT_FALSE(pool.removed) << "sent for a pool that was removed";
+        EXPECT_FALSE(pool.removed) << "sent for a removed pool";
         const auto* ticket = dynamic_cast<Ticket*>(attempt.payload.get());
-        EXPECT_TRUE(ticket) << "sent without its call";
+        EXPECT_TRUE(ticket) << "sent without the payload of its call";
         if (!ticket) return;
         CallModel& call = *calls_.at(ticket->number);
         if (call.id == 0) call.id = attempt.key.call;
         EXPECT_EQ(call.id, attempt.key.call);
         EXPECT_EQ(call.pool, &pool);
         // Rule 1.
-        EXPECT_FALSE(call.over) << "sent after its end: call " << call.token;
-        EXPECT_EQ(call.started, -1) << "sent although its answer has begun";
+        EXPECT_FALSE(call.ended) << "sent after the end of call " << call.token;
+        EXPECT_EQ(call.started, -1) << "sent although the answer has begun";
         EXPECT_LE(attempt.expires, call.deadline);
         EXPECT_LT(now_, attempt.expires);
-        // A gap is an attempt that was never handed over: its time was up, its back threw, or the module
-        // knew of settings that allowed one more.
-        const int last = call.tried.empty() ? -1 : tried_[call.tried.back()].key.number;
-        if (nature_.throws || nature_.slow_ports || pool.changed) {
+        // A number is skipped if its attempt was never handed to the back: its time was up, the back threw, or the policy
+        // had settings that allowed one attempt more.
+        const int last = call.attempts.empty() ? -1 : attempts_[call.attempts.back()].key.number;
+        if (traits_.throws || traits_.slow_ports || pool.changed) {
             EXPECT_GT(attempt.key.number, last);
         } else {
             EXPECT_EQ(attempt.key.number, last + 1);
@@ -338,54 +340,56 @@
         if (call.pinned) {
             EXPECT_EQ(attempt.upstream, *call.pinned);
         }
-        if (waiting_lists_.empty()) {
+        if (queued_lists_.empty()) {
             EXPECT_TRUE(takes_work(pool, attempt.upstream))
-                << "sent to " << attempt.upstream << " that drains or has gone";
+                << "sent to " << attempt.upstream << " that drains or was removed";
         }
         const auto link = pool.links.find(attempt.upstream);
-        if (!nature_.throws) {
+        if (!traits_.throws) {
             EXPECT_TRUE(link != pool.links.end() && link->second.takes_work);
         }
-        Tried tried;
-        tried.key = attempt.key;
-        tried.token = ticket->number;
-        tried.pool = &pool;
-        tried.upstream = attempt.upstream;
-        tried.link = link == pool.links.end() ? 0 : link->second.made;
-        tried.sent_at = now_;
-        tried.expires = attempt.expires;
-        // Names move only within their cell.
+        AttemptModel model;
+        model.key = attempt.key;
+        model.token = ticket->number;
+        model.pool = &pool;
+        model.upstream = attempt.upstream;
+        model.link = link == pool.links.end() ? 0 : link->second.number;
+        model.sent_at = now_;
+        model.expires = attempt.expires;
+        // Ids move only between addresses of one cell.
         const Server& server = servers_[attempt.upstream % 10 - 1];
-        tried.zone = server.zone;
-        tried.cell = server.cell;
-        check_repeat(call, tried);
-        call.tried.push_back(tried_.size());
-        by_key_[attempt.key] = tried_.size();
-        const std::size_t at = tried_.size();
-        tried_.push_back(tried);
-        out_.push_back(at);
-        note("send", attempt.key.call * 8 + static_cast<std::uint64_t>(attempt.key.number), attempt.upstream);
-        if (nature_.nested && one_in(6)) {
-            for (int i = 0; i < 4 && tried_[at].phase != Phase::ended; ++i) progress(at);
+        model.zone = server.zone;
+        model.cell = server.cell;
+        check_repeat(call, model);
+        call.attempts.push_back(attempts_.size());
+        by_key_[attempt.key] = attempts_.size();
+        const std::size_t at = attempts_.size();
+        attempts_.push_back(model);
+        active_attempts_.push_back(at);
+        record_event("send", attempt.key.call * 8 + static_cast<std::uint64_t>(attempt.key.number),
+                     attempt.upstream);
+        if (traits_.nested && one_in(6)) {
+            for (int i = 0; i < 4 && attempts_[at].phase != Phase::ended; ++i) progress(at);
         }
-        if (nature_.slow_ports && one_in(4)) now_ += Micros(below(3000));
+        if (traits_.slow_ports && one_in(4)) now_ += Micros(below(3000));
     }
 
-    // Rule 2: no effect twice, as far as anybody knows.
-    void check_repeat(const CallModel& call, const Tried& next) {
-        for (const std::size_t t : call.tried) {
-            const Tried& earlier = tried_[t];
-            if (!earlier.told) {
-                EXPECT_TRUE(nature_.parallel) << "two at once";
-                ++met["copies"];
+    // Rule 2: no effect may occur twice, as far as is known.
+    void check_repeat(const CallModel& call, const AttemptModel& next) {
+        for (const std::size_t index : call.attempts) {
+            const AttemptModel& earlier = attempts_[index];
+            if (!earlier.reported) {
+                EXPECT_TRUE(traits_.hedges) << "two attempts at once";
+                ++outcomes["copies"];
             }
-            if (earlier.never_ran || call.kind.effect == Effect::safe) continue;
-            EXPECT_EQ(call.kind.effect, Effect::keyed) << "an unsafe effect twice: call " << call.token;
-            EXPECT_LT(now_, earlier.sent_at + call.kind.window);
-            if (call.kind.group == Group::zone) {
+            if (earlier.not_executed || call.class_settings.effect == Effect::safe) continue;
+            EXPECT_EQ(call.class_settings.effect, Effect::keyed)
+                << "unsafe effect repeated: call " << call.token;
+            EXPECT_LT(now_, earlier.sent_at + call.class_settings.window);
+            if (call.class_settings.group == Group::zone) {
                 EXPECT_EQ(earlier.zone, next.zone);
             }
-            if (call.kind.group == Group::cell) {
+            if (call.class_settings.group == Group::cell) {
                 EXPECT_EQ(earlier.cell, next.cell);
             }
         }
@@ -394,40 +398,40 @@
     void cancel(PoolModel& pool, AttemptKey key) {
         EXPECT_FALSE(pool.gone);
         maybe_throw();
-        Tried* const tried = find(key);
-        EXPECT_TRUE(tried && tried->pool == &pool) << "cancelled what was never sent";
-        if (!tried) return;
-        EXPECT_FALSE(tried->cancelled) << "cancelled twice";
-        EXPECT_TRUE(call_of(*tried).over || call_of(*tried).started != key.number)
-            << "the client's answer was cut off: call " << tried->token;
-        tried->cancelled = true;
-        note("cancel", key.call, static_cast<std::uint64_t>(key.number));
+        AttemptModel* const attempt = find(key);
+        EXPECT_TRUE(attempt && attempt->pool == &pool) << "cancelled an attempt that was never sent";
+        if (!attempt) return;
+        EXPECT_FALSE(attempt->cancelled) << "cancelled twice";
+        EXPECT_TRUE(call_of(*attempt).ended || call_of(*attempt).started != key.number)
+            << "the answer to the client was interrupted: call " << attempt->token;
+        attempt->cancelled = true;
+        record_event("cancel", key.call, static_cast<std::uint64_t>(key.number));
         const std::size_t at = by_key_.at(key);
-        if (tried->phase != Phase::ended && !(nature_.late_ends && one_in(2))) end_cancelled(at);
+        if (attempt->phase != Phase::ended && !(traits_.late_ends && one_in(2))) end_cancelled(at);
     }
 
     void expire(PoolModel& pool, AttemptKey key) {
         EXPECT_FALSE(pool.gone);
-        Tried* const tried = find(key);
-        EXPECT_TRUE(tried && tried->pool == &pool);
-        if (!tried) return;
-        const CallModel& call = call_of(*tried);
+        AttemptModel* const attempt = find(key);
+        EXPECT_TRUE(attempt && attempt->pool == &pool);
+        if (!attempt) return;
+        const CallModel& call = call_of(*attempt);
         if (call.started == key.number) {
-            EXPECT_GE(now_, tried->started_limit);
-            EXPECT_GT(call.started_limit, Micros{0}) << "an answer without a limit was ended";
+            EXPECT_GE(now_, attempt->started_limit);
+            EXPECT_GT(call.started_limit, Micros{0}) << "an answer without a time limit was ended";
         } else {
-            EXPECT_GE(now_, tried->expires) << "ended before its time";
+            EXPECT_GE(now_, attempt->expires) << "expired before its time";
         }
         maybe_throw();
-        note("expire", key.call, static_cast<std::uint64_t>(key.number));
-        if (tried->phase == Phase::ended) return;  // its end waits in the core's queue
+        record_event("expire", key.call, static_cast<std::uint64_t>(key.number));
+        if (attempt->phase == Phase::ended) return;  // its end waits in the core's queue
         const std::size_t at = by_key_.at(key);
-        if (tried->cancelled) return end(at, Outcome::cancelled);
-        switch (tried->phase) {
+        if (attempt->cancelled) return end(at, Outcome::cancelled);
+        switch (attempt->phase) {
             case Phase::connecting: return end(at, one_in(2) ? Outcome::moot : Outcome::connect_failed);
             case Phase::sending: return end(at, one_in(2) ? Outcome::timeout : Outcome::connect_failed);
             case Phase::whole:
-                if (tried->fate == Outcome::ok && one_in(4)) return end(at, Outcome::ok);
+                if (attempt->planned_outcome == Outcome::ok && one_in(4)) return end(at, Outcome::ok);
                 return end(at, Outcome::timeout);
             default: return end(at, Outcome::timeout);
         }
@@ -435,358 +439,368 @@
 
     // --------------------------------------------------------------------------------------- attempts
 
-    CallModel& call_of(const Tried& tried) { return *calls_.at(tried.token); }
+    CallModel& call_of(const AttemptModel& attempt) { return *calls_.at(attempt.token); }
 
-    void run(Tried& tried) {
-        const CallModel& call = call_of(tried);
-        tried.ran = true;
-        EXPECT_TRUE(!call.told_not_run || nature_.throws)
-            << "runs although it was told not to have: call " << call.token;
+    void run(AttemptModel& attempt) {
+        const CallModel& call = call_of(attempt);
+        attempt.executed = true;
+        EXPECT_TRUE(!call.reported_not_executed || traits_.throws)
+            << "executed although it was reported as not executed: call " << call.token;
     }
 
-    // Rule 2 counts a repeat's window from the first byte of each attempt before it that may have run, to its own.
+    // Rule 2 measures the window of a retry from the first byte of each earlier attempt that may have executed to the first
+    // byte of the retry.
     void check_window(const CallModel& call, std::size_t at) {
-        if (call.kind.effect != Effect::keyed || nature_.throws) return;
-        for (const std::size_t t : call.tried) {
-            const bool began = t != at && tried_[t].phase != Phase::connecting && tried_[t].began > Time{};
-            if (began && !tried_[t].never_ran) {
-                EXPECT_LT(now_ - tried_[t].began, call.kind.window) << "call " << call.token;
+        if (call.class_settings.effect != Effect::keyed || traits_.throws) return;
+        for (const std::size_t index : call.attempts) {
+            const bool began = index != at && attempts_[index].phase != Phase::connecting &&
+                               attempts_[index].begun_at > Time{};
+            if (began && !attempts_[index].not_executed) {
+                EXPECT_LT(now_ - attempts_[index].begun_at, call.class_settings.window)
+                    << "call " << call.token;
             }
         }
     }
 
-    // The next thing that happens to it.
+    // Performs the next step of an attempt.
     void progress(std::size_t at) {
-        Tried& tried = tried_[at];
-        if (tried.phase == Phase::ended) return;
-        if (tried.cancelled) return end_cancelled(at);
-        const CallModel& call = call_of(tried);
-        switch (tried.phase) {
+        AttemptModel& attempt = attempts_[at];
+        if (attempt.phase == Phase::ended) return;
+        if (attempt.cancelled) return end_cancelled(at);
+        const CallModel& call = call_of(attempt);
+        switch (attempt.phase) {
             case Phase::connecting: {
-                const auto link = tried.pool->links.find(tried.upstream);
-                const bool open = link != tried.pool->links.end() && link->second.takes_work &&
-                                  link->second.made == tried.link;
+                const auto link = attempt.pool->links.find(attempt.upstream);
+                const bool open = link != attempt.pool->links.end() && link->second.takes_work &&
+                                  link->second.number == attempt.link;
                 if (!open) return end(at, Outcome::moot);
-                // Its cancel may wait in the core's queue. Sockets begin nothing within another port.
-                if (inside_ && call.over) return;
-                if (one_in(nature_.calm ? 40 : 8)) return end(at, Outcome::connect_failed);
+                // The cancellation may wait in the core's queue. Sockets begin no attempt within another port.
+                if (in_core_ && call.ended) return;
+                if (one_in(traits_.few_failures ? 40 : 8)) return end(at, Outcome::connect_failed);
                 if (one_in(24)) return end(at, Outcome::moot, true);
                 if (one_in(3)) return;
-                // Rule 3 counts a send from its first byte.
-                if (!inside_ && !nature_.throws) {
-                    EXPECT_TRUE(takes_work(*tried.pool, tried.upstream)) << "begun where it drains";
+                // For rule 3 an attempt is sent when its first byte is.
+                if (!in_core_ && !traits_.throws) {
+                    EXPECT_TRUE(takes_work(*attempt.pool, attempt.upstream))
+                        << "begun at a draining upstream";
                 }
-                // No byte of what the core does not want; it is asked ahead of the first one.
-                if (!core_->on_attempt_sending(tried.key)) return end(at, Outcome::moot);
-                tried.phase = Phase::sending;
-                tried.began = now_;
+                // The core is asked before the first byte, and nothing is sent if it declines.
+                if (!core_->on_attempt_sending(attempt.key)) return end(at, Outcome::moot);
+                attempt.phase = Phase::sending;
+                attempt.begun_at = now_;
                 check_window(call, at);
                 return;
             }
             case Phase::sending: {
                 if (one_in(12)) return end(at, Outcome::connect_failed);
-                tried.phase = Phase::whole;
-                tried.was_whole = true;
-                static constexpr std::array fates{Outcome::ok,    Outcome::ok,  Outcome::ok,    Outcome::ok,
-                                                  Outcome::ok,    Outcome::ok,  Outcome::error, Outcome::full,
-                                                  Outcome::reset, Outcome::moot /* silence */};
-                tried.fate = fates[below(fates.size())];
-                if (nature_.calm && tried.fate != Outcome::moot) tried.fate = Outcome::ok;
-                const bool sure = tried.fate == Outcome::ok;
-                if (sure || (tried.fate != Outcome::full && one_in(2))) run(tried);
+                attempt.phase = Phase::whole;
+                attempt.fully_sent = true;
+                static constexpr std::array planned_outcomes{
+                    Outcome::ok, Outcome::ok,    Outcome::ok,   Outcome::ok,    Outcome::ok,
+                    Outcome::ok, Outcome::error, Outcome::full, Outcome::reset, Outcome::moot /* silence */};
+                attempt.planned_outcome = planned_outcomes[below(planned_outcomes.size())];
+                if (traits_.few_failures && attempt.planned_outcome != Outcome::moot)
+                    attempt.planned_outcome = Outcome::ok;
+                const bool sure = attempt.planned_outcome == Outcome::ok;
+                if (sure || (attempt.planned_outcome != Outcome::full && one_in(2))) run(attempt);
                 return;
             }
             case Phase::whole:
-                if (tried.fate == Outcome::moot) {
-                    if (tried.pool->gone) end(at, Outcome::timeout);
+                if (attempt.planned_outcome == Outcome::moot) {
+                    if (attempt.pool->gone) end(at, Outcome::timeout);
                     return;
                 }
-                if (tried.fate == Outcome::ok && (call.kind.streams ? !one_in(3) : one_in(8))) {
-                    tried.phase = Phase::started;
-                    tried.started_limit = now_ + call.started_limit;
-                    note("begin", tried.key.call, static_cast<std::uint64_t>(tried.key.number));
-                    const AttemptKey key = tried.key;
-                    within([&] { core_->on_attempt_started(key, ms(3), std::make_unique<Ticket>(at)); });
+                if (attempt.planned_outcome == Outcome::ok &&
+                    (call.class_settings.streams ? !one_in(3) : one_in(8))) {
+                    attempt.phase = Phase::started;
+                    attempt.started_limit = now_ + call.started_limit;
+                    record_event("begin", attempt.key.call, static_cast<std::uint64_t>(attempt.key.number));
+                    const AttemptKey key = attempt.key;
+                    enter_core([&] { core_->on_attempt_started(key, ms(3), std::make_unique<Ticket>(at)); });
                     return;
                 }
-                return end(at, tried.fate);
+                return end(at, attempt.planned_outcome);
             case Phase::started: return end(at, one_in(6) ? Outcome::reset : Outcome::ok);
             case Phase::ended: return;
         }
     }
 
-    // Its answer may cross the cancel.
+    // The answer may arrive while the attempt is being cancelled.
     void end_cancelled(std::size_t at) {
-        const Tried& tried = tried_[at];
-        const bool crossed = tried.phase == Phase::whole && tried.fate == Outcome::ok && one_in(3);
+        const AttemptModel& attempt = attempts_[at];
+        const bool crossed =
+            attempt.phase == Phase::whole && attempt.planned_outcome == Outcome::ok && one_in(3);
         end(at, crossed ? Outcome::ok : Outcome::cancelled);
     }
 
     void end(std::size_t at, Outcome outcome, bool own_fault = false) {
-        Tried& tried = tried_[at];
-        EXPECT_NE(tried.phase, Phase::ended);
-        tried.phase = Phase::ended;
-        tried.told = outcome;
-        tried.never_ran = outcome == Outcome::full || outcome == Outcome::connect_failed ||
-                          outcome == Outcome::moot || own_fault ||
-                          (outcome == Outcome::cancelled && !tried.was_whole);
-        EXPECT_FALSE(tried.never_ran && tried.ran) << "the world contradicts itself";
-        std::erase(out_, at);
-        // An unsafe call whose end there is not known may still run.
+        AttemptModel& attempt = attempts_[at];
+        EXPECT_NE(attempt.phase, Phase::ended);
+        attempt.phase = Phase::ended;
+        attempt.reported = outcome;
+        attempt.not_executed = outcome == Outcome::full || outcome == Outcome::connect_failed ||
+                               outcome == Outcome::moot || own_fault ||
+                               (outcome == Outcome::cancelled && !attempt.fully_sent);
+        EXPECT_FALSE(attempt.not_executed && attempt.executed) << "the model contradicts itself";
+        std::erase(active_attempts_, at);
+        // A call whose end at the server is unknown may still be executing.
         const bool unknown = outcome == Outcome::timeout || outcome == Outcome::reset ||
-                             (outcome == Outcome::cancelled && tried.was_whole);
-        if (unknown && !own_fault) call_of(tried).unsure = true;
-        note("end", tried.key.call * 8 + static_cast<std::uint64_t>(tried.key.number),
-             static_cast<std::uint64_t>(outcome));
+                             (outcome == Outcome::cancelled && attempt.fully_sent);
+        if (unknown && !own_fault) call_of(attempt).in_doubt = true;
+        record_event("end", attempt.key.call * 8 + static_cast<std::uint64_t>(attempt.key.number),
+                     static_cast<std::uint64_t>(outcome));
         AttemptResult result;
-        result.key = tried.key;
+        result.key = attempt.key;
         result.outcome = outcome;
         result.own_fault = own_fault;
-        result.whole = tried.was_whole;
-        result.latency = now_ - tried.sent_at;
-        result.report = {nature_.calm ? 0.0F : static_cast<float>(below(3))};
+        result.whole = attempt.fully_sent;
+        result.latency = now_ - attempt.sent_at;
+        result.report = {traits_.few_failures ? 0.0F : static_cast<float>(below(3))};
         if (outcome == Outcome::ok) result.answer = std::make_unique<Ticket>(at);
-        within([&] { core_->on_attempt_end(std::move(result)); });
+        enter_core([&] { core_->on_attempt_end(std::move(result)); });
     }
 
-    // Runs something that enters the core. When the outermost has returned, all has been handled.
-    template <typename Work>
-    void within(Work work) {
-        const bool outermost = !inside_;
-        inside_ = true;
-        work();
+    // Runs a function that calls the core. When the outermost one has returned, the core has handled all events.
+    template <typename Function>
+    void enter_core(Function function) {
+        const bool outermost = !in_core_;
+        in_core_ = true;
+        function();
         if (!outermost) return;
-        inside_ = false;
-        for (const auto& [pool, list] : waiting_lists_) {
-            pool->vague |= pool->removed;
-            hear(*pool, list);
+        in_core_ = false;
+        for (const auto& [pool, list] : queued_lists_) {
+            pool->order_unknown |= pool->removed;
+            apply_to_model(*pool, list);
         }
-        waiting_lists_.clear();
+        queued_lists_.clear();
         for (auto& pool : pools_) {
-            if (pool->removed && !pool->gone) has_gone(*pool);
+            if (pool->removed && !pool->gone) on_pool_removed(*pool);
         }
-        forget_calls();
+        erase_ended_calls();
     }
 
     // ------------------------------------------------------------------------------------------ pools
 
     Settings make_settings() {
-        Settings s = plain_settings();
-        ClassSettings streaming = s.classes[0];
+        Settings result = plain_settings();
+        ClassSettings streaming = result.classes[0];
         streaming.name = "streaming";
         streaming.streams = true;
-        s.classes.push_back(streaming);
-        s.ramp_time = ms(2000);
-        s.fall_span = ms(500);
-        s.parallel_attempts = nature_.parallel;
-        s.may_cancel = nature_.may_cancel;
-        s.max_attempts = nature_.few_attempts ? 1 : 2 + static_cast<int>(below(3));
-        s.must_ask_list = nature_.asks && one_in(2);
-        s.ask_within = ms(300);
-        s.drain_close = one_in(2) ? ms(50) : ms(0);
-        s.report_fields = {ReportField::in_flight};
-        s.reports = ReportSource::answers;
+        result.classes.push_back(streaming);
+        result.ramp_time = ms(2000);
+        result.fall_span = ms(500);
+        result.parallel_attempts = traits_.hedges;
+        result.may_cancel = traits_.may_cancel;
+        result.max_attempts = traits_.few_attempts ? 1 : 2 + static_cast<int>(below(3));
+        result.must_ask_list = traits_.must_ask_list && one_in(2);
+        result.ask_within = ms(300);
+        result.drain_close = one_in(2) ? ms(50) : ms(0);
+        result.report_fields = {ReportField::in_flight};
+        result.reports = ReportSource::answers;
         for (std::uint32_t i = below(3); i > 0; --i) {
-            s.tenants.push_back({name_of("tenant ", i), i * 20.0, 0.2});
+            result.tenants.push_back({name_of("tenant ", i), i * 20.0, 0.2});
         }
-        s.over_share_worth = 0.3;
-        return s;
+        result.over_share_worth = 0.3;
+        return result;
     }
 
     PoolModel& add_pool(std::uint32_t slot) {
         pools_.push_back(std::make_unique<PoolModel>(*this, slot));
         PoolModel& pool = *pools_.back();
         pool.settings = make_settings();
-        within([&] {
+        enter_core([&] {
             pool.id = core_->add_pool({name_of("pool ", slot), pool.settings, seed_ + slot}, pool, &pool);
         });
-        EXPECT_TRUE(pool_ids_.insert(pool.id).second) << "a number given twice";
+        EXPECT_TRUE(pool_ids_.insert(pool.id).second) << "a pool id was used twice";
         return pool;
     }
 
     void remove_pool(PoolModel& pool) {
         if (pool.removed) return;
-        note("remove_pool", pool.id, 0);
+        record_event("remove_pool", pool.id, 0);
         pool.removed = true;
-        pool.removed_at = ++order_;
-        within([&] {
+        pool.removed_at = ++sequence_;
+        enter_core([&] {
             core_->remove_pool(pool.id);
             EXPECT_EQ(core_->settings(pool.id), nullptr);
         });
     }
 
-    // Its attempts are not heard of any more, but what has begun may run on.
-    void has_gone(PoolModel& pool) {
+    // The ends of its attempts are ignored from now on, but attempts that have begun may still be executing.
+    void on_pool_removed(PoolModel& pool) {
         pool.gone = true;
         pool.listed.clear();
-        if (!nature_.throws) {
+        if (!traits_.throws) {
             EXPECT_TRUE(pool.links.empty());
         }
-        for (const std::size_t at : out_) {
-            Tried& tried = tried_[at];
-            if (tried.pool != &pool) continue;
-            if (tried.phase != Phase::connecting) call_of(tried).unsure = true;
-            EXPECT_TRUE(tried.cancelled || nature_.throws) << "a pool went and left an attempt";
+        for (const std::size_t at : active_attempts_) {
+            AttemptModel& attempt = attempts_[at];
+            if (attempt.pool != &pool) continue;
+            if (attempt.phase != Phase::connecting) call_of(attempt).in_doubt = true;
+            EXPECT_TRUE(attempt.cancelled || traits_.throws) << "an attempt outlives its removed pool";
         }
-        for (const CallModel* call : active_) {
-            EXPECT_TRUE(call->pool != &pool || call->over) << "a pool went and left call " << call->token;
+        for (const CallModel* call : active_calls_) {
+            EXPECT_TRUE(call->pool != &pool || call->ended) << "removed pool left open call " << call->token;
         }
     }
 
     PoolModel* any_pool() {
-        std::vector<PoolModel*> there;
+        std::vector<PoolModel*> present;
         for (auto& pool : pools_) {
-            if (!pool->removed && pool->id != 0) there.push_back(pool.get());
+            if (!pool->removed && pool->id != 0) present.push_back(pool.get());
         }
-        return there.empty() ? nullptr : there[below(static_cast<std::uint32_t>(there.size()))];
+        return present.empty() ? nullptr : present[below(static_cast<std::uint32_t>(present.size()))];
     }
 
     void change(PoolModel& pool) {
         Settings changed = make_settings();
         changed.must_ask_list = pool.settings.must_ask_list;
-        // Classes may come in another order; a call that is open keeps its own.
+        // Classes may be reordered. An open call keeps its class.
         if (follows_settings && one_in(2)) {
             std::rotate(changed.classes.begin(), changed.classes.begin() + below(5), changed.classes.end());
         }
         if (follows_settings && one_in(8)) changed.classes.pop_back();
-        note("change", pool.id, changed.classes.size());
+        record_event("change", pool.id, changed.classes.size());
         pool.settings = changed;
         pool.changed = true;
-        within([&] { core_->change_pool(pool.id, changed); });
+        enter_core([&] { core_->change_pool(pool.id, changed); });
     }
 
     // ------------------------------------------------------------------------------------------ lists
 
-    // Ids differ from pool to pool in odd slots, and are alike in even ones.
+    // The ids of a server differ between pools in odd slots, and are equal in pools in even slots.
     UpstreamId id_of(const PoolModel& pool, std::size_t server) const {
         const std::uint64_t salt = pool.slot % 2 == 0 ? 0 : pool.slot;
         return 1 + server + 10 * salt + 100 * servers_[server].process;
     }
 
     Member member_of(UpstreamId id, std::size_t server, UpstreamState state) const {
-        Member m = member(id, servers_[server].address, state, servers_[server].started);
-        m.entry.zone = servers_[server].zone;
-        m.entry.cell = servers_[server].cell;
-        return m;
+        Member result = member(id, servers_[server].address, state, servers_[server].started);
+        result.entry.zone = servers_[server].zone;
+        result.entry.cell = servers_[server].cell;
+        return result;
     }
 
     std::size_t server_at(const std::string& address) const {
         return static_cast<std::size_t>(address[1] - '0');
     }
 
-    void news(PoolModel& pool, ListKind kind) {
+    void send_list(PoolModel& pool, ListKind kind) {
         MemberList list;
         list.kind = kind;
-        pool.version = one_in(10) ? below(5) : pool.version + 1;  // now and then it goes back
+        pool.version = one_in(10) ? below(5) : pool.version + 1;  // occasionally it goes back
         list.version = pool.version;
         if (kind != ListKind::failed) fill(pool, list);
-        note("list", pool.id, list.members.size() * 4 + static_cast<std::uint64_t>(kind));
-        // Inside another event it waits its turn, and nobody outside can tell when that has come.
-        if (inside_) {
-            waiting_lists_.emplace_back(&pool, list);
+        record_event("list", pool.id, list.members.size() * 4 + static_cast<std::uint64_t>(kind));
+        // Within another event the list is queued, and when it is handled can't be observed.
+        if (in_core_) {
+            queued_lists_.emplace_back(&pool, list);
         } else {
-            hear(pool, list);
+            apply_to_model(pool, list);
         }
-        within([&] { core_->on_list(pool.id, list); });
+        enter_core([&] { core_->on_list(pool.id, list); });
     }
 
     void fill(PoolModel& pool, MemberList& list) {
-        for (std::size_t s = 0; s < addresses; ++s) {
-            const bool whole = list.kind != ListKind::delta;
-            if (whole ? one_in(nature_.calm ? 24 : 6) : !one_in(4)) continue;
-            const auto state = one_in(nature_.calm ? 24 : 4) ? UpstreamState::draining : UpstreamState::ready;
-            Server& server = servers_[s];
-            switch (nature_.calm && !one_in(6) ? 9 : below(10)) {
-                case 0:  // a new process under a new name; the old one is named too, before or after
+        for (std::size_t index = 0; index < addresses; ++index) {
+            const bool complete = list.kind != ListKind::delta;
+            if (complete ? one_in(traits_.few_failures ? 24 : 6) : !one_in(4)) continue;
+            const auto state =
+                one_in(traits_.few_failures ? 24 : 4) ? UpstreamState::draining : UpstreamState::ready;
+            Server& server = servers_[index];
+            switch (traits_.few_failures && !one_in(6) ? 9 : below(10)) {
+                case 0:  // a new process with a new id; the old id may be listed as gone
                     if (list.kind == ListKind::delta && one_in(2)) {
-                        list.members.push_back(member_of(id_of(pool, s), s, UpstreamState::gone));
+                        list.members.push_back(member_of(id_of(pool, index), index, UpstreamState::gone));
                     }
                     if (one_in(2)) server.started = now_ - Micros(below(300000));
                     ++server.process;
-                    list.members.push_back(member_of(id_of(pool, s), s, state));
+                    list.members.push_back(member_of(id_of(pool, index), index, state));
                     break;
-                case 1:  // a new process under the old name
+                case 1:  // a new process with the old id
                     server.started = now_ - Micros(below(1000));
-                    list.members.push_back(member_of(id_of(pool, s), s, state));
+                    list.members.push_back(member_of(id_of(pool, index), index, state));
                     break;
-                case 2: {  // the name moves to the other address of its cell, in either order
-                    const std::size_t other = s ^ 2U;
-                    const UpstreamId id = id_of(pool, s);
+                case 2: {  // the id moves to the other address of its cell, listed in either order
+                    const std::size_t other = index ^ 2U;
+                    const UpstreamId id = id_of(pool, index);
                     const bool first = one_in(2);
-                    if (first) list.members.push_back(member_of(id, s, UpstreamState::gone));
+                    if (first) list.members.push_back(member_of(id, index, UpstreamState::gone));
                     list.members.push_back(member_of(id, other, state));
                     if (!first && list.kind == ListKind::delta) {
-                        list.members.push_back(member_of(id, s, UpstreamState::gone));
+                        list.members.push_back(member_of(id, index, UpstreamState::gone));
                     }
                     break;
                 }
                 case 3:
                 case 4:
                     if (list.kind == ListKind::delta) {
-                        list.members.push_back(member_of(id_of(pool, s), s, UpstreamState::gone));
+                        list.members.push_back(member_of(id_of(pool, index), index, UpstreamState::gone));
                     }
                     break;
-                default: list.members.push_back(member_of(id_of(pool, s), s, state));
+                default: list.members.push_back(member_of(id_of(pool, index), index, state));
             }
         }
     }
 
-    // What a list says, by itself: one entry after another.
-    void hear(PoolModel& pool, const MemberList& list) {
+    // Applies a list to the model, one entry after another.
+    void apply_to_model(PoolModel& pool, const MemberList& list) {
         if (pool.removed || list.kind == ListKind::failed) return;
         std::set<UpstreamId> named;
-        for (const Member& m : list.members) {
-            const auto known = pool.listed.find(m.entry.id);
-            if (m.entry.state == UpstreamState::gone) {
-                const bool moved = named.contains(m.entry.id) && known != pool.listed.end() &&
-                                   known->second.address != m.address;
+        for (const Member& member : list.members) {
+            const auto known = pool.listed.find(member.entry.id);
+            if (member.entry.state == UpstreamState::gone) {
+                const bool moved = named.contains(member.entry.id) && known != pool.listed.end() &&
+                                   known->second.address != member.address;
                 if (!moved && known != pool.listed.end()) pool.listed.erase(known);
                 continue;
             }
-            named.insert(m.entry.id);
-            auto& history = history_[m.address];
-            Listed next{m.address, m.entry.state == UpstreamState::draining, m.entry.started_at, 0};
-            if (known == pool.listed.end() || known->second.address != m.address) {
-                next.since = ++order_;
-            } else if (m.entry.started_at > known->second.started) {
-                next.since = ++order_;
-                history.push_back({++order_, &pool, m.entry.id, Notice::fresh});
+            named.insert(member.entry.id);
+            auto& address_notices = notices_[member.address];
+            Listed next{member.address, member.entry.state == UpstreamState::draining,
+                        member.entry.started_at, 0};
+            if (known == pool.listed.end() || known->second.address != member.address) {
+                next.added_at = ++sequence_;
+            } else if (member.entry.started_at > known->second.started) {
+                next.added_at = ++sequence_;
+                address_notices.push_back({++sequence_, &pool, member.entry.id, NoticeKind::restarted});
             } else {
-                next.since = known->second.since;
+                next.added_at = known->second.added_at;
                 next.started = known->second.started;
             }
-            const Notice what = next.draining ? Notice::drains : Notice::ready;
-            // Told again is no news, but that it is ready takes back what a removed pool was told.
-            const auto last = std::find_if(history.rbegin(), history.rend(), [&](const Told& t) {
-                return t.pool == &pool && t.upstream == m.entry.id;
-            });
-            if (last == history.rend() || last->what != what || what == Notice::ready) {
-                history.push_back({++order_, &pool, m.entry.id, what});
+            const NoticeKind kind = next.draining ? NoticeKind::drains : NoticeKind::ready;
+            // A repeated notice changes nothing, except that `ready` revokes the drains of removed pools.
+            const auto last =
+                std::find_if(address_notices.rbegin(), address_notices.rend(), [&](const Notice& notice) {
+                    return notice.pool == &pool && notice.upstream == member.entry.id;
+                });
+            if (last == address_notices.rend() || last->kind != kind || kind == NoticeKind::ready) {
+                address_notices.push_back({++sequence_, &pool, member.entry.id, kind});
             }
-            pool.listed[m.entry.id] = next;
+            pool.listed[member.entry.id] = next;
         }
         if (list.kind == ListKind::delta) return;
-        std::erase_if(pool.listed, [&](const auto& l) { return !named.contains(l.first); });
+        std::erase_if(pool.listed, [&](const auto& item) { return !named.contains(item.first); });
     }
 
-    // Rule 3, by going through all that was told of the address.
+    // Rule 3, evaluated over all notices about the address.
     bool takes_work(const PoolModel& pool, UpstreamId upstream) const {
         const auto found = pool.listed.find(upstream);
         if (found == pool.listed.end() || found->second.draining) return false;
-        const auto history = history_.find(found->second.address);
-        if (history == history_.end()) return true;
-        const auto& all = history->second;
-        for (auto told = all.begin(); told != all.end(); ++told) {
-            if (told->what != Notice::drains || told->pool == &pool || told->pool->vague ||
-                told->at < found->second.since) {
+        const auto address_notices = notices_.find(found->second.address);
+        if (address_notices == notices_.end()) return true;
+        const auto& notices = address_notices->second;
+        for (auto notice = notices.begin(); notice != notices.end(); ++notice) {
+            if (notice->kind != NoticeKind::drains || notice->pool == &pool || notice->pool->order_unknown ||
+                notice->received_at < found->second.added_at) {
                 continue;
             }
-            const bool taken_back = std::any_of(told, all.end(), [&](const Told& later) {
-                if (later.what == Notice::drains) return false;
-                if (later.pool == told->pool) return later.upstream == told->upstream;
-                return told->pool->removed && later.at > told->pool->removed_at;
+            const bool revoked = std::any_of(notice, notices.end(), [&](const Notice& later) {
+                if (later.kind == NoticeKind::drains) return false;
+                if (later.pool == notice->pool) return later.upstream == notice->upstream;
+                return notice->pool->removed && later.received_at > notice->pool->removed_at;
             });
-            if (!taken_back) return false;
+            if (!revoked) return false;
         }
         return true;
     }
@@ -796,7 +810,7 @@
     void take() {
         PoolModel* const pool =
             one_in(30) ? pools_[below(static_cast<std::uint32_t>(pools_.size()))].get() : any_pool();
-        if (!pool || pool->id == 0 || !calls_come_) return;
+        if (!pool || pool->id == 0 || !making_calls_) return;
         const auto count = static_cast<std::uint32_t>(pool->settings.classes.size());
         Call call;
         call.pool = pool->id;
@@ -833,102 +847,106 @@
         model.started_limit = call.started_limit;
         const Micros budget = call.budget > Micros{0} ? call.budget : options_.own_limit;
         const Time received = call.received > Time{} ? call.received : now_;
-        // With nothing unseen the guard comes a moment after the deadline.
+        // Without a network allowance the watchdog fires one microsecond after the deadline.
         model.limit = received + budget + (call.unseen <= Micros{1} ? Micros{1} : Micros{0});
-        model.limit = std::max(model.limit, now_);  // too late already: answered at once
+        model.limit = std::max(model.limit, now_);  // a call that is already too late is answered at once
         model.deadline = received + budget - std::min(call.unseen, budget / 2);
         const bool bad_class = static_cast<std::uint32_t>(call.class_index) >= count;
-        if (!bad_class) model.kind = pool->settings.classes[static_cast<std::size_t>(call.class_index)];
-        const bool unknown = nature_.known_only && call.tenant.kind == Tenant::Kind::unknown &&
+        if (!bad_class)
+            model.class_settings = pool->settings.classes[static_cast<std::size_t>(call.class_index)];
+        const bool unknown = traits_.rejects_unknown_tenants && call.tenant.kind == Tenant::Kind::unknown &&
                              !pool->settings.tenants.empty();
-        const bool held = is_held(call.name);
+        const bool id_in_use = is_id_in_use(call.name);
         const Taken expected = closed_         ? Taken::shutting_down
                                : pool->removed ? Taken::no_pool
                                : bad_class     ? Taken::bad_class
                                : unknown       ? Taken::unknown_tenant
                                : too_many()    ? Taken::too_many
-                               : held          ? Taken::name_open
+                               : id_in_use     ? Taken::name_open
                                                : Taken::yes;
         calls_.push_back(std::make_unique<CallModel>(model));
-        CallModel& kept = *calls_.back();
-        note("take", token, static_cast<std::uint64_t>(call.class_index));
-        active_.push_back(&kept);
+        CallModel& added = *calls_.back();
+        record_event("take", token, static_cast<std::uint64_t>(call.class_index));
+        active_calls_.push_back(&added);
         CallId id = 0;
         Taken taken = Taken::yes;
-        within([&] { taken = core_->take(call, *this, token, &id); });
-        ++met[name_of("taken ", static_cast<std::uint64_t>(taken))];
-        // Inside other events, ends may still wait in the core's queue: it knows less than the world.
-        const bool behind = inside_ && expected == Taken::yes && taken == Taken::name_open;
-        // In doubt of which doubts: they are forgotten in the order in which they came, and that is the
-        // core's.
-        const bool unsure = (nature_.nested || nature_.slow_ports) && !call.name.empty() &&
-                            (expected == Taken::yes || expected == Taken::name_open) &&
-                            (taken == Taken::yes || taken == Taken::name_open) && !is_open(call.name, kept);
-        if (!behind && !unsure) {
+        enter_core([&] { taken = core_->take(call, *this, token, &id); });
+        ++outcomes[name_of("taken ", static_cast<std::uint64_t>(taken))];
+        // Within other events, ends of attempts may still wait in the core's queue: the core lags behind the model.
+        const bool core_lags = in_core_ && expected == Taken::yes && taken == Taken::name_open;
+        // The core drops ids in doubt in the order in which it recorded them, which the model does not know here.
+        const bool order_unclear = (traits_.nested || traits_.slow_ports) && !call.name.empty() &&
+                                   (expected == Taken::yes || expected == Taken::name_open) &&
+                                   (taken == Taken::yes || taken == Taken::name_open) &&
+                                   !is_open(call.name, added);
+        if (!core_lags && !order_unclear) {
             EXPECT_EQ(taken, expected) << "call " << token;
         }
         if (taken == Taken::yes) {
-            EXPECT_TRUE(kept.id == 0 || kept.id == id);
-            kept.id = id;
+            EXPECT_TRUE(added.id == 0 || added.id == id);
+            added.id = id;
 
         } else {
-            EXPECT_EQ(kept.finals, 0);
-            EXPECT_TRUE(kept.tried.empty());
-            std::erase(active_, &kept);
+            EXPECT_EQ(added.finals, 0);
+            EXPECT_TRUE(added.attempts.empty());
+            std::erase(active_calls_, &added);
         }
     }
 
     void leave() {
-        if (active_.empty()) return;
-        CallModel& call = *active_[below(static_cast<std::uint32_t>(active_.size()))];
+        if (active_calls_.empty()) return;
+        CallModel& call = *active_calls_[below(static_cast<std::uint32_t>(active_calls_.size()))];
         if (call.id == 0) return;
-        const bool was_over = call.over;
-        call.over = call.left = call.left || !was_over;
-        call.over = true;
-        note("leave", call.token, 0);
+        const bool was_over = call.ended;
+        call.ended = call.abandoned = call.abandoned || !was_over;
+        call.ended = true;
+        record_event("leave", call.token, 0);
         bool may_have_run = false;
-        within([&] { may_have_run = core_->leave(call.id); });
+        enter_core([&] { may_have_run = core_->leave(call.id); });
         if (was_over) {
             EXPECT_FALSE(may_have_run);
             return;
         }
-        ++met["left"];
+        ++outcomes["left"];
         if (may_have_run) return;
-        call.told_not_run = true;
-        for (const std::size_t t : call.tried)
-            EXPECT_FALSE(tried_[t].ran) << "left, and told that it has not run";
+        call.reported_not_executed = true;
+        for (const std::size_t index : call.attempts)
+            EXPECT_FALSE(attempts_[index].executed) << "abandoned and reported as not executed, but executed";
     }
 
     bool too_many() const {
         if (options_.open_calls == 0) return false;
-        const auto open =
-            std::count_if(active_.begin(), active_.end(), [](const auto* c) { return !c->over; });
+        const auto open = std::count_if(active_calls_.begin(), active_calls_.end(),
+                                        [](const auto* other) { return !other->ended; });
         return static_cast<std::size_t>(open) >= options_.open_calls;
     }
 
-    bool any_out(const CallModel& call) const {
-        return !call.pool->gone && std::any_of(call.tried.begin(), call.tried.end(), [&](std::size_t t) {
-            return tried_[t].phase != Phase::ended;
-        });
+    bool any_active(const CallModel& call) const {
+        return !call.pool->gone &&
+               std::any_of(call.attempts.begin(), call.attempts.end(),
+                           [&](std::size_t index) { return attempts_[index].phase != Phase::ended; });
     }
-    // Is a call of that name surely open, other than this one?
-    bool is_open(const std::string& name, const CallModel& but) const {
-        return std::any_of(active_.begin(), active_.end(), [&](const auto* c) {
-            return c != &but && c->name == name && (!c->over || (any_out(*c) && !c->pool->removed));
+    // Returns whether a call with that id, other than the given one, is open for certain.
+    bool is_open(const std::string& name, const CallModel& except) const {
+        return std::any_of(active_calls_.begin(), active_calls_.end(), [&](const auto* other) {
+            return other != &except && other->name == name &&
+                   (!other->ended || (any_active(*other) && !other->pool->removed));
         });
     }
-    // A name is held while a call of it is open or an attempt of it is out, and while an unsafe one may run.
-    bool is_held(const std::string& name) {
+    // Returns whether an id is in use: by an open call, by an active attempt, or by an unsafe call in doubt.
+    bool is_id_in_use(const std::string& name) {
         if (name.empty()) return false;
-        std::erase_if(doubts_, [&](const auto& d) { return d.first <= now_; });
-        return std::any_of(active_.begin(), active_.end(), [&](const auto* c) { return c->name == name; }) ||
-               std::any_of(doubts_.begin(), doubts_.end(), [&](const auto& d) { return d.second == name; });
+        std::erase_if(doubts_, [&](const auto& doubt) { return doubt.first <= now_; });
+        return std::any_of(active_calls_.begin(), active_calls_.end(),
+                           [&](const auto* other) { return other->name == name; }) ||
+               std::any_of(doubts_.begin(), doubts_.end(),
+                           [&](const auto& doubt) { return doubt.second == name; });
     }
-    // Calls that are over and have no attempt out leave their names, or a doubt.
-    void forget_calls() {
-        std::erase_if(active_, [&](const CallModel* call) {
-            if (!call->over || any_out(*call)) return false;
-            if (!call->name.empty() && call->unsure && call->kind.effect == Effect::unsafe) {
+    // Erases calls that have ended and have no active attempt. Their ids become free, or are in doubt.
+    void erase_ended_calls() {
+        std::erase_if(active_calls_, [&](const CallModel* call) {
+            if (!call->ended || any_active(*call)) return false;
+            if (!call->name.empty() && call->in_doubt && call->class_settings.effect == Effect::unsafe) {
                 doubts_.emplace_back(now_ + options_.doubt_kept, call->name);
                 if (doubts_.size() > options_.doubts) doubts_.erase(doubts_.begin());
             }
@@ -943,36 +961,37 @@
             ASSERT_LT(turns, 100000) << "the core sets one alarm after another";
             now_ = std::max(now_, *alarm_);
             alarm_.reset();
-            within([&] { core_->on_alarm(); });
+            enter_core([&] { core_->on_alarm(); });
         }
     }
-    void pass(Micros span) {
-        const Time until = now_ + span;
+    void pass(Micros duration) {
+        const Time until = now_ + duration;
         serve_alarm(until);
         now_ = std::max(now_, until);
     }
-    // The loop stands still. What happens then comes before the alarm or after it.
-    void stall(Micros span) {
-        note("stall", static_cast<std::uint64_t>(span.count()), 0);
+    // Simulates a stall of the event loop. Events of the stall are handled before the alarm or after it.
+    void stall(Micros duration) {
+        record_event("stall", static_cast<std::uint64_t>(duration.count()), 0);
         stalled_from_ = now_;
-        now_ += span;
+        now_ += duration;
         for (std::uint32_t i = below(5); i > 0; --i) progress_any();
         serve_alarm(now_);
     }
 
     void progress_any() {
-        if (!out_.empty()) progress(out_[below(static_cast<std::uint32_t>(out_.size()))]);
+        if (!active_attempts_.empty())
+            progress(active_attempts_[below(static_cast<std::uint32_t>(active_attempts_.size()))]);
     }
 
-    // What no back should report: of an attempt that never was, or once more of one that has ended.
-    void nonsense() {
+    // Reports events that no back should report: of an attempt that never existed, or of one that has ended.
+    void report_invalid_events() {
         AttemptKey key{one_in(2) ? 0 : 1 + below(50), one_in(2) ? -1 : 100};
-        if (one_in(2) && !tried_.empty()) {
-            const Tried& tried = tried_[below(static_cast<std::uint32_t>(tried_.size()))];
-            if (tried.phase == Phase::ended) key = tried.key;
+        if (one_in(2) && !attempts_.empty()) {
+            const AttemptModel& attempt = attempts_[below(static_cast<std::uint32_t>(attempts_.size()))];
+            if (attempt.phase == Phase::ended) key = attempt.key;
         }
-        note("nonsense", key.call, static_cast<std::uint64_t>(key.number + 1));
-        within([&] {
+        record_event("nonsense", key.call, static_cast<std::uint64_t>(key.number + 1));
+        enter_core([&] {
             core_->on_attempt_started(key, ms(1), nullptr);
             AttemptResult result;
             result.key = key;
@@ -984,32 +1003,32 @@
         });
     }
 
-    void act(std::uint32_t what) {
-        switch (what) {
+    void do_action(std::uint32_t action) {
+        switch (action) {
             case 8:
             case 9: {
                 PoolModel* const pool = any_pool();
                 static constexpr std::array kinds{ListKind::delta, ListKind::delta,  ListKind::delta,
                                                   ListKind::full,  ListKind::cached, ListKind::failed};
-                if (pool) news(*pool, kinds[below(kinds.size())]);
+                if (pool) send_list(*pool, kinds[below(kinds.size())]);
                 return;
             }
             case 10: return leave();
             case 11:
                 if (!one_in(4)) return;
-                // Often made again under its name at once.
+                // A removed pool is often added again under its name at once.
                 if (PoolModel* const pool = any_pool(); pool && one_in(2)) {
                     remove_pool(*pool);
                     if (one_in(4)) return;
-                    news(add_pool(pool->slot), one_in(2) ? ListKind::cached : ListKind::full);
+                    send_list(add_pool(pool->slot), one_in(2) ? ListKind::cached : ListKind::full);
                 } else if (pools_.size() < 12) {
-                    news(add_pool(below(slots)), ListKind::full);
+                    send_list(add_pool(below(slots)), ListKind::full);
                 }
                 return;
             case 12:
                 if (PoolModel* const pool = any_pool()) change(*pool);
                 return;
-            case 13: return nonsense();
+            case 13: return report_invalid_events();
             case 14:
                 if (!one_in(60)) return;
                 closed_ = true;
@@ -1017,54 +1036,54 @@
                 return;
             case 22: return pass(Micros(below(60000)));
             case 23:
-                if (nature_.stalls && one_in(3)) return stall(ms(10 + below(one_in(6) ? 3000 : 200)));
+                if (traits_.stalls && one_in(3)) return stall(ms(10 + below(one_in(6) ? 3000 : 200)));
                 return pass(Micros(below(20000)));
             default:
-                if (what < 8) return take();
+                if (action < 8) return take();
                 for (std::uint32_t i = 1 + below(6); i > 0; --i) progress_any();
         }
     }
 
-    // After each step.
-    void settle() {
-        for (const CallModel* call : active_) {
-            if (call->over || call->started >= 0 || nature_.throws || nature_.slow_ports) continue;
-            EXPECT_LE(now_, call->limit) << "call " << call->token << " left open";
+    // Checks the invariants that hold after each step.
+    void check_invariants() {
+        for (const CallModel* call : active_calls_) {
+            if (call->ended || call->started >= 0 || traits_.throws || traits_.slow_ports) continue;
+            EXPECT_LE(now_, call->limit) << "call " << call->token << " was left open";
         }
-        const Figures f = core_->figures();
-        const auto waiting = static_cast<std::uint64_t>(
-            std::count_if(active_.begin(), active_.end(), [](const auto* c) { return !c->over; }));
-        EXPECT_EQ(f.taken, f.served + f.refused + f.failed + f.left + waiting);
-        EXPECT_LE(f.doubts, options_.doubts);
-        EXPECT_EQ(f.open, active_.size());
-        if (!nature_.throws) {
-            EXPECT_EQ(f.faults, 0u);
-            EXPECT_EQ(f.overdue, 0u);
+        const Figures figures = core_->figures();
+        const auto waiting = static_cast<std::uint64_t>(std::count_if(
+            active_calls_.begin(), active_calls_.end(), [](const auto* other) { return !other->ended; }));
+        EXPECT_EQ(figures.taken, figures.served + figures.refused + figures.failed + figures.left + waiting);
+        EXPECT_LE(figures.doubts, options_.doubts);
+        EXPECT_EQ(figures.open, active_calls_.size());
+        if (!traits_.throws) {
+            EXPECT_EQ(figures.faults, 0u);
+            EXPECT_EQ(figures.overdue, 0u);
         }
     }
 
 public:
-    // No more calls: what is open ends, pools go, and nothing may be left.
+    // Makes no more calls, lets open ones end, removes the pools, and checks that no state is left.
     void finish() {
         if (one_in(2)) {
             closed_ = true;
             core_->close();
         }
-        calls_come_ = false;
+        making_calls_ = false;
         for (int round = 0; round < 40; ++round) {
-            for (std::size_t i = 2 * out_.size(); i > 0; --i) progress_any();
-            if (PoolModel* const pool = any_pool(); pool && one_in(4)) news(*pool, ListKind::delta);
-            within([&] { core_->on_list(9999, {}); });  // an alarm that was lost is set again
+            for (std::size_t i = 2 * active_attempts_.size(); i > 0; --i) progress_any();
+            if (PoolModel* const pool = any_pool(); pool && one_in(4)) send_list(*pool, ListKind::delta);
+            enter_core([&] { core_->on_list(9999, {}); });  // an alarm that was lost is set again
             pass(ms(50));
-            settle();
+            check_invariants();
         }
-        for (int i = 0; i < 10000 && !out_.empty(); ++i) progress_any();
-        EXPECT_TRUE(out_.empty()) << "an attempt was never ended";
-        settle();
+        for (int i = 0; i < 10000 && !active_attempts_.empty(); ++i) progress_any();
+        EXPECT_TRUE(active_attempts_.empty()) << "an attempt was never ended";
+        check_invariants();
         for (const auto& call : calls_) {
             if (call->id == 0) continue;
-            EXPECT_TRUE(call->over) << "call " << call->token << " has no end";
-            EXPECT_EQ(call->finals, call->left ? 0 : 1) << "call " << call->token;
+            EXPECT_TRUE(call->ended) << "call " << call->token << " was never answered";
+            EXPECT_EQ(call->finals, call->abandoned ? 0 : 1) << "call " << call->token;
         }
         EXPECT_EQ(core_->figures().open, 0u);
         throwing_ = false;
@@ -1073,11 +1092,11 @@
         EXPECT_EQ(core_->figures().pools, 0u);
         EXPECT_EQ(core_->figures().timers, 0u);
         pass(seconds(3));
-        nature_.nested = nature_.slow_ports = false;
-        PoolModel& last = add_pool(0);
-        within([&] { core_->on_list(last.id, {}); });
+        traits_.nested = traits_.slow_ports = false;
+        PoolModel& new_pool = add_pool(0);
+        enter_core([&] { core_->on_list(new_pool.id, {}); });
         EXPECT_EQ(core_->figures().addresses, 0u);
-        // Every name can be taken again, unless the core is closed.
+        // Every call id can be used again, unless the core is closed.
         std::set<std::string> names;
         for (const auto& call : calls_) names.insert(call->name);
         names.erase("");
@@ -1086,50 +1105,50 @@
             if (closed_ || (options_.open_calls > 0 && calls_.size() >= first + options_.open_calls)) break;
             CallModel model;
             model.token = calls_.size();
-            model.pool = &last;
+            model.pool = &new_pool;
             model.limit = now_ + seconds(1);
             calls_.push_back(std::make_unique<CallModel>(model));
             Call call;
-            call.pool = last.id;
+            call.pool = new_pool.id;
             call.name = name;
             EXPECT_EQ(core_->take(call, *this, model.token, nullptr), Taken::yes) << name;
         }
         EXPECT_EQ(closed_ || names.empty() ? 0u : core_->figures().doubts, 0u);
-        remove_pool(last);
+        remove_pool(new_pool);
         EXPECT_EQ(core_->figures().open, 0u);
         EXPECT_EQ(core_->figures().timers, 0u);
     }
 
 private:
     const std::uint32_t seed_;
-    Nature nature_;
+    Traits traits_;
     std::mt19937 random_;
     Options options_;
     Time now_ = std::chrono::hours(1);
     Time stalled_from_ = Time::max();
     std::optional<Time> alarm_;
-    bool inside_ = false;  // something that entered the core has not yet returned
-    int meddling_ = 0;     // so many events within ports
+    bool in_core_ = false;    // a call into the core has not returned
+    int nested_actions_ = 0;  // depth of actions within ports
     bool throwing_ = true;
-    bool calls_come_ = true;
+    bool making_calls_ = true;
     bool closed_ = false;
 
     std::array<Server, addresses> servers_;
     std::vector<std::unique_ptr<PoolModel>> pools_;
     std::set<PoolId> pool_ids_;
-    std::uint64_t links_ = 0;
+    std::uint64_t last_link_ = 0;
     std::vector<std::unique_ptr<CallModel>> calls_;  // by token
-    std::vector<CallModel*> active_;                 // not over, or with attempts out
-    std::deque<Tried> tried_;
+    std::vector<CallModel*> active_calls_;           // not ended, or with active attempts
+    std::deque<AttemptModel> attempts_;
     std::map<AttemptKey, std::size_t> by_key_;
-    std::vector<std::size_t> out_;
-    std::vector<std::pair<PoolModel*, MemberList>> waiting_lists_;
-    std::uint64_t order_ = 0;  // of all that lists said
-    std::map<std::string, std::vector<Told>> history_;
+    std::vector<std::size_t> active_attempts_;
+    std::vector<std::pair<PoolModel*, MemberList>> queued_lists_;
+    std::uint64_t sequence_ = 0;  // orders the notices and entries of lists
+    std::map<std::string, std::vector<Notice>> notices_;
     std::vector<std::pair<Time, std::string>> doubts_;
-    std::vector<std::uint64_t> script_;
+    std::vector<std::uint64_t> event_hashes_;
     std::uint64_t sends_ = 0;
-    std::unique_ptr<Core> core_;  // goes first
+    std::unique_ptr<Core> core_;  // declared last: destroyed first
 };
 
 }  // namespace flaxdoor::core::test
--- a/tests/recovery/herd_test.cpp
+++ b/tests/recovery/herd_test.cpp
@@ -92,7 +92,7 @@
     }
     // Half of them go at once, and all come back together, with what the first had kept.
     void crash_half(Micros away) {
-        Stored memory = nodes_[0]->shelf.read();
+        StoredSnapshot memory = nodes_[0]->shelf.read();
         ASSERT_TRUE(memory.list);
         EXPECT_GT(memory.remembered.size(), 4U);
         back_at_ = now_ + away;
@@ -133,7 +133,7 @@
               rank(its_rank),
               seed(its_seed * 1000 + static_cast<std::uint32_t>(its_rank)) {}
 
-        void start(Stored stored, Time when) {
+        void start(StoredSnapshot stored, Time when) {
             ++life;
             began = when;
             const History history{"d", "api", "n"};
--- a/tests/recovery/keeper_test.cpp
+++ b/tests/recovery/keeper_test.cpp
@@ -218,12 +218,12 @@
         const auto stored = kept_all();
         return stored.list ? stored.list->head.version : 0;
     }
-    recovery::Stored kept_all() {
+    recovery::StoredSnapshot kept_all() {
         store::Options options;
         options.engine.make = false;
         auto opened = store::Store::open(folder.path(), options);
         if (!opened.store) return {};
-        std::promise<recovery::Stored> told;
+        std::promise<recovery::StoredSnapshot> told;
         (void)opened.store->ask([&](store::Engine& e) {
             store::SpaceId id = 0;
             std::vector<store::Engine::Item> items;
@@ -500,7 +500,7 @@
 // As many as are kept have more than one look at the store gives.
 TEST(Keeper, TheLargestListIsReadWithAllThatWasLearned) {
     Stage s;
-    auto list = many(1, recovery::Recorder::members_most);
+    auto list = many(1, recovery::Recorder::max_members);
     for (auto& m : list.members) m.name.resize(100, 'n');
     auto keeper = s.keeper(100ms);
     (void)keeper->begin({}, {});
--- a/tests/recovery/record_test.cpp
+++ b/tests/recovery/record_test.cpp
@@ -51,7 +51,7 @@
         m.cold_since = i % 4 == 0 ? Time{} : now0 - seconds(i);
         memories[members.back().entry.id] = m;
     }
-    const Stored back = stored(~0ULL, members, memories, now0);
+    const StoredSnapshot back = stored(~0ULL, members, memories, now0);
     EXPECT_TRUE(back.faults.empty()) << back.faults.front();
     ASSERT_TRUE(back.list);
     EXPECT_EQ(back.list->head.version, ~0ULL);
@@ -87,7 +87,7 @@
             if (damaged == value) return;
             Shelf shelf = whole;
             shelf.values[key] = std::move(damaged);
-            const Stored back = shelf.read();
+            const StoredSnapshot back = shelf.read();
             ASSERT_FALSE(back.faults.empty()) << key << ": " << what;
             ASSERT_EQ(back.list.has_value(), memory_part) << key << ": " << what;
             if (memory_part) {
@@ -112,7 +112,7 @@
 TEST(Record, AValueUnderAnotherKeyIsSeen) {
     Shelf shelf = some_shelf();
     std::swap(shelf.values["api/list/03"], shelf.values["api/list/04"]);  // both empty
-    const Stored back = shelf.read();
+    const StoredSnapshot back = shelf.read();
     EXPECT_EQ(back.faults.size(), 3U);
     EXPECT_FALSE(back.list);
 }
@@ -122,7 +122,7 @@
         Shelf shelf = some_shelf();
         std::string& head = shelf.values["api/head"];
         head = version + head.substr(1);
-        const Stored back = shelf.read();
+        const StoredSnapshot back = shelf.read();
         EXPECT_FALSE(back.list);
         ASSERT_FALSE(back.faults.empty());
         EXPECT_NE(back.faults[0].find(std::string("of version ") + version), std::string::npos)
--- a/tests/recovery/recorder_test.cpp
+++ b/tests/recovery/recorder_test.cpp
@@ -150,7 +150,7 @@
     shelf.tell(recorder, now0, list(1, {member(1)}, ListKind::full));
     ASSERT_TRUE(shelf.read().list);
     std::vector<core::Member> many;
-    for (UpstreamId id = 0; id <= Recorder::members_most; ++id) many.push_back(member(id));
+    for (UpstreamId id = 0; id <= Recorder::max_members; ++id) many.push_back(member(id));
     shelf.tell(recorder, now0, list(2, many, ListKind::full));
     EXPECT_TRUE(recorder.too_large());
     EXPECT_FALSE(shelf.read().list);
@@ -170,8 +170,8 @@
 // The largest that is kept goes into one batch of the store: 4 MiB, and 1 MiB a value.
 TEST(Recorder, TheLargestListFitsABatch) {
     std::vector<core::Member> many;
-    const std::size_t each = Recorder::bytes_most / Recorder::members_most;
-    for (UpstreamId id = 0; id < Recorder::members_most; ++id) {
+    const std::size_t each = Recorder::max_bytes / Recorder::max_members;
+    for (UpstreamId id = 0; id < Recorder::max_members; ++id) {
         auto m = member(id * 0x9e3779b97f4a7c15ULL, UpstreamState::draining, now0);
         m.name = std::string(each - m.address.size(), 'n');
         m.entry.weight = 1.0 / 3;
--- a/tests/recovery/samples.h
+++ b/tests/recovery/samples.h
@@ -72,12 +72,12 @@
     void learn(Recorder& recorder, Time at, const Recorder::Learned& learned) {
         for (std::size_t i = 0; i < Recorder::slices; ++i) put(recorder.take_memory_changes(at, learned));
     }
-    Stored read(std::string_view pool = "api") const { return decode(pool, {values.begin(), values.end()}); }
+    StoredSnapshot read(std::string_view pool = "api") const { return decode(pool, {values.begin(), values.end()}); }
     std::map<std::string, std::string> values;
 };
 
 // As a recorder that was told of them at `at` leaves them.
-inline Stored stored(std::uint64_t version, std::vector<core::Member> members,
+inline StoredSnapshot stored(std::uint64_t version, std::vector<core::Member> members,
                      std::map<UpstreamId, UpstreamMemory> memories, Time at, const History& history = here) {
     Shelf shelf;
     Recorder recorder(history, {}, at);
@@ -99,7 +99,7 @@
     return s;
 }
 
-inline Belief believe_at(Time now, core::MemberList known, Stored from, const Settings& with = settings()) {
+inline Belief believe_at(Time now, core::MemberList known, StoredSnapshot from, const Settings& with = settings()) {
     return believe(std::move(known), std::move(from), here, with, now, minutes(10));
 }
 
