--- a/src/core/call.h
+++ b/src/core/call.h
@@ -57,7 +57,7 @@
     // policy gets the rest as the deadline; the deadline watchdog answers when half of this part is left.
     Micros unseen{};
     // How long an answer may continue after its first bytes have been passed to the client; zero: no limit.
-    Micros started_limit{};
+    Micros max_answer_duration{};
     std::optional<Micros> cost_hint;
     bool client_retry = false;
     bool write = false;
--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -661,8 +661,8 @@
         if (!std::exchange(attempt->sending, true)) attempt->sending_since = now_;
         cancel_timer(open.watchdog);
         cancel_timer(attempt->expiry);
-        if (open.call.started_limit > Micros{0}) {
-            const Time limit = now_ + std::min(open.call.started_limit, max_timeout);
+        if (open.call.max_answer_duration > Micros{0}) {
+            const Time limit = now_ + std::min(open.call.max_answer_duration, max_timeout);
             attempt->expiry = timers_.set(limit, expiry_timer(event.key));
         }
         call_port([&] { open.front->on_started(open.token, std::move(event.head)); });
@@ -967,7 +967,7 @@
         OpenCall& open = found->second;
         if (!open.call.name.empty()) {
             if (open.effect == Effect::unsafe && open.in_doubt) {
-                in_doubt_calls_.push_back({now_ + options_.doubt_kept, std::move(open.call.name)});
+                in_doubt_calls_.push_back({now_ + options_.in_doubt_retention, std::move(open.call.name)});
                 expire_in_doubt(now_);
             } else {
                 call_ids_in_use_.erase(open.call.name);
@@ -978,7 +978,7 @@
 
     void expire_in_doubt(Time at) {
         while (!in_doubt_calls_.empty() &&
-               (in_doubt_calls_.front().until <= at || in_doubt_calls_.size() > options_.doubts)) {
+               (in_doubt_calls_.front().until <= at || in_doubt_calls_.size() > options_.max_in_doubt)) {
             call_ids_in_use_.erase(in_doubt_calls_.front().name);
             in_doubt_calls_.pop_front();
         }
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -31,9 +31,9 @@
     // Whether calls of a tenant that is not in the settings are rejected. Otherwise all such tenants share one quota.
     bool refuse_unknown_tenants = false;
     // How long the id of an unsafe call stays in use after the call ended in doubt: its end at the upstream is unknown.
-    Micros doubt_kept = std::chrono::seconds(10);
-    std::size_t doubts = 4096;       // maximum of such ids; beyond it the oldest is dropped
-    Admission* admission = nullptr;  // borrowed; null: only the policy decides
+    Micros in_doubt_retention = std::chrono::seconds(10);
+    std::size_t max_in_doubt = 4096;  // maximum of such ids; beyond it the oldest is dropped
+    Admission* admission = nullptr;   // borrowed; null: only the policy decides
 };
 
 struct PoolOptions {
--- a/src/core/event.h
+++ b/src/core/event.h
@@ -33,13 +33,13 @@
 };
 
 struct Event {
-    static constexpr std::size_t fields_most = 4;
+    static constexpr std::size_t max_fields = 4;
 
     std::string_view name{};
     Level level = Level::info;
     // "{field}" is replaced by the field's value, "{field:server}" by "1 server" or "2 servers".
     std::string_view text{};
-    std::array<std::string_view, fields_most> names{};
+    std::array<std::string_view, max_fields> names{};
     std::size_t count = 0;
 
     std::span<const std::string_view> fields() const { return {names.data(), count}; }
@@ -54,14 +54,14 @@
 template <class... Fields>
 consteval EventOf<sizeof...(Fields)> event(std::string_view name, Level level, std::string_view text,
                                            Fields... fields) {
-    static_assert(sizeof...(Fields) <= Event::fields_most);
+    static_assert(sizeof...(Fields) <= Event::max_fields);
     EventOf<sizeof...(Fields)> result;
     result.name = name;
     result.level = level;
     result.text = text;
     result.names = {std::string_view(fields)...};
     result.count = sizeof...(Fields);
-    std::array<bool, Event::fields_most> seen{};
+    std::array<bool, Event::max_fields> seen{};
     for (auto open = text.find('{'); open != text.npos; open = text.find('{', open + 1)) {
         const auto close = text.find('}', open);
         if (close == text.npos) throw "unclosed brace in the text of an event";
--- a/tests/core/hard_cases_test.cpp
+++ b/tests/core/hard_cases_test.cpp
@@ -821,7 +821,7 @@
     static Options options() {
         Options result;
         result.open_calls = 3;
-        result.doubts = 2;
+        result.max_in_doubt = 2;
         return result;
     }
     Limits() : HardCase(options()) {}
@@ -905,7 +905,7 @@
 
 TEST_F(HardCase, AnAnswerThatHasBegunMayHaveATimeLimit) {
     Call new_call = call(pool, streaming);
-    new_call.started_limit = ms(3000);
+    new_call.max_answer_duration = ms(3000);
     ASSERT_EQ(take(new_call, 1), Taken::yes);
     const auto key = last_sent();
     pass(ms(100));
--- a/tests/core/world.h
+++ b/tests/core/world.h
@@ -47,8 +47,8 @@
     explicit World(std::uint32_t seed) : seed_(seed), traits_(seed), random_(seed * 2654435761U + 1) {
         Options options;
         options.own_limit = ms(700);
-        options.doubt_kept = ms(300);
-        options.doubts = 4;
+        options.in_doubt_retention = ms(300);
+        options.max_in_doubt = 4;
         if (traits_.open_limit) options.open_calls = 12;
         options.refuse_unknown_tenants = traits_.rejects_unknown_tenants;
         options_ = options;
@@ -106,7 +106,7 @@
         bool executed = false;
         bool not_executed = false;  // and never will be: its end was reported as such
         std::optional<Outcome> reported;
-        Time started_limit{};
+        Time answer_deadline{};
     };
     struct CallModel {
         std::uint64_t token = 0;
@@ -116,7 +116,7 @@
         std::string name;
         std::optional<UpstreamId> pinned;
         Time limit{}, deadline{};
-        Micros started_limit{};
+        Micros max_answer_duration{};
         bool ended = false, abandoned = false;
         bool in_doubt = false;  // an attempt ended here, and its end at the server is unknown
         bool reported_not_executed = false;
@@ -417,8 +417,8 @@
         if (!attempt) return;
         const CallModel& call = call_of(*attempt);
         if (call.started == key.number) {
-            EXPECT_GE(now_, attempt->started_limit);
-            EXPECT_GT(call.started_limit, Micros{0}) << "an answer without a time limit was ended";
+            EXPECT_GE(now_, attempt->answer_deadline);
+            EXPECT_GT(call.max_answer_duration, Micros{0}) << "an answer without a time limit was ended";
         } else {
             EXPECT_GE(now_, attempt->expires) << "expired before its time";
         }
@@ -513,7 +513,7 @@
                 if (attempt.planned_outcome == Outcome::ok &&
                     (call.class_settings.streams ? !one_in(3) : one_in(8))) {
                     attempt.phase = Phase::started;
-                    attempt.started_limit = now_ + call.started_limit;
+                    attempt.answer_deadline = now_ + call.max_answer_duration;
                     record_event("begin", attempt.key.call, static_cast<std::uint64_t>(attempt.key.number));
                     const AttemptKey key = attempt.key;
                     enter_core([&] { core_->on_attempt_started(key, ms(3), std::make_unique<Ticket>(at)); });
@@ -829,7 +829,7 @@
         if (!one_in(5)) call.budget = ms(1 + below(600));
         if (one_in(2)) call.received = now_ - ms(below(100));
         if (!one_in(3)) call.unseen = ms(below(40));
-        if (one_in(2)) call.started_limit = ms(1 + below(400));
+        if (one_in(2)) call.max_answer_duration = ms(1 + below(400));
         if (one_in(8)) call.cost_hint = ms(below(20));
         if (one_in(12) && !pool->listed.empty()) {
             auto pinned = pool->listed.begin();
@@ -844,7 +844,7 @@
         model.pool = pool;
         model.name = call.name;
         model.pinned = call.pinned;
-        model.started_limit = call.started_limit;
+        model.max_answer_duration = call.max_answer_duration;
         const Micros budget = call.budget > Micros{0} ? call.budget : options_.own_limit;
         const Time received = call.received > Time{} ? call.received : now_;
         // Without a network allowance the watchdog fires one microsecond after the deadline.
@@ -947,8 +947,8 @@
         std::erase_if(active_calls_, [&](const CallModel* call) {
             if (!call->ended || any_active(*call)) return false;
             if (!call->name.empty() && call->in_doubt && call->class_settings.effect == Effect::unsafe) {
-                doubts_.emplace_back(now_ + options_.doubt_kept, call->name);
-                if (doubts_.size() > options_.doubts) doubts_.erase(doubts_.begin());
+                doubts_.emplace_back(now_ + options_.in_doubt_retention, call->name);
+                if (doubts_.size() > options_.max_in_doubt) doubts_.erase(doubts_.begin());
             }
             return true;
         });
@@ -1054,7 +1054,7 @@
         const auto waiting = static_cast<std::uint64_t>(std::count_if(
             active_calls_.begin(), active_calls_.end(), [](const auto* other) { return !other->ended; }));
         EXPECT_EQ(figures.taken, figures.served + figures.refused + figures.failed + figures.left + waiting);
-        EXPECT_LE(figures.doubts, options_.doubts);
+        EXPECT_LE(figures.doubts, options_.max_in_doubt);
         EXPECT_EQ(figures.open, active_calls_.size());
         if (!traits_.throws) {
             EXPECT_EQ(figures.faults, 0u);
--- a/tests/recovery/record_test.cpp
+++ b/tests/recovery/record_test.cpp
@@ -1,4 +1,4 @@
-// Values: round trips, damage, other versions.
+// Tests of the stored values: round trips, damage, and other versions.
 #include "recovery/record.h"
 
 #include <random>
@@ -9,14 +9,14 @@
 namespace {
 
 core::Member odd_member(UpstreamId id) {
-    core::Member m = member(id, id % 3 == 0 ? UpstreamState::draining : UpstreamState::ready,
-                            Time(static_cast<std::int64_t>(id * 1'000'003)));
-    m.name = "näme \"" + std::to_string(id) + "\n";
-    m.entry.zone = static_cast<int>(id % 5);
-    m.entry.kind = static_cast<int>(id % 7);
-    m.entry.cell = -1 - static_cast<int>(id % 11);
-    m.entry.weight = 1.0 / static_cast<double>(id + 3);
-    return m;
+    core::Member result = member(id, id % 3 == 0 ? UpstreamState::draining : UpstreamState::ready,
+                                 Time(static_cast<std::int64_t>(id * 1'000'003)));
+    result.name = "näme \"" + std::to_string(id) + "\n";
+    result.entry.zone = static_cast<int>(id % 5);
+    result.entry.kind = static_cast<int>(id % 7);
+    result.entry.cell = -1 - static_cast<int>(id % 11);
+    result.entry.weight = 1.0 / static_cast<double>(id + 3);
+    return result;
 }
 
 void expect_same(const core::Member& a, const core::Member& b) {
@@ -31,123 +31,125 @@
     EXPECT_EQ(a.entry.started_at, b.entry.started_at);
 }
 
-TEST(Record, ComesBackAsItWent) {
+TEST(Record, RoundTripPreservesAllValues) {
     std::mt19937_64 random(11);
     std::vector<core::Member> members;
     std::map<UpstreamId, UpstreamMemory> memories;
     for (int i = 0; i < 300; ++i) {
         members.push_back(odd_member(random()));
-        UpstreamMemory m;
-        m.latency_us = static_cast<double>(random() % 100000) / 7;
-        m.idle_us = m.latency_us / 3;
-        m.ours = 1.0 / 3 + i;
-        m.limit = 1 + static_cast<double>(random() % 1000) / 9;
-        m.limited = i % 2;
-        m.strikes = i % 7;
-        m.out = i % 3 == 0;
-        m.died = i % 6 == 0;
-        m.out_until = now0 + ms(i);
-        m.answered_at = now0 - ms(i);
-        m.cold_since = i % 4 == 0 ? Time{} : now0 - seconds(i);
-        memories[members.back().entry.id] = m;
+        UpstreamMemory learned;
+        learned.latency_us = static_cast<double>(random() % 100000) / 7;
+        learned.idle_us = learned.latency_us / 3;
+        learned.ours = 1.0 / 3 + i;
+        learned.limit = 1 + static_cast<double>(random() % 1000) / 9;
+        learned.limited = i % 2;
+        learned.strikes = i % 7;
+        learned.out = i % 3 == 0;
+        learned.died = i % 6 == 0;
+        learned.out_until = now0 + ms(i);
+        learned.answered_at = now0 - ms(i);
+        learned.cold_since = i % 4 == 0 ? Time{} : now0 - seconds(i);
+        memories[members.back().entry.id] = learned;
     }
-    const StoredSnapshot back = stored(~0ULL, members, memories, now0);
-    EXPECT_TRUE(back.faults.empty()) << back.faults.front();
-    ASSERT_TRUE(back.list);
-    EXPECT_EQ(back.list->head.version, ~0ULL);
-    EXPECT_EQ(back.list->head.told_at, now0);
-    EXPECT_EQ(back.list->head.history, here);
-    ASSERT_EQ(back.list->members.size(), members.size());
+    const StoredSnapshot decoded = stored_snapshot(~0ULL, members, memories, now0);
+    EXPECT_TRUE(decoded.faults.empty()) << decoded.faults.front();
+    ASSERT_TRUE(decoded.list);
+    EXPECT_EQ(decoded.list->head.version, ~0ULL);
+    EXPECT_EQ(decoded.list->head.told_at, now0);
+    EXPECT_EQ(decoded.list->head.history, default_origin);
+    ASSERT_EQ(decoded.list->members.size(), members.size());
     std::map<UpstreamId, core::Member> by_id;
-    for (const auto& m : back.list->members) by_id[m.entry.id] = m;
-    for (const auto& m : members) expect_same(by_id.at(m.entry.id), m);
-    ASSERT_EQ(back.remembered.size(), memories.size());
-    for (const auto& [id, m] : memories) EXPECT_EQ(back.remembered.at(id).memory, m);
+    for (const auto& member : decoded.list->members) by_id[member.entry.id] = member;
+    for (const auto& member : members) expect_same(by_id.at(member.entry.id), member);
+    ASSERT_EQ(decoded.remembered.size(), memories.size());
+    for (const auto& [id, learned] : memories) EXPECT_EQ(decoded.remembered.at(id).memory, learned);
 }
 
-Shelf some_shelf() {
-    Shelf shelf;
-    Recorder recorder(here, {}, now0);
-    shelf.tell(recorder, now0, list(9, {odd_member(1), odd_member(2), odd_member(65)}, ListKind::full));
-    shelf.learn(recorder, now0, always(memory()));
-    return shelf;
+MapStore sample_store() {
+    MapStore map_store;
+    Recorder recorder(default_origin, {}, now0);
+    map_store.receive_list(recorder, now0,
+                           list(9, {odd_member(1), odd_member(2), odd_member(65)}, ListKind::full));
+    map_store.write_memory(recorder, now0, always_learned(memory()));
+    return map_store;
 }
 
-// Every byte of every value, changed in three ways; every length that is too short: the value is not heeded,
-// and says so. A damaged memory takes nothing else with it; a damaged list is none.
-TEST(Record, EveryDamagedByteIsSeen) {
-    const Shelf whole = some_shelf();
-    ASSERT_EQ(whole.read().remembered.size(), 3U);
-    std::size_t tried = 0;
-    for (const auto& item : whole.values) {
+// Changes each byte of each value in three ways, and cuts each value at every length. The value must be ignored, and reported
+// as a fault. A damaged part of the learned state must not affect any other value. A damaged list must be ignored.
+TEST(Record, EveryDamagedByteIsDetected) {
+    const MapStore undamaged = sample_store();
+    ASSERT_EQ(undamaged.read().remembered.size(), 3U);
+    std::size_t tested = 0;
+    for (const auto& item : undamaged.values) {
         const std::string &key = item.first, &value = item.second;
-        if (value.find('{') == std::string::npos && key != "api/list/00") continue;  // empty parts are alike
+        if (value.find('{') == std::string::npos && key != "api/list/00")
+            continue;  // one empty part stands for all
         const bool memory_part = key.find("/memory/") != std::string::npos;
-        const auto judge = [&](std::string damaged, const std::string& what) {
+        const auto expect_fault = [&](std::string damaged, const std::string& description) {
             if (damaged == value) return;
-            Shelf shelf = whole;
-            shelf.values[key] = std::move(damaged);
-            const StoredSnapshot back = shelf.read();
-            ASSERT_FALSE(back.faults.empty()) << key << ": " << what;
-            ASSERT_EQ(back.list.has_value(), memory_part) << key << ": " << what;
+            MapStore map_store = undamaged;
+            map_store.values[key] = std::move(damaged);
+            const StoredSnapshot decoded = map_store.read();
+            ASSERT_FALSE(decoded.faults.empty()) << key << ": " << description;
+            ASSERT_EQ(decoded.list.has_value(), memory_part) << key << ": " << description;
             if (memory_part) {
-                ASSERT_LT(back.remembered.size(), 3U) << key << ": " << what;
+                ASSERT_LT(decoded.remembered.size(), 3U) << key << ": " << description;
             }
-            ++tried;
+            ++tested;
         };
-        for (std::size_t at = 0; at < value.size(); ++at) {
+        for (std::size_t offset = 0; offset < value.size(); ++offset) {
             for (const unsigned char change : {0x01, 0x80, 0xff}) {
                 std::string damaged = value;
-                damaged[at] = static_cast<char>(damaged[at] ^ change);
-                judge(std::move(damaged), "byte " + std::to_string(at));
+                damaged[offset] = static_cast<char>(damaged[offset] ^ change);
+                expect_fault(std::move(damaged), "byte " + std::to_string(offset));
             }
-            judge(value.substr(0, at), "cut at " + std::to_string(at));
+            expect_fault(value.substr(0, offset), "cut at " + std::to_string(offset));
         }
-        judge(value + " ", "longer");
-        judge(std::string(value.size(), '\0'), "zeros");
+        expect_fault(value + " ", "longer");
+        expect_fault(std::string(value.size(), '\0'), "zeros");
     }
-    EXPECT_GT(tried, 2000U);
+    EXPECT_GT(tested, 2000U);
 }
 
-TEST(Record, AValueUnderAnotherKeyIsSeen) {
-    Shelf shelf = some_shelf();
-    std::swap(shelf.values["api/list/03"], shelf.values["api/list/04"]);  // both empty
-    const StoredSnapshot back = shelf.read();
-    EXPECT_EQ(back.faults.size(), 3U);
-    EXPECT_FALSE(back.list);
+TEST(Record, AValueUnderAnotherKeyIsDetected) {
+    MapStore map_store = sample_store();
+    std::swap(map_store.values["api/list/03"], map_store.values["api/list/04"]);  // both empty
+    const StoredSnapshot decoded = map_store.read();
+    EXPECT_EQ(decoded.faults.size(), 3U);
+    EXPECT_FALSE(decoded.list);
 }
 
-TEST(Record, UnknownVersionsAreRefused) {
+TEST(Record, UnknownVersionsAreRejected) {
     for (const char* version : {"2", "10", "x", "0"}) {
-        Shelf shelf = some_shelf();
-        std::string& head = shelf.values["api/head"];
+        MapStore map_store = sample_store();
+        std::string& head = map_store.values["api/head"];
         head = version + head.substr(1);
-        const StoredSnapshot back = shelf.read();
-        EXPECT_FALSE(back.list);
-        ASSERT_FALSE(back.faults.empty());
-        EXPECT_NE(back.faults[0].find(std::string("of version ") + version), std::string::npos)
-            << back.faults[0];
+        const StoredSnapshot decoded = map_store.read();
+        EXPECT_FALSE(decoded.list);
+        ASSERT_FALSE(decoded.faults.empty());
+        EXPECT_NE(decoded.faults[0].find(std::string("of version ") + version), std::string::npos)
+            << decoded.faults[0];
     }
 }
 
-// A list with a hole is no list: a server that is missing would look as if it had left.
-TEST(Record, AListWithAPartMissingIsNone) {
+// An incomplete list must be ignored: a missing server would look as if it had been removed.
+TEST(Record, AListWithoutOneOfItsPartsIsIgnored) {
     for (const char* key : {"api/head", "api/list/01", "api/list/07"}) {
-        Shelf shelf = some_shelf();
-        shelf.values.erase(key);
-        EXPECT_FALSE(shelf.read().list) << key;
+        MapStore map_store = sample_store();
+        map_store.values.erase(key);
+        EXPECT_FALSE(map_store.read().list) << key;
     }
-    // A part from before, under the same key: the count tells.
-    Shelf shelf = some_shelf();
-    Recorder recorder(here, {}, now0);
+    // A part of an earlier list under the same key is detected by the number of members.
+    MapStore map_store = sample_store();
+    Recorder recorder(default_origin, {}, now0);
     recorder.on_list(now0, list(8, {odd_member(2)}, ListKind::full));
-    Shelf before;
-    before.put(recorder.take_list_changes());
-    shelf.values["api/list/01"] = before.values["api/list/01"];
-    EXPECT_FALSE(shelf.read().list);
+    MapStore before;
+    before.apply(recorder.take_list_changes());
+    map_store.values["api/list/01"] = before.values["api/list/01"];
+    EXPECT_FALSE(map_store.read().list);
 }
 
-TEST(Record, PoolsDoNotMeet) {
+TEST(Record, KeyRangesOfPoolsDoNotOverlap) {
     const auto [from, to] = keys_of("api");
     EXPECT_TRUE(head_key("api") >= from && head_key("api") < to);
     EXPECT_TRUE(memory_key("api", 63) >= from && memory_key("api", 63) < to);
--- a/tests/recovery/samples.h
+++ b/tests/recovery/samples.h
@@ -1,4 +1,4 @@
-// What the tests of recovery are made of: lists, memories, and a store that is a map.
+// Helpers of the recovery tests: lists, learned state, and a store in a map.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -20,41 +20,41 @@
 using std::chrono::seconds;
 
 inline constexpr Time now0 = std::chrono::hours(500'000);  // some Unix time
-inline const History here{"127.0.0.1:8500", "api", "n0"};
+inline const History default_origin{"127.0.0.1:8500", "api", "n0"};
 
 inline core::Member member(UpstreamId id, UpstreamState state = UpstreamState::ready,
                            Time started_at = Time{}, std::string address = {}) {
-    core::Member m;
-    m.entry.id = id;
-    m.entry.state = state;
-    m.entry.started_at = started_at;
-    m.name = "s-";
-    m.name += std::to_string(id);
-    m.address = address.empty() ? "10.0.0." + std::to_string(id) + ":5000" : std::move(address);
-    return m;
+    core::Member result;
+    result.entry.id = id;
+    result.entry.state = state;
+    result.entry.started_at = started_at;
+    result.name = "s-";
+    result.name += std::to_string(id);
+    result.address = address.empty() ? "10.0.0." + std::to_string(id) + ":5000" : std::move(address);
+    return result;
 }
 
 inline core::MemberList list(std::uint64_t version, std::vector<core::Member> members,
                              ListKind kind = ListKind::cached) {
-    core::MemberList l;
-    l.kind = kind;
-    l.version = version;
-    l.members = std::move(members);
-    return l;
+    core::MemberList result;
+    result.kind = kind;
+    result.version = version;
+    result.members = std::move(members);
+    return result;
 }
 
 inline UpstreamMemory memory(double latency_us = 8000, double limit = 18) {
-    UpstreamMemory m;
-    m.latency_us = latency_us;
-    m.idle_us = latency_us / 2;
-    m.ours = 3;
-    m.limit = limit;
-    return m;
+    UpstreamMemory result;
+    result.latency_us = latency_us;
+    result.idle_us = latency_us / 2;
+    result.ours = 3;
+    result.limit = limit;
+    return result;
 }
 
-// A store that is a map.
-struct Shelf {
-    void put(const std::vector<Change>& changes) {
+// A store in a map.
+struct MapStore {
+    void apply(const std::vector<Change>& changes) {
         for (const auto& change : changes) {
             if (change.value) {
                 values[change.key] = *change.value;
@@ -63,44 +63,49 @@
             }
         }
     }
-    // The recorder is told a list, and what it writes for it is stored.
-    void tell(Recorder& recorder, Time at, core::MemberList news) {
-        recorder.on_list(at, std::move(news));
-        put(recorder.take_list_changes());
+    // Passes a list to the recorder and stores the resulting changes.
+    void receive_list(Recorder& recorder, Time at, core::MemberList received) {
+        recorder.on_list(at, std::move(received));
+        apply(recorder.take_list_changes());
     }
-    // All of its slices.
-    void learn(Recorder& recorder, Time at, const Recorder::Learned& learned) {
-        for (std::size_t i = 0; i < Recorder::slices; ++i) put(recorder.take_memory_changes(at, learned));
+    // Stores the changes of learned state of all slices.
+    void write_memory(Recorder& recorder, Time at, const Recorder::Learned& learned) {
+        for (std::size_t i = 0; i < Recorder::slices; ++i) apply(recorder.take_memory_changes(at, learned));
+    }
+    StoredSnapshot read(std::string_view pool = "api") const {
+        return decode(pool, {values.begin(), values.end()});
     }
-    StoredSnapshot read(std::string_view pool = "api") const { return decode(pool, {values.begin(), values.end()}); }
     std::map<std::string, std::string> values;
 };
 
-// As a recorder that was told of them at `at` leaves them.
-inline StoredSnapshot stored(std::uint64_t version, std::vector<core::Member> members,
-                     std::map<UpstreamId, UpstreamMemory> memories, Time at, const History& history = here) {
-    Shelf shelf;
+// Returns the snapshot that a recorder writes for a list and learned state that it received at the time `at`.
+inline StoredSnapshot stored_snapshot(std::uint64_t version, std::vector<core::Member> members,
+                                      std::map<UpstreamId, UpstreamMemory> memories, Time at,
+                                      const History& history = default_origin) {
+    MapStore map_store;
     Recorder recorder(history, {}, at);
-    shelf.tell(recorder, at, list(version, std::move(members), ListKind::full));
-    shelf.learn(recorder, at, [&](UpstreamId id) -> std::optional<UpstreamMemory> {
+    map_store.receive_list(recorder, at, list(version, std::move(members), ListKind::full));
+    map_store.write_memory(recorder, at, [&](UpstreamId id) -> std::optional<UpstreamMemory> {
         const auto found = memories.find(id);
         return found == memories.end() ? std::nullopt : std::optional(found->second);
     });
-    return shelf.read(history.pool);
+    return map_store.read(history.pool);
 }
 
-inline Recorder::Learned always(UpstreamMemory m) {
-    return [m](UpstreamId) { return std::optional(m); };
+inline Recorder::Learned always_learned(UpstreamMemory memory) {
+    return [memory](UpstreamId) { return std::optional(memory); };
 }
 
 inline Settings settings() {
-    Settings s = flaxdoor::test::plain_settings();
-    s.balancers = 12;
-    return s;
+    Settings result = flaxdoor::test::plain_settings();
+    result.balancers = 12;
+    return result;
 }
 
-inline Belief believe_at(Time now, core::MemberList known, StoredSnapshot from, const Settings& with = settings()) {
-    return believe(std::move(known), std::move(from), here, with, now, minutes(10));
+inline Belief restore_at(Time now, core::MemberList configured, StoredSnapshot snapshot,
+                         const Settings& used_settings = settings()) {
+    return believe(std::move(configured), std::move(snapshot), default_origin, used_settings, now,
+                   minutes(10));
 }
 
 }  // namespace flaxdoor::recovery::test
--- a/tests/recovery/store_cli_test.cpp
+++ b/tests/recovery/store_cli_test.cpp
@@ -1,4 +1,4 @@
-// `flaxdoor store ...`: what it prints where, how it ends, and that looking changes nothing.
+// Tests of `flaxdoor store ...`: its output, its exit status, and that commands which only read change nothing.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -27,24 +27,24 @@
 class StoreProgram : public testing::Test {
 protected:
     std::string path(const std::string& name = "store") const { return root_.path() + "/" + name; }
-    Ended run(const std::string& words) const {
-        return flaxdoor::test::run_program(PROGRAM, "store " + words, root_.path());
+    Ended run(const std::string& arguments) const {
+        return flaxdoor::test::run_program(PROGRAM, "store " + arguments, root_.path());
     }
     std::map<std::string, std::string> files() const {
-        std::map<std::string, std::string> all;
+        std::map<std::string, std::string> contents;
         for (const auto& entry : fs::directory_iterator(path())) {
-            all[entry.path().filename().string()] = content_of(entry.path());
+            contents[entry.path().filename().string()] = content_of(entry.path());
         }
-        return all;
+        return contents;
     }
     std::unique_ptr<Store> open() const {
         Options options;
-        options.engine.memory_table = 64 * 1024;  // so that there are runs
+        options.engine.memory_table = 64 * 1024;  // small, so that runs are written
         auto opened = Store::open(path(), options);
         EXPECT_TRUE(opened.result) << opened.result.why;
         return std::move(opened.store);
     }
-    // `count` keys in the balancer's space.
+    // Writes `count` keys to the balancer's space.
     static void fill(Store& store, int count) {
         SpaceId space = 0;
         std::string why;
@@ -54,8 +54,8 @@
             for (int i = 0; i < count; ++i) {
                 Batch batch;
                 batch.put(space, "api/k" + std::to_string(i), std::string(500, 'v'));
-                const Batch* const one = &batch;
-                const auto written = engine.write({&one, 1}, i % 50 == 0 || i + 1 == count);
+                const Batch* const batch_pointer = &batch;
+                const auto written = engine.write({&batch_pointer, 1}, i % 50 == 0 || i + 1 == count);
                 if (!written[0].result) why = written[0].result.why;
                 while (engine.crowded() || (i % 50 == 0 && engine.has_work())) {
                     if (!engine.step()) break;
@@ -69,7 +69,7 @@
     const test::FolderHere root_;
 };
 
-TEST_F(StoreProgram, StatVerifyAndDumpLookAndChangeNothing) {
+TEST_F(StoreProgram, StatVerifyAndDumpChangeNothing) {
     fill(*open(), 1000);
     const auto before = files();
     Ended ended = run("stat " + path());
@@ -77,10 +77,10 @@
     EXPECT_NE(ended.out.find("in use       no\n"), std::string::npos) << ended.out;
     ended = run("stat --json " + path());
     EXPECT_EQ(ended.status, 0);
-    const json told = json::parse(ended.out);
-    EXPECT_EQ(told.at("identity").get<std::string>().size(), 32U);
-    EXPECT_GE(told.at("sequence").get<std::uint64_t>(), 1000U);
-    EXPECT_FALSE(told.at("in_use").get<bool>());
+    const json stat = json::parse(ended.out);
+    EXPECT_EQ(stat.at("identity").get<std::string>().size(), 32U);
+    EXPECT_GE(stat.at("sequence").get<std::uint64_t>(), 1000U);
+    EXPECT_FALSE(stat.at("in_use").get<bool>());
     ended = run("verify " + path());
     EXPECT_EQ(ended.status, 0) << ended.err;
     EXPECT_NE(ended.out.find(path() + ": ok\n"), std::string::npos);
@@ -98,16 +98,16 @@
     EXPECT_EQ(files(), before);
 }
 
-// While a balancer has it open they look on; what would write is turned down.
-TEST_F(StoreProgram, WhileItIsInUse) {
+// While a balancer has the store open, commands that read work, and commands that write are rejected.
+TEST_F(StoreProgram, ReadsButDoesNotWriteAStoreThatIsInUse) {
     const auto store = open();
     SpaceId space = 0;
-    std::promise<void> made;
+    std::promise<void> created;
     (void)store->ask([&](Engine& engine) {
         (void)engine.space("pools", SpaceKind::keys, true, space);
-        made.set_value();
+        created.set_value();
     });
-    made.get_future().wait();
+    created.get_future().wait();
     Ended ended = run("stat " + path());
     EXPECT_EQ(ended.status, 0) << ended.err;
     EXPECT_NE(ended.out.find("in use       yes\n"), std::string::npos) << ended.out;
@@ -115,7 +115,7 @@
     ended = run("compact " + path());
     EXPECT_EQ(ended.status, 3);
     EXPECT_NE(ended.err.find("another process has the store open"), std::string::npos) << ended.err;
-    // Written all along.
+    // The store is written to during the commands.
     std::atomic<bool> stop = false;
     std::thread writer([&] {
         for (int i = 0; !stop; ++i) {
@@ -142,7 +142,7 @@
     EXPECT_EQ(std::count(dumped.begin(), dumped.end(), '\n'), 600);
 }
 
-TEST_F(StoreProgram, DamageIsToldWithFileAndOffsetAndLeftAlone) {
+TEST_F(StoreProgram, DamageIsReportedWithFileAndOffsetAndNotChanged) {
     fill(*open(), 1000);
     for (const auto& [name, bytes] : files()) {
         if (bytes.size() < 100 || !(name.ends_with(".run") || name.ends_with(".log"))) continue;
@@ -159,8 +159,9 @@
     EXPECT_EQ(run("verify " + path()).status, 0);
 }
 
-// A sound one loses nothing; of a damaged one the rest is saved, the loss is told, and the old files stay.
-TEST_F(StoreProgram, SalvageWritesWhatCanBeReadIntoANewOne) {
+// Salvage of an undamaged store loses nothing. Salvage of a damaged one saves the rest, reports the loss, and does not change
+// the old files.
+TEST_F(StoreProgram, SalvageCopiesReadableDataIntoANewStore) {
     fill(*open(), 1000);
     Ended ended = run("salvage " + path() + " " + path("whole"));
     EXPECT_EQ(ended.status, 0) << ended.out << ended.err;
@@ -186,7 +187,7 @@
     EXPECT_EQ(run("salvage " + path() + " " + path("saved")).status, 3);  // not empty
 }
 
-TEST_F(StoreProgram, WhatIsNoStoreIsSaidAndNothingIsMade) {
+TEST_F(StoreProgram, AFolderWithoutAStoreIsReportedAndNothingIsCreated) {
     Ended ended = run("stat " + path("nowhere"));
     EXPECT_EQ(ended.status, 3);
     EXPECT_NE(ended.err.find("No such file or directory"), std::string::npos) << ended.err;
--- a/tests/recovery/store_thread_test.cpp
+++ b/tests/recovery/store_thread_test.cpp
@@ -1,4 +1,4 @@
-// The store on its thread: who is told what when it can't be opened, is full, or the disk holds it.
+// Tests of the store on its thread: which results are reported when it can't be opened, is full, or its disk blocks.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -19,21 +19,21 @@
 
 using namespace std::chrono_literals;
 
-// Where callbacks are posted to; run by the test.
+// A queue of posted callbacks, which the test runs.
 struct Loop {
     std::function<void(std::function<void()>)> post() {
         return [this](std::function<void()> call) {
             const std::lock_guard lock(mutex);
             calls.push_back(std::move(call));
-            came.notify_all();
+            call_posted.notify_all();
         };
     }
-    bool run_until(const std::function<bool()>& holds) {
-        while (!holds()) {
+    bool run_until(const std::function<bool()>& condition) {
+        while (!condition()) {
             std::function<void()> call;
             {
                 std::unique_lock lock(mutex);
-                if (!came.wait_for(lock, 20s, [&] { return !calls.empty(); })) return false;
+                if (!call_posted.wait_for(lock, 20s, [&] { return !calls.empty(); })) return false;
                 call = std::move(calls.front());
                 calls.pop_front();
             }
@@ -42,42 +42,45 @@
         return true;
     }
     std::mutex mutex;
-    std::condition_variable came;
+    std::condition_variable call_posted;
     std::deque<std::function<void()>> calls;
 };
 
 Batch batch(SpaceId space, const std::string& key, std::size_t bytes = 10) {
-    Batch b;
-    b.put(space, key, std::string(bytes, 'v'));
-    return b;
+    Batch result;
+    result.put(space, key, std::string(bytes, 'v'));
+    return result;
 }
 
-TEST(StoreThread, AllRequestsAreToldWhyItCouldNotBeOpened) {
+TEST(StoreThread, AllRequestsGetTheReasonWhyTheStoreCouldNotBeOpened) {
     Loop loop;
     Options options;
     options.post = loop.post();
-    std::vector<std::string> told;
+    std::vector<std::string> reports;
     bool asked = false;
-    auto store = Store::start("/nowhere/at/all", options,
-                              [&](const Result& r, const Opening&) { told.push_back("open " + r.why); });
+    auto store = Store::start("/nowhere/at/all", options, [&](const Result& result, const Opening&) {
+        reports.push_back("open " + result.why);
+    });
     (void)store->ask([&](Engine&) { asked = true; },
-                     [&](const Result& r) { told.push_back("ask " + r.why); });
-    (void)store->write(batch(1, "k"), Level::durable,
-                       [&](const Engine::Written& w) { told.push_back("write " + w.result.why); });
-    ASSERT_TRUE(loop.run_until([&] { return told.size() == 3; }));
+                     [&](const Result& result) { reports.push_back("ask " + result.why); });
+    (void)store->write(batch(1, "k"), Level::durable, [&](const Engine::Written& written) {
+        reports.push_back("write " + written.result.why);
+    });
+    ASSERT_TRUE(loop.run_until([&] { return reports.size() == 3; }));
     const std::string why = "/nowhere/at/all: No such file or directory";
-    EXPECT_EQ(told, (std::vector<std::string>{"open " + why, "ask " + why, "write " + why}));
+    EXPECT_EQ(reports, (std::vector<std::string>{"open " + why, "ask " + why, "write " + why}));
     EXPECT_FALSE(asked);
-    // Also later ones.
-    (void)store->write(batch(1, "k"), Level::durable,
-                       [&](const Engine::Written& w) { told.push_back("write " + w.result.why); });
-    ASSERT_TRUE(loop.run_until([&] { return told.size() == 4; }));
+    // Later requests get it as well.
+    (void)store->write(batch(1, "k"), Level::durable, [&](const Engine::Written& written) {
+        reports.push_back("write " + written.result.why);
+    });
+    ASSERT_TRUE(loop.run_until([&] { return reports.size() == 4; }));
     EXPECT_TRUE(store->close(20s));
 }
 
-// A disk that stands still at the opening: the queue has its bound, the end its limit, and nobody is told
-// anything after that.
-TEST(StoreThread, ADiskThatStandsStillHoldsNobody) {
+// The disk blocks while the store is opened. The queue is bounded, close() has a time limit, and no callback is called after
+// it.
+TEST(StoreThread, ABlockedDiskBlocksNoCaller) {
     const FolderHere folder;
     Loop loop;
     struct Gate {
@@ -90,16 +93,17 @@
     options.post = loop.post();
     options.queue_requests = 3;
     options.queue_bytes = 100'000;
-    int told = 0;
+    int callbacks = 0;
     auto store = Store::start(
-        folder.path(), options, [&](const Result&, const Opening&) { ++told; },
+        folder.path(), options, [&](const Result&, const Opening&) { ++callbacks; },
         [gate](const std::string& path, bool make, std::unique_ptr<Files>& files) {
             std::unique_lock lock(gate->mutex);
             gate->changed.wait_for(lock, 30s, [&] { return gate->open; });
             const int error = open_folder(path, make, files);
             return error;
         });
-    EXPECT_TRUE(store->write(batch(1, "a", 90'000), Level::soon, [&](const Engine::Written&) { ++told; }));
+    EXPECT_TRUE(
+        store->write(batch(1, "a", 90'000), Level::soon, [&](const Engine::Written&) { ++callbacks; }));
     EXPECT_EQ(store->write(batch(1, "b", 90'000), Level::soon).status, Status::retry);
     EXPECT_TRUE(store->write(batch(1, "c"), Level::soon));
     EXPECT_TRUE(store->write(batch(1, "d"), Level::soon));
@@ -108,29 +112,29 @@
     EXPECT_EQ(store->figures().queued, 3U);
     EXPECT_FALSE(store->close(1ms));
     EXPECT_EQ(store->write(batch(1, "f"), Level::soon).status, Status::refused);
-    store.reset();  // does not wait either
+    store.reset();  // does not wait, either
     {
         const std::lock_guard lock(gate->mutex);
         gate->open = true;
         gate->changed.notify_all();
     }
-    // The thread goes on with what it has, and lets go of the folder; nobody is told.
+    // The thread handles the queued requests and releases the folder without calling any callback.
     std::unique_ptr<Files> files;
     ASSERT_EQ(open_folder(folder.path(), false, files), 0);
     int error = EWOULDBLOCK;
     const auto limit = std::chrono::steady_clock::now() + 20s;
-    const auto wait_for = [&](auto holds) {
-        while (!holds() && std::chrono::steady_clock::now() < limit) std::this_thread::yield();
+    const auto wait_for = [&](auto condition) {
+        while (!condition() && std::chrono::steady_clock::now() < limit) std::this_thread::yield();
     };
     wait_for([&] { return std::filesystem::exists(folder.path() + "/LOCK"); });
     wait_for([&] { return (error = files->lock()) != EWOULDBLOCK; });
     EXPECT_EQ(error, 0);
     const std::lock_guard lock(loop.mutex);
     EXPECT_TRUE(loop.calls.empty());
-    EXPECT_EQ(told, 0);
+    EXPECT_EQ(callbacks, 0);
 }
 
-TEST(StoreThread, QuestionsAndWritesKeepTheirOrder) {
+TEST(StoreThread, ReadsAndWritesKeepTheirOrder) {
     const FolderHere folder;
     Loop loop;
     Options options;
@@ -153,20 +157,19 @@
                 [&, i](const Result&) { order.push_back(i); });
         } else {
             (void)store->write(batch(*space, key), i % 2 ? Level::soon : Level::durable,
-                               [&, i](const Engine::Written& w) {
-                                   EXPECT_TRUE(w.result) << w.result.why;
+                               [&, i](const Engine::Written& written) {
+                                   EXPECT_TRUE(written.result) << written.result.why;
                                    order.push_back(i);
                                });
         }
     }
     ASSERT_TRUE(loop.run_until([&] { return order.size() == 200; }));
     EXPECT_TRUE(std::is_sorted(order.begin(), order.end()));
-    EXPECT_LT(store->figures().groups, 150U);  // writes were joined
+    EXPECT_LT(store->figures().groups, 150U);  // writes were grouped
 }
 
-// A durable write that comes to nothing syncs nothing: what was written for `soon` before must not wait for
-// the next one.
-TEST(StoreThread, WhatIsSoonIsSyncedAlthoughADurableWriteWasRefused) {
+// A durable write that is refused does not sync. An earlier write with the level `soon` must not wait for the next one.
+TEST(StoreThread, ASoonWriteIsSyncedAlthoughADurableWriteWasRefused) {
     const FolderHere folder;
     Loop loop;
     Options options;
@@ -174,25 +177,25 @@
     options.soon = 1ms;
     auto store = Store::start(folder.path(), options, {});
     SpaceId space = 0;
-    std::promise<void> gate, made;
+    std::promise<void> gate, created;
     (void)store->ask([&](Engine& engine) {
         EXPECT_TRUE(engine.space("pools", SpaceKind::keys, true, space));
-        made.set_value();
+        created.set_value();
         gate.get_future().wait();
     });
-    made.get_future().wait();
-    int told = 0;
-    (void)store->write(batch(space, "k"), Level::soon, [&](const Engine::Written& w) {
-        EXPECT_TRUE(w.result);
-        ++told;
+    created.get_future().wait();
+    int callbacks = 0;
+    (void)store->write(batch(space, "k"), Level::soon, [&](const Engine::Written& written) {
+        EXPECT_TRUE(written.result);
+        ++callbacks;
     });
-    (void)store->ask([](Engine&) {});  // the two writes don't join
-    (void)store->write(batch(99, "k"), Level::durable, [&](const Engine::Written& w) {
-        EXPECT_EQ(w.result.status, Status::refused);
-        ++told;
+    (void)store->ask([](Engine&) {});  // keeps the two writes in different groups
+    (void)store->write(batch(99, "k"), Level::durable, [&](const Engine::Written& written) {
+        EXPECT_EQ(written.result.status, Status::refused);
+        ++callbacks;
     });
     gate.set_value();
-    ASSERT_TRUE(loop.run_until([&] { return told == 2; }));
+    ASSERT_TRUE(loop.run_until([&] { return callbacks == 2; }));
     const auto limit = std::chrono::steady_clock::now() + 5s;
     const auto synced = [&] {
         const auto figures = store->figures().engine;
@@ -202,9 +205,9 @@
     EXPECT_TRUE(synced());
 }
 
-// From several threads, while one closes it: each request that was taken is told exactly once, and all that
-// was told ok is there. Also under the thread sanitizer (tests/tsan.sh).
-TEST(StoreThread, ManyThreadsAtOnceAndOneThatCloses) {
+// Several threads use the store while one closes it. Each accepted request must be reported exactly once, and each write that
+// was reported as successful must be found. Also run under the thread sanitizer (tests/tsan.sh).
+TEST(StoreThread, ManyThreadsMayUseAStoreWhileOneClosesIt) {
     constexpr int threads = 4, requests = 400;
     for (int round = 0; round < 10; ++round) {
         const FolderHere folder;
@@ -216,53 +219,54 @@
         options.soon = 1ms;
         std::atomic<SpaceId> space = 0;
         auto store = Store::start(folder.path(), options, {});
-        std::promise<void> made;
+        std::promise<void> created;
         (void)store->ask([&](Engine& engine) {
             SpaceId id = 0;
             EXPECT_TRUE(engine.space("pools", SpaceKind::keys, true, id));
             space = id;
-            made.set_value();
+            created.set_value();
         });
-        made.get_future().wait();
-        std::vector<std::atomic<int>> told(threads * requests);
-        std::vector<std::atomic<bool>> there(threads * requests);
-        std::vector<char> taken(threads * requests);
-        std::atomic<int> begun = 0;
-        std::vector<std::thread> all;
-        for (int t = 0; t < threads; ++t) {
-            all.emplace_back([&, t] {
-                for (int i = t * requests; i < (t + 1) * requests; ++i) {
-                    ++begun;
+        created.get_future().wait();
+        std::vector<std::atomic<int>> callback_counts(threads * requests);
+        std::vector<std::atomic<bool>> written_ok(threads * requests);
+        std::vector<char> accepted(threads * requests);
+        std::atomic<int> started_requests = 0;
+        std::vector<std::thread> workers;
+        for (int index = 0; index < threads; ++index) {
+            workers.emplace_back([&, index] {
+                for (int i = index * requests; i < (index + 1) * requests; ++i) {
+                    ++started_requests;
                     if (i % 5 == 0) {
-                        taken[i] = bool(store->ask([](Engine& engine) { (void)engine.figures(); },
-                                                   [&told, i](const Result&) { ++told[i]; }));
+                        accepted[i] =
+                            bool(store->ask([](Engine& engine) { (void)engine.figures(); },
+                                            [&callback_counts, i](const Result&) { ++callback_counts[i]; }));
                     } else {
-                        taken[i] = bool(store->write(batch(space, std::to_string(i)),
-                                                     i % 2 ? Level::soon : Level::durable,
-                                                     [&, i](const Engine::Written& w) {
-                                                         ++told[i];
-                                                         there[i] = bool(w.result);
-                                                     }));
+                        accepted[i] = bool(store->write(batch(space, std::to_string(i)),
+                                                        i % 2 ? Level::soon : Level::durable,
+                                                        [&, i](const Engine::Written& written) {
+                                                            ++callback_counts[i];
+                                                            written_ok[i] = bool(written.result);
+                                                        }));
                     }
                     (void)store->figures();
                 }
             });
         }
-        all.emplace_back([&] {
-            while (begun < 100 * (round + 1)) std::this_thread::yield();
+        workers.emplace_back([&] {
+            while (started_requests < 100 * (round + 1)) std::this_thread::yield();
             store->close();
         });
-        for (auto& thread : all) thread.join();
-        store.reset();  // lets go of the folder
+        for (auto& thread : workers) thread.join();
+        store.reset();  // releases the folder
         std::unique_ptr<Files> files;
         ASSERT_EQ(open_folder(folder.path(), false, files), 0);
         auto opened = Engine::open(*files, {}, [] { return 7; });
         ASSERT_TRUE(opened.result) << opened.result.why;
         for (int i = 0; i < threads * requests; ++i) {
-            EXPECT_EQ(told[i], taken[i] ? 1 : 0) << i;
+            EXPECT_EQ(callback_counts[i], accepted[i] ? 1 : 0) << i;
             std::optional<std::string> value;
             ASSERT_TRUE(opened.engine->get(space, std::to_string(i), value));
-            EXPECT_EQ(value.has_value(), there[i].load()) << i;
+            EXPECT_EQ(value.has_value(), written_ok[i].load()) << i;
         }
     }
 }
