--- a/src/core/addresses.h
+++ b/src/core/addresses.h
@@ -1,17 +1,18 @@
-// Per-address state that several pools share: whether the server at an address drains, and the slow-start token bucket
-// that limits its load while it warms up. Pools may give one server different ids; the address identifies it.
-// Does no I/O.
+// Per-address state that several pools share: whether the server at an address drains, and the slow-start
+// token bucket that limits its load while it warms up. Pools may give one server different ids; the address
+// identifies it. Does no I/O.
 //
-// Draining: when a pool's list marks an upstream as draining, every entry that is listed at that address at that time
-// drains in all pools, until the pool that reported it reports it ready again. If that pool is removed, the drain lasts
-// until any later list reports the upstream ready. An entry that is listed at the address afterwards, under a new id or
-// with a later start time, is a new process and does not drain. Another pool's entries keep draining when a pool stops
-// listing the server: the server may have left that pool alone. A drain notice outlives the entry that brought it, as
-// long as an entry is listed that was there when the notice came.
+// Draining: when a pool's list marks an upstream as draining, every entry that is listed at that address at
+// that time drains in all pools, until the pool that reported it reports it ready again. If that pool is
+// removed, the drain lasts until any later list reports the upstream ready. An entry that is listed at the
+// address afterwards, under a new id or with a later start time, is a new process and does not drain. Another
+// pool's entries keep draining when a pool stops listing the server: the server may have left that pool
+// alone. A drain notice outlives the entry that brought it, as long as an entry is listed that was there when
+// the notice came.
 //
-// Token buckets: there is one for each address, and every entry at the address refers to it (UpstreamEntry::cold). It is
-// retained for a while after the last entry was removed, so that a pool which is removed and added again does not start
-// with a full bucket.
+// Token buckets: there is one for each address, and every entry at the address refers to it
+// (UpstreamEntry::cold). It is retained for a while after the last entry was removed, so that a pool which is
+// removed and added again does not start with a full bucket.
 //
 // Threading: not thread-safe.
 #pragma once
@@ -47,12 +48,12 @@
         bool drains = false;
     };
 
-    // Applies a listed entry whose state is not `gone`. Returns whether the entry drains, and appends to `changes` the
-    // entries of other pools whose draining changes.
+    // Applies a listed entry whose state is not `gone`. Returns whether the entry drains, and appends to
+    // `changes` the entries of other pools whose draining changes.
     bool update(const std::string& address, PoolId pool, const UpstreamEntry& entry,
                 std::vector<Change>& changes);
-    // Removes an entry that left its pool or moved to another address. The address's token bucket is retained at least
-    // until `keep_until`.
+    // Removes an entry that left its pool or moved to another address. The address's token bucket is retained
+    // at least until `keep_until`.
     void remove(const std::string& address, PoolId pool, UpstreamId upstream, Time keep_until);
     // Marks the drain notices of a removed pool: any pool's later list may revoke them.
     void orphan_notices(PoolId pool);
--- a/src/core/admission.h
+++ b/src/core/admission.h
@@ -1,6 +1,6 @@
-// Interface to limits beyond the policy's own, such as fleet budgets. The core asks for a permit before it hands a call
-// to the policy, before each attempt, and ahead of each attempt's first byte, and reports how each attempt ended. A call
-// that is denied a permit has not been executed, and is answered at once.
+// Interface to limits beyond the policy's own, such as fleet budgets. The core asks for a permit before it
+// hands a call to the policy, before each attempt, and ahead of each attempt's first byte, and reports how
+// each attempt ended. A call that is denied a permit has not been executed, and is answered at once.
 //
 // Threading and re-entrancy: as for the core's ports (ports.h). No function here may call the core.
 // Ownership: a call owns its permits; the admission must outlive the core.
@@ -13,18 +13,19 @@
 
 namespace flaxdoor::core {
 
-// The permits of one call. Destroyed when the core forgets the call: how attempts ended that had begun by then, and
-// whose end was not reported, is unknown.
+// The permits of one call. Destroyed when the core forgets the call: how attempts ended that had begun by
+// then, and whose end was not reported, is unknown.
 class Permits {
 public:
     virtual ~Permits() = default;
-    // Reserves a permit for an attempt that the policy wants to make. Returns false if there is none: the call ends.
+    // Reserves a permit for an attempt that the policy wants to make. Returns false if there is none: the
+    // call ends.
     [[nodiscard]] virtual bool allow(int attempt, Time now) = 0;
-    // Commits the attempt's permit just before its first byte is sent. Returns false if the reservation has lapsed:
-    // nothing is sent, and the call ends.
+    // Commits the attempt's permit just before its first byte is sent. Returns false if the reservation has
+    // lapsed: nothing is sent, and the call ends.
     [[nodiscard]] virtual bool begin(int attempt, Time now) = 0;
-    // Releases the permit of an attempt that has ended here. `known`: the attempt has ended at its server too, or
-    // never began.
+    // Releases the permit of an attempt that has ended here. `known`: the attempt has ended at its server
+    // too, or never began.
     virtual void end(int attempt, bool known, Time now) = 0;
     // Returns after how long a client should retry a call that was denied a permit; zero if that is unknown.
     virtual Micros retry_after(Time now) = 0;
--- a/src/core/call.h
+++ b/src/core/call.h
@@ -1,5 +1,6 @@
-// The values that pass through the core: calls, attempts, their results, final answers, and lists of pool members.
-// The core never opens a payload, so that the client side and the upstream side can implement any protocol.
+// The values that pass through the core: calls, attempts, their results, final answers, and lists of pool
+// members. The core never opens a payload, so that the client side and the upstream side can implement any
+// protocol.
 //
 // Units:     Micros for durations, Time on the clock that the core was given (include/flaxdoor/decide.h).
 // Ownership: a call's payload is shared by its attempts; an answer's payload is moved to the client side.
@@ -24,17 +25,18 @@
     virtual ~Payload() = default;
 };
 
-// The tenant that a call is accounted to. A number is an index into the pool's Settings::tenants, which bounds the
-// numbers. All unknown tenants share the smallest quota of the known ones, so that a client gains nothing by a name
-// that the settings do not have.
+// The tenant that a call is accounted to. A number is an index into the pool's Settings::tenants, which
+// bounds the numbers. All unknown tenants share the smallest quota of the known ones, so that a client gains
+// nothing by a name that the settings do not have.
 struct Tenant {
     enum class Kind { none, known, unknown };
     Kind kind = Kind::none;
     int number = 0;  // if known
 };
 
-// A limit on retries besides the policy's. The core asks it before each attempt that follows one whose sending has
-// begun. When it returns false the call ends at once: refused if no attempt may have executed, otherwise failed.
+// A limit on retries besides the policy's. The core asks it before each attempt that follows one whose
+// sending has begun. When it returns false the call ends at once: refused if no attempt may have executed,
+// otherwise failed.
 class RetryGate {
 public:
     virtual ~RetryGate() = default;
@@ -44,17 +46,18 @@
 struct Call {
     PoolId pool = 0;
     int class_index = 0;  // in the pool's settings
-    // The client's id of the call; empty if it has none. Two calls with one id are never open at once, and none is
-    // accepted while an unsafe call with its id may still be executing at an upstream.
+    // The client's id of the call; empty if it has none. Two calls with one id are never open at once, and
+    // none is accepted while an unsafe call with its id may still be executing at an upstream.
     std::string name;
     Tenant tenant;
     std::uint64_t key = 0;  // zero: none
-    // How long the client waits, counted from `received`. Zero: the client does not say, and Options::own_limit
-    // applies.
+    // How long the client waits, counted from `received`. Zero: the client does not say, and
+    // Options::own_limit applies.
     Micros budget{};
     Time received{};  // when the call was received completely; zero: now
-    // The part of the budget that passes on the network, before the call is received and after it is answered. The
-    // policy gets the rest as the deadline; the deadline watchdog answers when half of this part is left.
+    // The part of the budget that passes on the network, before the call is received and after it is
+    // answered. The policy gets the rest as the deadline; the deadline watchdog answers when half of this
+    // part is left.
     Micros unseen{};
     // How long an answer may continue after its first bytes have been passed to the client; zero: no limit.
     Micros max_answer_duration{};
@@ -110,8 +113,8 @@
     std::shared_ptr<Payload> payload;
 };
 
-// The result of an attempt. `Outcome::moot` also ends an attempt that this process had no resources for (`own_fault`):
-// such an attempt was not executed, and its result says nothing about the upstream.
+// The result of an attempt. `Outcome::moot` also ends an attempt that this process had no resources for
+// (`own_fault`): such an attempt was not executed, and its result says nothing about the upstream.
 struct AttemptResult {
     AttemptKey key;
     Outcome outcome = Outcome::moot;
@@ -130,8 +133,8 @@
     std::string address;  // compared as text: a server's address must always be written in the same way
 };
 
-// A full list, or changes to the last one; `cached` marks a list that may be outdated. A `failed` one has no members
-// and reports that the source could not be reached.
+// A full list, or changes to the last one; `cached` marks a list that may be outdated. A `failed` one has no
+// members and reports that the source could not be reached.
 struct MemberList {
     ListKind kind = ListKind::full;
     std::uint64_t version = 0;
--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -42,8 +42,8 @@
 // Delay before Back::expire is called again for an attempt for which it threw.
 constexpr Micros expire_retry_delay = std::chrono::milliseconds(10);
 
-// Interval between two polls of the sources for lists that they have not handed in. Bounds for how long such a list
-// remains unapplied under load.
+// Interval between two polls of the sources for lists that they have not handed in. Bounds for how long such
+// a list remains unapplied under load.
 constexpr Micros list_poll_interval = std::chrono::milliseconds(20);
 
 bool counts_as_executed(Outcome outcome, bool whole) {
@@ -75,8 +75,8 @@
     }
 }
 
-// Adds one entry for all unknown tenants, with the smallest quota of the known ones. Without it a client could gain by
-// naming an unknown tenant.
+// Adds one entry for all unknown tenants, with the smallest quota of the known ones. Without it a client
+// could gain by naming an unknown tenant.
 void add_unknown_tenant(Settings& settings) {
     double smallest_quota = 0;
     for (const auto& tenant : settings.tenants) {
@@ -121,8 +121,8 @@
         Settings changed = settings;
         add_unknown_tenant(changed);
         pool->policy->on_settings(now(), changed);
-        // Calls that wait in the queue have not been passed to the policy: they take the numbers that the names of their
-        // class and tenant have now. All others keep what the policy was given.
+        // Calls that wait in the queue have not been passed to the policy: they take the numbers that the
+        // names of their class and tenant have now. All others keep what the policy was given.
         for (auto& [call, open] : open_calls_) {
             if (open.call.pool == id) remap_to_settings(open, pool->settings, settings);
         }
@@ -165,8 +165,8 @@
         if (options_.open_calls > 0 && unanswered_ >= options_.open_calls) return Taken::too_many;
         const Time at = now();
         expire_in_doubt(at);
-        // Prevents a repeated effect: servers identify a call by its id. Of two calls with one id that may both
-        // execute, one is a repeat, and their answers could not be told apart.
+        // Prevents a repeated effect: servers identify a call by its id. Of two calls with one id that may
+        // both execute, one is a repeat, and their answers could not be told apart.
         if (!call.name.empty() && !call_ids_in_use_.insert(call.name).second) return Taken::name_open;
         const CallId number = ++last_call_id_;
         if (id) *id = number;
@@ -222,9 +222,9 @@
         if (!attempt) return false;
         OpenCall& open = open_calls_.at(key.call);
         Pool* const pool = find_pool(open.call.pool);
-        // Prevents sending a retry after the window in which servers recognise it as a repeat (rule 2). The policy
-        // checked the window when it chose the upstream, but the connection may be established, or become writable
-        // for the last bytes, later than that.
+        // Prevents sending a retry after the window in which servers recognise it as a repeat (rule 2). The
+        // policy checked the window when it chose the upstream, but the connection may be established, or
+        // become writable for the last bytes, later than that.
         const Time at = clock_.now();
         if (open.answered || !pool || !open.within_window(*attempt, at, pool->settings.tick)) return false;
         if (!attempt->sending && !may_send_first_byte(open, key, at)) return false;
@@ -257,8 +257,8 @@
         process_queue();
     }
 
-    // Prevents sending to an upstream that was marked as draining while this process was stalled: after a stall sockets
-    // are read in an arbitrary order.
+    // Prevents sending to an upstream that was marked as draining while this process was stalled: after a
+    // stall sockets are read in an arbitrary order.
     void heed_lists() {
         const Time at = clock_.now();
         if (processing_ || applying_lists_ || at - lists_applied_at_ < list_poll_interval) return;
@@ -348,8 +348,8 @@
                 return attempt.active ? attempt.sending : attempt.may_have_run;
             });
         }
-        // Returns whether another attempt is active. If so, an attempt that is denied a permit ends alone, because the
-        // other one may still be answered.
+        // Returns whether another attempt is active. If so, an attempt that is denied a permit ends alone,
+        // because the other one may still be answered.
         bool other_active(int number) const {
             for (std::size_t i = 0; i < attempts.size(); ++i) {
                 if (static_cast<int>(i) != number && attempts[i].active) return true;
@@ -361,8 +361,9 @@
             group = settings.group;
             window = settings.window;
         }
-        // Returns whether bytes of the attempt may be sent at that time: servers must still recognise it as a repeat of
-        // every other attempt that may have executed. Their window begins with the first byte of that attempt.
+        // Returns whether bytes of the attempt may be sent at that time: servers must still recognise it as a
+        // repeat of every other attempt that may have executed. Their window begins with the first byte of
+        // that attempt.
         bool within_window(const AttemptState& attempt, Time at, Micros margin) const {
             return effect != Effect::keyed ||
                    std::none_of(attempts.begin(), attempts.end(), [&](const AttemptState& other) {
@@ -388,8 +389,8 @@
         std::string text;
     };
 
-    // A policy with its pool's list. The policy's actions and log lines wait in the core's queue, so that the policy is
-    // never on the stack when a port is called.
+    // A policy with its pool's list. The policy's actions and log lines wait in the core's queue, so that the
+    // policy is never on the stack when a port is called.
     struct Pool final : Actions {
         Pool(Impl& owner, PoolId number, PoolOptions options, Back& pool_back, Source* pool_source)
             : core(owner),
@@ -458,11 +459,12 @@
     struct NewCall {
         CallId call = 0;
     };
+    // A call was answered or abandoned without the policy, which is to be notified.
     struct CallClosed {
         CallId call = 0;
         PoolId pool = 0;
     };
-    // An attempt was denied a permit, or its permit has lapsed.
+    // A call or an attempt was denied a permit, or an attempt's permit has lapsed.
     struct PermitDenied {
         CallId call = 0;
         int attempt = -1;  // number of the attempt; -1: the call was denied before its first attempt
@@ -538,8 +540,8 @@
         return found == items.end() ? -1 : static_cast<int>(found - items.begin());
     }
 
-    // Handles the queued events and actions. A nested call returns at once, so that neither a policy nor an action is
-    // ever re-entered: new events and actions wait in the queue.
+    // Handles the queued events and actions. A nested call returns at once, so that neither a policy nor an
+    // action is ever re-entered: new events and actions wait in the queue.
     void process_queue() {
         if (processing_) return;
         processing_ = true;
@@ -560,8 +562,8 @@
         update_alarm();
     }
 
-    // Runs a function for a call and handles its exceptions. An exception must neither stop the queue nor leave the call
-    // without an answer.
+    // Runs a function for a call and handles its exceptions. An exception must neither stop the queue nor
+    // leave the call without an answer.
     template <typename Function>
     void run_guarded(CallId call, Function function) {
         try {
@@ -606,8 +608,8 @@
         if (found == open_calls_.end() || found->second.answered) return;
         OpenCall& open = found->second;
         Pool* const pool = find_pool(open.call.pool);
-        // The pool was removed and is about to answer the call, or its class was removed before the call reached the
-        // policy.
+        // The pool was removed and is about to answer the call, or its class was removed before the call
+        // reached the policy.
         if (!pool || open.call.class_index < 0) {
             if (pool) answer(open, {Verdict::refused, Cause::pool_removed, {}, false, nullptr});
             if (pool) erase_if_finished(event.call);
@@ -725,7 +727,7 @@
             attempt->expiry = timers_.set(now_ + expire_retry_delay, due);
     }
 
-    // The deadline watchdog: answers the call whatever went wrong before.
+    // Answers a call when its deadline watchdog fires, whatever went wrong before.
     void answer_overdue(CallId id, OpenCall& open) {
         if (open.answered) return;
         ++figures_.overdue;
@@ -773,8 +775,8 @@
             expires = std::min(expires, now_ + std::min(open.call.attempt_limit, max_timeout));
         }
         if (!allowed && !(open.denied_retry_after && open.other_active(key.number))) end_without_retry(open);
-        // Nothing is sent for a call that has been answered or whose answer has begun, nor for an attempt that is not
-        // allowed or whose time is up.
+        // Nothing is sent for a call that has been answered or whose answer has begun, nor for an attempt
+        // that is not allowed or whose time is up.
         if (!allowed || open.answered || open.started_attempt >= 0 ||
             key.number >= pool.settings.max_attempts || clock_.now() >= expires) {
             return end_attempt_unsent(key, false);
@@ -822,8 +824,8 @@
         call_port([&] { begins = open.permits->begin(key.number, at); });
         if (!begins) {
             record_denial(open, at);
-            events_.emplace_back(
-                PermitDenied{key.call, key.number});  // queued, because the Back is on the stack
+            // Queued, because the Back is on the stack.
+            events_.emplace_back(PermitDenied{key.call, key.number});
         }
         return begins;
     }
@@ -847,8 +849,8 @@
         answer(open, {Verdict::failed, cause, {}, true, nullptr});
     }
 
-    // Returns the retry delay for the client under the policy's rules: none if the settings have no retry_after, and at
-    // most max_retry_after.
+    // Returns the retry delay for the client under the policy's rules: none if the settings have no
+    // retry_after, and at most max_retry_after.
     Micros retry_advice(const OpenCall& open) {
         const Pool* const pool = find_pool(open.call.pool);
         if (!open.denied_retry_after || !pool || !pool->settings.retry_after) return Micros{};
@@ -859,8 +861,8 @@
         return {TimerKind::expiry, key.call, static_cast<std::uint64_t>(key.number)};
     }
 
-    // Does not cancel an attempt whose answer the client is receiving, not even when the policy takes another attempt's
-    // answer for the first one.
+    // Does not cancel an attempt whose answer the client is receiving, not even when the policy takes another
+    // attempt's answer for the first one.
     void cancel_for_policy(const Action& action, Pool& pool) {
         AttemptState* const attempt = find_attempt({action.request, action.attempt});
         if (!attempt) return;
@@ -868,15 +870,15 @@
         if (open.answered || open.started_attempt != action.attempt) cancel(open, *attempt, pool);
     }
 
-    // Calls Back::cancel at most once for an attempt.
+    // Calls Back::cancel, at most once for an attempt unless it throws.
     void cancel(OpenCall& open, AttemptState& attempt, Pool& pool) {
         if (!attempt.active || !attempt.cancellable) return;
         const auto number = static_cast<int>(&attempt - open.attempts.data());
         attempt.cancellable = !call_port([&] { pool.back.cancel({open.id, number}); });
     }
 
-    // Prevents an attempt from beginning after its call was answered, possibly as not executed. Applies also where the
-    // policy may not cancel.
+    // Prevents an attempt from beginning after its call was answered, possibly as not executed. Applies also
+    // where the policy may not cancel.
     void cancel_unsent(OpenCall& open) {
         Pool* const pool = find_pool(open.call.pool);
         if (!pool) return;
@@ -927,7 +929,7 @@
         erase_if_finished(id);
     }
 
-    // Sends the final answer. No other function does.
+    // Passes the final answer to the client side. All final answers pass through here.
     void answer(OpenCall& open, Final answer) {
         mark_answered(open);
         switch (answer.verdict) {
@@ -939,8 +941,8 @@
         cancel_unsent(open);
     }
 
-    // Calls a port and logs what it throws, so that the policy and the other ports are still called. Returns false if the
-    // port threw.
+    // Calls a port and logs what it throws, so that the policy and the other ports are still called. Returns
+    // false if the port threw.
     template <typename Function>
     bool call_port(Function function) {
         try {
@@ -1000,8 +1002,8 @@
         for (Member& member : list.members) {
             const UpstreamId id = member.entry.id;
             if (member.entry.state == UpstreamState::gone) {
-                // An upstream that this same list also names at another address has moved: only the server at the old
-                // address has gone.
+                // An upstream that this same list also names at another address has moved: only the server at
+                // the old address has gone.
                 const auto known = pool->members.find(id);
                 const bool moved = listed.contains(id) && known != pool->members.end() &&
                                    !member.address.empty() && known->second.address != member.address;
@@ -1056,8 +1058,8 @@
         pool->policy->on_list(now_, ListKind::delta, {member.entry}, pool->version);
     }
 
-    // Runs twice for a pool: first answers its calls and cancels their attempts, and, after the resulting events have
-    // been handled, erases the calls and the pool.
+    // Runs twice for a pool: first answers its calls and cancels their attempts, and, after the resulting
+    // events have been handled, erases the calls and the pool.
     void handle(const PoolRemoval& removal) {
         const auto found = pools_.find(removal.pool);
         if (found == pools_.end()) return;
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -1,16 +1,18 @@
-// The core: hosts one policy (Policy) for each pool, for any protocol on the client side and the upstream side. It owns
-// the open calls, the numbers, deadlines and watchdogs of their attempts, the queue of events and actions, and the state
-// that pools share by address. It makes none of the policy's decisions: it never delays an attempt.
+// The core: hosts one policy (Policy) for each pool, for any protocol on the client side and the upstream
+// side. It owns the open calls, the numbers, deadlines and watchdogs of their attempts, the queue of events
+// and actions, and the state that pools share by address. It makes none of the policy's decisions: it never
+// delays an attempt.
 //
 // Time:        read from the Clock at each event; it never goes back.
 // Threading:   not thread-safe: all functions and all ports are called on one thread.
 // Ownership:   ports are borrowed and must outlive the core; a pool's Back and Source must outlive the pool.
-// Re-entrancy: every function may be called from within any port. Events wait in a queue and are handled one after
-//              another, each followed by the actions that it caused, in order. The stack does not grow with them.
-// Errors:      an exception from a port or the policy ends the event that met it, and never stops the queue. It is
-//              logged as a fault, and the call concerned is answered.
-// Answers:     each accepted call gets exactly one final answer by its deadline, unless it is abandoned. No attempt is
-//              sent for it after that.
+// Re-entrancy: every function may be called from within any port. Events wait in a queue and are handled one
+//              after another, each followed by the actions that it caused, in order. The stack does not grow
+//              with them.
+// Errors:      an exception from a port or the policy ends the event that met it, and never stops the queue.
+//              It is logged as a fault, and the call concerned is answered.
+// Answers:     each accepted call gets exactly one final answer by its deadline, unless it is abandoned. No
+//              attempt is sent for it after that.
 #pragma once
 
 #include <cstddef>
@@ -28,9 +30,11 @@
 struct Options {
     std::size_t open_calls = 0;  // maximum of unanswered calls; further ones are refused; 0: none
     Micros own_limit = std::chrono::seconds(30);  // default timeout of a call whose client gives none
-    // Whether calls of a tenant that is not in the settings are rejected. Otherwise all such tenants share one quota.
+    // Whether calls of a tenant that is not in the settings are rejected. Otherwise all such tenants share
+    // one quota.
     bool refuse_unknown_tenants = false;
-    // How long the id of an unsafe call stays in use after the call ended in doubt: its end at the upstream is unknown.
+    // How long the id of an unsafe call stays in use after the call ended in doubt: its end at the upstream
+    // is unknown.
     Micros in_doubt_retention = std::chrono::seconds(10);
     std::size_t max_in_doubt = 4096;  // maximum of such ids; beyond it the oldest is dropped
     Admission* admission = nullptr;   // borrowed; null: only the policy decides
@@ -75,12 +79,12 @@
     // ---------------------------------------------------------------------------------------------- pools
     // Throws std::invalid_argument, naming the setting, when the settings contradict themselves.
     [[nodiscard]] PoolId add_pool(PoolOptions options, Back& back, Source* source);
-    // Throws as add_pool() does, and changes nothing then. The policy keeps the state that still applies, and calls
-    // that it has received keep their class.
+    // Throws as add_pool() does, and changes nothing then. The policy keeps the state that still applies, and
+    // calls that it has received keep their class.
     void change_pool(PoolId pool, const Settings& settings);
-    // Answers all open calls of the pool at once: refused if a retry is harmless, otherwise failed. The pool's Back and
-    // Source are not called after this returns. When it is called from within a port, they are not called after the
-    // outermost call into the core has returned.
+    // Answers all open calls of the pool at once: refused if a retry is harmless, otherwise failed. The
+    // pool's Back and Source are not called after this returns. When it is called from within a port, they
+    // are not called after the outermost call into the core has returned.
     void remove_pool(PoolId pool);
     // Returns null if there is no such pool. The pointer is valid until the pool changes.
     const Settings* settings(PoolId pool) const;
@@ -91,8 +95,8 @@
     // ---------------------------------------------------------------------------------------- client side
     // Accepts a call, or returns why not; in that case it has no other effect.
     [[nodiscard]] Taken take(Call call, Front& front, std::uint64_t token, CallId* id = nullptr);
-    // Abandons a call whose client has gone: its Front is not called for it any more. Returns whether the call may have
-    // executed.
+    // Abandons a call whose client has gone: its Front is not called for it any more. Returns whether the
+    // call may have executed.
     bool leave(CallId call);
     // Returns whether a call with that id is open or may still be executing: take() would return name_open.
     bool name_open(const std::string& name);
@@ -102,17 +106,18 @@
     void set_own_limit(Micros limit);
 
     // -------------------------------------------------------------------------------------- upstream side
-    // To be called before an attempt's first byte is handed to the socket, and again whenever the remaining bytes had to
-    // wait. If it returns false, the bytes must not be sent, and the attempt must end as moot.
+    // To be called before an attempt's first byte is handed to the socket, and again whenever the remaining
+    // bytes had to wait. If it returns false, the bytes must not be sent, and the attempt must end as moot.
     bool on_attempt_sending(AttemptKey attempt);
     void on_attempt_started(AttemptKey attempt, Micros latency, std::unique_ptr<Payload> head);
     void on_attempt_end(AttemptResult result);
 
     // --------------------------------------------------------------------------------------------- sources
     void on_list(PoolId pool, MemberList list);
-    // Applies the lists that the sources have received and not read yet, unless it did so just before. To be called
-    // before anything is sent that may have waited, so that after a stall the updates that arrived meanwhile are applied
-    // first. The core does this itself for every accepted call, every end of an attempt and every alarm.
+    // Applies the lists that the sources have received and not read yet, unless it did so just before. To be
+    // called before anything is sent that may have waited, so that after a stall the updates that arrived
+    // meanwhile are applied first. The core does this itself for every accepted call, every end of an attempt
+    // and every alarm.
     void heed_lists();
 
     // ----------------------------------------------------------------------------------------------- alarm
--- a/src/core/event.h
+++ b/src/core/event.h
@@ -1,7 +1,8 @@
-// Structured log events. An event has a stable name, a level, named fields, and a text template for people. Its values
-// are passed in the order of its fields; the compiler checks their number.
+// Structured log events. An event has a stable name, a level, named fields, and a text template for people.
+// Its values are passed in the order of its fields; the compiler checks their number.
 //
-// Ownership: an Event is a constant with static storage duration; a Value borrows its text for the duration of a call.
+// Ownership: an Event is a constant with static storage duration; a Value borrows its text for the duration
+// of a call.
 #pragma once
 
 #include <array>
@@ -49,8 +50,8 @@
 template <std::size_t N>
 struct EventOf : Event {};
 
-// Makes an event. Does not compile unless the text names each field exactly once and has nothing else in braces, so that
-// the text and the fields always carry the same information.
+// Makes an event. Does not compile unless the text names each field exactly once and has nothing else in
+// braces, so that the text and the fields always carry the same information.
 template <class... Fields>
 consteval EventOf<sizeof...(Fields)> event(std::string_view name, Level level, std::string_view text,
                                            Fields... fields) {
@@ -78,8 +79,8 @@
     return result;
 }
 
-// Returns the event's text with the values in place of the fields, of any length. Requires as many values as the event
-// has fields.
+// Returns the event's text with the values in place of the fields, of any length. Requires as many values as
+// the event has fields.
 std::string text_of(const Event& event, std::span<const Value> values);
 
 // The events of the core. All others are in src/log/events.h.
--- a/src/core/intake.h
+++ b/src/core/intake.h
@@ -1,5 +1,5 @@
-// The interface through which the client side hands in its calls: implemented by whatever accepts calls ahead of the
-// core, such as an admission queue that holds some back.
+// The interface through which the client side hands in its calls: implemented by whatever accepts calls ahead
+// of the core, such as an admission queue that holds some back.
 //
 // Threading and re-entrancy: as for the functions of the same names in core.h.
 #pragma once
--- a/src/core/ports.h
+++ b/src/core/ports.h
@@ -1,9 +1,11 @@
-// The interfaces through which the core reaches its environment. All of it can run under virtual time with them.
+// The interfaces through which the core reaches its environment. All of it can run under virtual time with
+// them.
 //
 // Threading:   all functions are called on the core's one thread.
 // Ownership:   all objects are borrowed and must outlive the core (a Back or Source: its pool).
-// Re-entrancy: each function may call the core from within; what it reports waits in the core's queue. None may destroy
-//              the core, or throw because of outside events. One that throws (out of memory) must have had no effect.
+// Re-entrancy: each function may call the core from within; what it reports waits in the core's queue. None
+//              may destroy the core, or throw because of outside events. One that throws (out of memory) must
+//              have had no effect.
 #pragma once
 
 #include <array>
@@ -21,8 +23,8 @@
     virtual Time now() const = 0;
 };
 
-// A single alarm: the latest set() replaces those before it. When its time has come, it calls Core::on_alarm once, never
-// from within set().
+// A single alarm: the latest set() replaces those before it. When its time has come, it calls Core::on_alarm
+// once, never from within set().
 class Alarm {
 public:
     virtual ~Alarm() = default;
@@ -32,7 +34,8 @@
 class Log {
 public:
     virtual ~Log() = default;
-    // Takes as many values as the event has fields. The values borrow their texts for the duration of the call.
+    // Takes as many values as the event has fields. The values borrow their texts for the duration of the
+    // call.
     virtual void event(const Event& event, std::span<const Value> values) = 0;
 
     template <std::size_t N, class... Values>
@@ -42,16 +45,16 @@
     }
 };
 
-// The client side: hands in calls and receives their answers. `token` is the value that it gave with the call. No
-// function is called for a call that it has abandoned.
+// The client side: hands in calls and receives their answers. `token` is the value that it gave with the
+// call. No function is called for a call that it has abandoned.
 class Front {
 public:
     virtual ~Front() = default;
-    // Called once for each call, before its first byte is sent: from then on the call may have executed until the
-    // contrary is known. Returns false if the call is no longer wanted: then nothing is sent.
+    // Called once for each call, before its first byte is sent: from then on the call may have executed until
+    // the contrary is known. Returns false if the call is no longer wanted: then nothing is sent.
     virtual bool on_sending(std::uint64_t) { return true; }
-    // Receives the answer's first bytes. From then on the attempt's answer goes to the client, and nothing is sent to
-    // another upstream.
+    // Receives the answer's first bytes. From then on the attempt's answer goes to the client, and nothing is
+    // sent to another upstream.
     virtual void on_started(std::uint64_t token, std::unique_ptr<Payload> head) = 0;
     // Called exactly once for each accepted call, possibly while Core::take is on the stack.
     virtual void on_final(std::uint64_t token, Final answer) = 0;
@@ -62,18 +65,18 @@
 class Back {
 public:
     virtual ~Back() = default;
-    // Sets an upstream's address, and whether the upstream accepts new attempts. A connection that is established after
-    // the upstream was set to accept none carries nothing: its attempt ends as moot.
+    // Sets an upstream's address, and whether the upstream accepts new attempts. A connection that is
+    // established after the upstream was set to accept none carries nothing: its attempt ends as moot.
     virtual void set_upstream(UpstreamId upstream, const std::string& address, bool takes_work) = 0;
     // Attempts in flight at the upstream end by themselves. No connection is kept, and no attempt begins.
     virtual void remove_upstream(UpstreamId upstream) = 0;
     virtual void send(Attempt attempt) = 0;
-    // Called at most once for an attempt, possibly while its end is already reported. Ends the attempt as cancelled, now
-    // or later; no byte of an attempt that has not begun is sent after it.
+    // Called at most once for an attempt, possibly while its end is already reported. Ends the attempt as
+    // cancelled, now or later; no byte of an attempt that has not begun is sent after it.
     virtual void cancel(AttemptKey attempt) = 0;
-    // Called when an attempt's time is up. Ends it as timed out, as never sent, or as answered if the answer turns out
-    // to be there. Should end it from within: after a stall the deadline watchdog may be due right after it. Called
-    // again if it throws.
+    // Called when an attempt's time is up. Ends it as timed out, as never sent, or as answered if the answer
+    // turns out to be there. Should end it from within: after a stall the deadline watchdog may be due right
+    // after it. Called again if it throws.
     virtual void expire(AttemptKey attempt) = 0;
     // May name an upstream that was just removed.
     virtual void close_idle(UpstreamId upstream) = 0;
@@ -86,8 +89,8 @@
     virtual void watch() = 0;
     virtual void unwatch() = 0;
     virtual void fetch() = 0;
-    // Hands in at once the lists that were received and not read yet. Called before work that may have waited in this
-    // process.
+    // Hands in at once the lists that were received and not read yet. Called before work that may have waited
+    // in this process.
     virtual void catch_up() {}
 };
 
--- a/src/core/timers.h
+++ b/src/core/timers.h
@@ -1,6 +1,6 @@
-// A queue of timers ordered by time, for the core and for sockets. Not thread-safe. set(), remove() and take() take
-// O(log n). Removed timers are freed at once; their memory is kept for reuse, up to the greatest number that was ever
-// set at once.
+// A queue of timers ordered by time, for the core and for sockets. Not thread-safe. set(), remove() and
+// take() take O(log n). Removed timers are freed at once; their memory is kept for reuse, up to the greatest
+// number that was ever set at once.
 #pragma once
 
 #include <cstddef>
@@ -20,8 +20,8 @@
 public:
     using Handle = typename Map::iterator;
 
-    // Timers with equal times come due in the order in which they were set. The handle is valid until the timer is
-    // removed or taken.
+    // Timers with equal times come due in the order in which they were set. The handle is valid until the
+    // timer is removed or taken.
     Handle set(Time at, Due due) { return map_.emplace(at, std::move(due)); }
     void remove(Handle handle) { map_.erase(handle); }
     template <typename Matches>
--- a/src/loop/alarm.h
+++ b/src/loop/alarm.h
@@ -1,5 +1,6 @@
-// An alarm on an Asio event loop. Used on the loop's thread only. It may be destroyed at any time, also while a wake-up is
-// due: its callback is not called after that. It rings up to half a millisecond late if it rang just before.
+// An alarm on an Asio event loop. Used on the loop's thread only. It may be destroyed at any time, also while
+// a wake-up is due: its callback is not called after that. It rings up to half a millisecond late if it rang
+// just before.
 #pragma once
 
 #include <algorithm>
@@ -18,7 +19,8 @@
 public:
     Alarm(const Executor& executor, const Clock& clock) : clock_(clock), timer_(executor) {}
 
-    // Sets the callback, which is called once for each set() whose time has come, unless a later set() replaced it.
+    // Sets the callback, which is called once for each set() whose time has come, unless a later set()
+    // replaced it.
     void on_due(std::function<void()> call) { call_ = std::move(call); }
 
     void set(Time at) override {
@@ -33,8 +35,8 @@
     }
 
 private:
-    // Prevents a separate wake-up for each of many times that lie close together. An alarm that has not rung within this
-    // interval rings on time.
+    // Prevents a separate wake-up for each of many times that lie close together. An alarm that has not rung
+    // within this interval rings on time.
     static constexpr auto min_interval = std::chrono::microseconds(500);
 
     const Clock& clock_;
--- a/src/loop/alive.h
+++ b/src/loop/alive.h
@@ -1,5 +1,5 @@
-// Makes handlers that capture a raw `this` do nothing once their owner has been destroyed: an event loop may still hold a
-// handler that is due by then. Used on one thread; the owner declares it as its last member.
+// Makes handlers that capture a raw `this` do nothing once their owner has been destroyed: an event loop may
+// still hold a handler that is due by then. Used on one thread; the owner declares it as its last member.
 #pragma once
 
 #include <memory>
--- a/src/loop/boot_clock.h
+++ b/src/loop/boot_clock.h
@@ -1,5 +1,6 @@
-// CLOCK_BOOTTIME: time since the machine's boot. It advances while the process is stopped and while the machine sleeps, and
-// it can't be set. May be read from any thread. Only its differences are meaningful on another machine.
+// CLOCK_BOOTTIME: time since the machine's boot. It advances while the process is stopped and while the
+// machine sleeps, and it can't be set. May be read from any thread. Only its differences are meaningful on
+// another machine.
 #pragma once
 
 #include <time.h>
--- a/src/loop/clock.h
+++ b/src/loop/clock.h
@@ -1,5 +1,5 @@
-// The one clock of a process: Unix time at its construction, advanced by the steady clock. It never goes back, and Unix
-// times from outside can be compared with it. May be read from any thread.
+// The one clock of a process: Unix time at its construction, advanced by the steady clock. It never goes
+// back, and Unix times from outside can be compared with it. May be read from any thread.
 #pragma once
 
 #include <chrono>
--- a/src/loop/executor.h
+++ b/src/loop/executor.h
@@ -1,5 +1,5 @@
-// The executor of one instance: the event loop of one thread, or a strand over several threads. It never runs two handlers
-// at once.
+// The executor of one instance: the event loop of one thread, or a strand over several threads. It never runs
+// two handlers at once.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
--- a/src/loop/sockets.h
+++ b/src/loop/sockets.h
@@ -1,5 +1,6 @@
-// Socket functions for TCP beyond Asio: descriptors that child processes do not inherit, reads and writes that never block,
-// detection of a peer's end of stream behind unread bytes, and classification of errors. All functions are stateless.
+// Socket functions for TCP beyond Asio: descriptors that child processes do not inherit, reads and writes
+// that never block, detection of a peer's end of stream behind unread bytes, and classification of errors.
+// All functions are stateless.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -13,20 +14,21 @@
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 
-// Open and accept with close-on-exec set atomically: the host process may fork and exec at any time, also from another
-// thread, and no descriptor of an instance may be inherited.
+// Open and accept with close-on-exec set atomically: the host process may fork and exec at any time, also
+// from another thread, and no descriptor of an instance may be inherited.
 void open(tcp::socket& socket, error_code& error);
 void open(tcp::acceptor& acceptor, error_code& error);
 // Requires a non-blocking acceptor. Without a pending connection the error is would_block.
 void accept(tcp::acceptor& acceptor, tcp::socket& socket, error_code& error);
 
-// Makes the kernel ignore further connection attempts to the acceptor. Connections that are already established can still be
-// accepted. To be called before the acceptor is closed: a client that connects between the last accept and the close would
-// be reset with a request in flight. Has no effect where the system does not support it.
+// Makes the kernel ignore further connection attempts to the acceptor. Connections that are already
+// established can still be accepted. To be called before the acceptor is closed: a client that connects
+// between the last accept and the close would be reset with a request in flight. Has no effect where the
+// system does not support it.
 void take_no_more(tcp::acceptor& acceptor);
 
-// Returns whether neither bytes nor the end of the stream can be read: then it is safe to write a request to the socket, or
-// to close it between two requests.
+// Returns whether neither bytes nor the end of the stream can be read: then it is safe to write a request to
+// the socket, or to close it between two requests.
 [[nodiscard]] bool quiet(tcp::socket& socket);
 
 // Returns whether the peer has ended its sending, also when bytes that it sent before have not been read.
@@ -48,11 +50,12 @@
 };
 [[nodiscard]] Written write_some(tcp::socket& socket, std::string_view bytes);
 
-// Returns whether the error means that this process lacks descriptors, ports, memory or permissions. Such an error says
-// nothing about the peer.
+// Returns whether the error means that this process lacks descriptors, ports, memory or permissions. Such an
+// error says nothing about the peer.
 [[nodiscard]] bool own_want(const error_code& error);
 
-// Parses an endpoint such as "127.0.0.1:5000". Throws std::invalid_argument if the text is not an IPv4 address with a port.
+// Parses an endpoint such as "127.0.0.1:5000". Throws std::invalid_argument if the text is not an IPv4
+// address with a port.
 [[nodiscard]] tcp::endpoint parse_endpoint(const std::string& text);
 // As parse_endpoint(), from a host and a port.
 [[nodiscard]] tcp::endpoint endpoint_of(const std::string& host, std::uint16_t port);
--- a/src/recovery/belief.cpp
+++ b/src/recovery/belief.cpp
@@ -62,7 +62,8 @@
     }
 
 private:
-    // Returns the exponential decay since a time; zero if the clock was set back, because the elapsed time is unknown.
+    // Returns the exponential decay since a time; zero if the clock was set back, because the elapsed time is
+    // unknown.
     double decay_factor(Time as_of) const {
         if (clock_set_back_ > Micros{0}) return 0;
         const double age = static_cast<double>(std::max(now_ - as_of, Micros{0}).count());
--- a/src/recovery/record.cpp
+++ b/src/recovery/record.cpp
@@ -14,7 +14,8 @@
 constexpr std::string_view version = "1";
 constexpr std::size_t hash_digits = 16;
 
-// FNV-1a with 64 bits. Detects values that are not what was written under their key; it is no protection against forgery.
+// FNV-1a with 64 bits. Detects values that are not what was written under their key; it is no protection
+// against forgery.
 std::uint64_t hash(std::string_view key, std::string_view text) {
     std::uint64_t result = 0xcbf29ce484222325ULL;
     const auto add = [&](unsigned char byte) { result = (result ^ byte) * 0x100000001b3ULL; };
@@ -44,8 +45,8 @@
     if (space == head.npos || space == 0) throw std::runtime_error("not a record");
     const auto found_version = head.substr(0, space);
     const auto text = value.substr(line_end + 1);
-    // Checked before the hash, which may differ in other versions: a damaged version number can't be distinguished from a
-    // newer version.
+    // Checked before the hash, which may differ in other versions: a damaged version number can't be
+    // distinguished from a newer version.
     if (found_version != version)
         throw std::runtime_error("of version " + std::string(found_version.substr(0, 8)));
     if (head.substr(space + 1) != hex(hash(key, text))) throw std::runtime_error("damaged");
--- a/src/recovery/record.h
+++ b/src/recovery/record.h
@@ -1,10 +1,12 @@
-// The stored form of a pool's warm-restart snapshot, as keys and values: the last list, divided into parts, and what was
-// learned about the upstreams.
+// The stored form of a pool's warm-restart snapshot, as keys and values: the last list, divided into parts,
+// and what was learned about the upstreams.
 //
 // Threading: stateless functions.
 // Times:     Unix time of the writer's clock.
-// Format:    docs/recovery_format.md. Each value states its version and carries a hash over itself and its key.
-// Errors:    a value that can't be read, or has another version, is reported as a fault of one line, and is not used.
+// Format:    docs/recovery_format.md. Each value states its version and carries a hash over itself and its
+//            key.
+// Errors:    a value that can't be read, or has another version, is reported as a fault of one line, and is
+//            not used.
 #pragma once
 
 #include <array>
@@ -20,11 +22,13 @@
 
 namespace flaxdoor::recovery {
 
-// Number of parts, by upstream id. A change of one upstream is a small write, and the number of keys is bounded.
+// Number of parts, by upstream id. A change of one upstream is a small write, and the number of keys is
+// bounded.
 inline constexpr std::size_t parts = 64;
 [[nodiscard]] inline std::size_t part_of(UpstreamId id) { return static_cast<std::size_t>(id % parts); }
 
-// The origin of a list, which its version belongs to. Versions of lists from different origins can't be compared.
+// The origin of a list, which its version belongs to. Versions of lists from different origins can't be
+// compared.
 struct History {
     std::string discovery;  // address of the discovery service
     std::string pool;
--- a/src/recovery/recorder.cpp
+++ b/src/recovery/recorder.cpp
@@ -66,7 +66,8 @@
             update(member);
         }
     }
-    // A list without changes confirms the stored one. The header with the time is then written only once per `refresh`.
+    // A list without changes confirms the stored one. The header with the time is then written only once per
+    // `refresh`.
     const bool write_header =
         !list_received_ || any_dirty_ || list.version != version_ || now - told_at_ >= refresh;
     version_ = list.version;
@@ -114,7 +115,8 @@
     const auto near = [](double x, double y) {
         return std::fabs(x - y) <= slight_change * std::max(std::fabs(x), std::fabs(y));
     };
-    // The consecutive failures of an upstream that is not ejected change with single requests, and are not compared.
+    // The consecutive failures of an upstream that is not ejected change with single requests, and are not
+    // compared.
     return before.address == now.address && before.started_at == now.started_at && a.out == b.out &&
            a.died == b.died && a.limited == b.limited && a.cold_since == b.cold_since &&
            (!a.out || (a.out_until == b.out_until && a.strikes == b.strikes)) && near(a.limit, b.limit) &&
--- a/src/recovery/recorder.h
+++ b/src/recovery/recorder.h
@@ -1,11 +1,12 @@
-// Decides what to write of a pool's warm-restart snapshot and when: the list whenever one is received, and what was learned
-// about its upstreams periodically, where it has changed. Does no I/O: a store is to write the changes that one call returns
-// atomically.
+// Decides what to write of a pool's warm-restart snapshot and when: the list whenever one is received, and
+// what was learned about its upstreams periodically, where it has changed. Does no I/O: a store is to write
+// the changes that one call returns atomically.
 //
 // Threading: not thread-safe.
 // Times:     Unix time, passed in.
-// Bounds:    a list has at most `max_members` upstreams and `max_bytes` bytes. A larger one is not stored, and the one that
-//            was stored before is deleted. Learned state is written one slice of the parts at a time.
+// Bounds:    a list has at most `max_members` upstreams and `max_bytes` bytes. A larger one is not stored,
+//            and the one that was stored before is deleted. Learned state is written one slice of the parts
+//            at a time.
 #pragma once
 
 #include <array>
@@ -36,8 +37,8 @@
     static constexpr double slight_change = 0.1;
     static constexpr Micros refresh = std::chrono::minutes(1);
 
-    // `base` is the list that the pool starts with. It is not written until a current list is received: otherwise an
-    // outdated list would look newer than it is.
+    // `base` is the list that the pool starts with. It is not written until a current list is received:
+    // otherwise an outdated list would look newer than it is.
     Recorder(History history, const core::MemberList& base, Time now);
 
     void on_list(Time now, const core::MemberList& list);
@@ -52,7 +53,8 @@
     // Returns the changes of learned state in the next slice of the parts. `slices` calls cover all parts.
     [[nodiscard]] std::vector<Change> take_memory_changes(Time now, const Learned& learned);
 
-    // Marks the stored learned state as belonging to another origin: it is deleted with the first list of this origin.
+    // Marks the stored learned state as belonging to another origin: it is deleted with the first list of
+    // this origin.
     void forget_stored() { discards_stored_ = true; }
 
     // Called when changes that were returned may not have been written: all state is returned again.
--- a/tests/core/addresses_test.cpp
+++ b/tests/core/addresses_test.cpp
@@ -51,8 +51,8 @@
     EXPECT_NE(addresses.token_bucket("a"), token_bucket) << "its retention time has passed";
 }
 
-// Each removal names a time until which the token bucket is to be retained. The latest one counts, also when another
-// pool removes its entry last.
+// Each removal names a time until which the token bucket is to be retained. The latest one counts, also when
+// another pool removes its entry last.
 TEST_F(AddressesTest, ATokenBucketIsRetainedForTheLongestTimeThatAnyPoolGave) {
     update(1, entry(5));
     update(2, entry(7));
@@ -147,9 +147,9 @@
     std::vector<Event> events_;
 };
 
-// A drain notice applies to all entries that are listed at the address, under any id of another pool, and is revoked by
-// the pool that reported it. It outlives its entry, and it outlives its pool until another list reports the server as
-// ready. An entry that is added later, or has a later start time, is a new process.
+// A drain notice applies to all entries that are listed at the address, under any id of another pool, and is
+// revoked by the pool that reported it. It outlives its entry, and it outlives its pool until another list
+// reports the server as ready. An entry that is added later, or has a later start time, is a new process.
 TEST(AddressesProperties, NoticesInAnyOrderAgreeWithTheReferenceModel) {
     using Kind = ReferenceModel::Kind;
     for (std::uint32_t seed = 0; seed < 400; ++seed) {
--- a/tests/core/cold_test.cpp
+++ b/tests/core/cold_test.cpp
@@ -1,6 +1,6 @@
-// Slow start over all pools of an address (rule 4): the requests that all pools together send to a server that has just
-// started must stay within its capacity, whatever happens to the pools in the meantime. The servers are modelled here: each
-// has a capacity and a service time, which are worse during its slow start.
+// Slow start over all pools of an address (rule 4): the requests that all pools together send to a server
+// that has just started must stay within its capacity, whatever happens to the pools in the meantime. The
+// servers are modelled here: each has a capacity and a service time, which are worse during its slow start.
 #include <gtest/gtest.h>
 
 #include <deque>
@@ -110,8 +110,8 @@
 };
 
 struct Cold : testing::Test {
-    // Runs several pools over the same servers. One server restarts, and some pools are removed and added again during its
-    // slow start. A slot is the index of a pool.
+    // Runs several pools over the same servers. One server restarts, and some pools are removed and added
+    // again during its slow start. A slot is the index of a pool.
     static double run_pools(std::uint32_t seed, std::size_t pools, double capacity_per_s, double load_factor,
                             int replacements) {
         Stage stage;
@@ -192,7 +192,8 @@
     }
 }
 
-// With slow servers, many pools and an excess of calls, the first request that each pool may send has the greatest effect.
+// With slow servers, many pools and an excess of calls, the first request that each pool may send has the
+// greatest effect.
 TEST_F(Cold, ManyPoolsDoNotOverloadASlowServerInSlowStart) {
     for (std::uint32_t seed = 0; seed < 24; ++seed) {
         SCOPED_TRACE(name_of("seed ", seed));
--- a/tests/core/fakes.h
+++ b/tests/core/fakes.h
@@ -1,5 +1,5 @@
-// Fakes for the core's environment: a clock that the test advances, an alarm that the test serves, and ports that record
-// their calls. Any of them can be made to throw at its n-th call.
+// Fakes for the core's environment: a clock that the test advances, an alarm that the test serves, and ports
+// that record their calls. Any of them can be made to throw at its n-th call.
 #pragma once
 
 #include <gtest/gtest.h>
--- a/tests/core/hard_cases_test.cpp
+++ b/tests/core/hard_cases_test.cpp
@@ -13,7 +13,8 @@
 using namespace flaxdoor::test;  // the classes of plain_settings, by name
 constexpr int streaming = keyed_cell + 1;
 
-// Settings with the classes of plain_settings and a streaming one, and with load reports in answers.
+// Settings with the classes of plain_settings and a streaming one, in which hedged attempts are possible and
+// answers carry load reports.
 Settings settings() {
     Settings result = plain_settings();
     ClassSettings streaming_class = result.classes[safe];
@@ -25,8 +26,8 @@
     return result;
 }
 
-// One pool of four upstreams, "a1" to "a4". At its end no call may be open, unless may_leave_open_calls is set, and no state
-// may be left after the pool was removed.
+// One pool of four upstreams, "a1" to "a4". At its end no call may be open, unless may_leave_open_calls is
+// set, and no state may be left after the pool was removed.
 struct HardCase : testing::Test, Stage {
     explicit HardCase(Options options = {}) : Stage(options) {
         back = make_back();
@@ -347,8 +348,8 @@
 
 struct Removal : HardCase, testing::WithParamInterface<bool> {};
 
-// A pool is removed with calls in every state and of every effect. Its back may end cancelled attempts at once or never: the
-// core does not wait for it.
+// A pool is removed with calls in every state and of every effect. Its back may end cancelled attempts at
+// once or never: the core does not wait for it.
 TEST_P(Removal, AnswersAllCallsOfThePool) {
     enum State { connecting, sending, started, rejected };
     struct ExpectedEnd {
@@ -444,8 +445,8 @@
     expect_served(2);
 }
 
-// An unsafe call of a removed pool may still be executing at its upstream: its id stays in use although no other state of the
-// pool is left.
+// An unsafe call of a removed pool may still be executing at its upstream: its id stays in use although no
+// other state of the pool is left.
 TEST_F(HardCase, CallIdsInDoubtOutliveTheirPool) {
     may_leave_open_calls = true;
     back->ends_at_once = false;
@@ -505,7 +506,8 @@
 
 // ----------------------------------------------------------------------------------- retry windows
 
-// The bytes of a retry are ready to be sent at a given time after those of the first attempt, which had a given outcome.
+// The bytes of a retry are ready to be sent at a given time after those of the first attempt, which had a
+// given outcome.
 TEST_F(HardCase, ARetryIsSentWithinItsWindowOrNotAtAll) {
     struct Row {
         const char* description;
@@ -669,7 +671,8 @@
 
 struct Stall : HardCase, testing::WithParamInterface<int> {};
 
-// After a stall all timers are due at once. The timers of the policy must be handled before the watchdog, in their order.
+// After a stall all timers are due at once. The timers of the policy must be handled before the watchdog, in
+// their order.
 TEST_P(Stall, IsAnsweredByThePolicyNotByTheWatchdog) {
     const OtherPool empty_pool(*this);
     std::uint64_t token = 0;
@@ -995,8 +998,8 @@
 
 // ---------------------------------------------------------------------- attempts of ended calls
 
-// On a platform where the policy may not cancel, an attempt that is still connecting when its call ends must not execute: the
-// client has been told that the call was not executed.
+// On a platform where the policy may not cancel, an attempt that is still connecting when its call ends must
+// not execute: the client has been told that the call was not executed.
 TEST_F(HardCase, AnAttemptThatHasNotBegunIsCancelledWhenItsCallEnds) {
     Settings changed = settings();
     changed.may_cancel = false;
@@ -1053,8 +1056,8 @@
     EXPECT_EQ(take_with_id(unsafe, "once", 3), Taken::name_open);
 }
 
-// Lists that a source received while the process was stalled are applied before the work that waited in the meantime: a new
-// call, and a call whose attempt ended.
+// Lists that a source received while the process was stalled are applied before the work that waited in the
+// meantime: a new call, and a call whose attempt ended.
 TEST_F(HardCase, PendingListsAreAppliedBeforeAnythingIsSent) {
     for (const bool retry : {false, true}) {
         FakeSource source(trip);
--- a/tests/core/throwing_test.cpp
+++ b/tests/core/throwing_test.cpp
@@ -1,5 +1,6 @@
-// Runs a script that uses all functions of the core, and throws from the n-th call of a port, for every n. Each call must
-// still get exactly one answer, a drain must still hold, no state may be left, and the core must continue to work.
+// Runs a script that uses all functions of the core, and throws from the n-th call of a port, for every n.
+// Each call must still get exactly one answer, a drain must still hold, no state may be left, and the core
+// must continue to work.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -17,7 +18,8 @@
         trip.non_standard = non_standard;
     }
 
-    // Lets time pass. Sends an event every 50 ms, because an alarm that was lost is set again with the next event.
+    // Lets time pass. Sends an event every 50 ms, because an alarm that was lost is set again with the next
+    // event.
     void wait(Micros span) {
         const Time until = clock.at + span;
         while (clock.at < until) {
@@ -54,7 +56,8 @@
         wait(ms(60));
         list(second_pool, ListKind::full, {member(11, "a1"), member(12, "a2"), member(13, "b1")});
 
-        // Calls that are served, end with an error, are rejected, break, lack local resources, stream, or are abandoned.
+        // Calls that are served, end with an error, are rejected, break, lack local resources, stream, or are
+        // abandoned.
         for (const Outcome outcome : {Outcome::ok, Outcome::error, Outcome::full, Outcome::reset}) {
             open(first_pool, safe);
             open(second_pool, unsafe, "unsafe");
@@ -138,7 +141,8 @@
         EXPECT_EQ(figures.timers, 0u);
         EXPECT_EQ(figures.taken, figures.served + figures.refused + figures.failed + figures.left);
 
-        // The core continues to work, and call ids are free again. Ids in doubt and addresses are only purged by new events.
+        // The core continues to work, and call ids are free again. Ids in doubt and addresses are only purged
+        // by new events.
         trip.throw_at = -1;
         const auto third_back = make_back();
         const PoolId third_pool = add(*third_back, basic);
--- a/tests/core/timers_test.cpp
+++ b/tests/core/timers_test.cpp
@@ -10,8 +10,8 @@
 namespace flaxdoor::core {
 namespace {
 
-// Each timer comes due once and not before its time; timers with equal times come due in the order in which they were
-// set. Removed timers never come due. A handle remains valid while other timers are removed.
+// Each timer comes due once and not before its time; timers with equal times come due in the order in which
+// they were set. Removed timers never come due. A handle remains valid while other timers are removed.
 TEST(Timers, RandomOperationsAgreeWithAPlainList) {
     struct Item {
         Time at;
--- a/tests/core/world.h
+++ b/tests/core/world.h
@@ -1,6 +1,7 @@
-// A random environment of a core, made from one seed: calls, servers, lists, pools and time. It keeps a model of the history
-// of each call, attempt and address, and checks all actions of the core against it. The model is derived from the calls of
-// the ports and from the environment's own actions, never from the state of the core.
+// A random environment of a core, made from one seed: calls, servers, lists, pools and time. It keeps a model
+// of the history of each call, attempt and address, and checks all actions of the core against it. The model
+// is derived from the calls of the ports and from the environment's own actions, never from the state of the
+// core.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -76,7 +77,8 @@
 private:
     static constexpr std::size_t addresses = 8;
     static constexpr std::size_t slots = 4;
-    // Whether the policy applies changed settings (Policy::on_settings). If so, classes are reordered and removed.
+    // Whether the policy applies changed settings (Policy::on_settings). If so, classes are reordered and
+    // removed.
     static constexpr bool follows_settings = true;
 
     struct Server {
@@ -88,7 +90,7 @@
 
     // -------------------------------------------------------------------------------------- the model
 
-    enum class Phase { connecting, sending, whole, started, ended };
+    enum class Phase { connecting, sending, fully_sent, started, ended };
 
     struct PoolModel;
     struct AttemptModel {
@@ -326,8 +328,8 @@
         EXPECT_EQ(call.started, -1) << "sent although the answer has begun";
         EXPECT_LE(attempt.expires, call.deadline);
         EXPECT_LT(now_, attempt.expires);
-        // A number is skipped if its attempt was never handed to the back: its time was up, the back threw, or the policy
-        // had settings that allowed one attempt more.
+        // A number is skipped if its attempt was never handed to the back: its time was up, the back threw,
+        // or the policy had settings that allowed one attempt more.
         const int last = call.attempts.empty() ? -1 : attempts_[call.attempts.back()].key.number;
         if (traits_.throws || traits_.slow_ports || pool.changed) {
             EXPECT_GT(attempt.key.number, last);
@@ -430,7 +432,7 @@
         switch (attempt->phase) {
             case Phase::connecting: return end(at, one_in(2) ? Outcome::moot : Outcome::connect_failed);
             case Phase::sending: return end(at, one_in(2) ? Outcome::timeout : Outcome::connect_failed);
-            case Phase::whole:
+            case Phase::fully_sent:
                 if (attempt->planned_outcome == Outcome::ok && one_in(4)) return end(at, Outcome::ok);
                 return end(at, Outcome::timeout);
             default: return end(at, Outcome::timeout);
@@ -448,8 +450,8 @@
             << "executed although it was reported as not executed: call " << call.token;
     }
 
-    // Rule 2 measures the window of a retry from the first byte of each earlier attempt that may have executed to the first
-    // byte of the retry.
+    // Rule 2 measures the window of a retry from the first byte of each earlier attempt that may have
+    // executed to the first byte of the retry.
     void check_window(const CallModel& call, std::size_t at) {
         if (call.class_settings.effect != Effect::keyed || traits_.throws) return;
         for (const std::size_t index : call.attempts) {
@@ -474,7 +476,8 @@
                 const bool open = link != attempt.pool->links.end() && link->second.takes_work &&
                                   link->second.number == attempt.link;
                 if (!open) return end(at, Outcome::moot);
-                // The cancellation may wait in the core's queue. Sockets begin no attempt within another port.
+                // The cancellation may wait in the core's queue. Sockets begin no attempt within another
+                // port.
                 if (in_core_ && call.ended) return;
                 if (one_in(traits_.few_failures ? 40 : 8)) return end(at, Outcome::connect_failed);
                 if (one_in(24)) return end(at, Outcome::moot, true);
@@ -493,7 +496,7 @@
             }
             case Phase::sending: {
                 if (one_in(12)) return end(at, Outcome::connect_failed);
-                attempt.phase = Phase::whole;
+                attempt.phase = Phase::fully_sent;
                 attempt.fully_sent = true;
                 static constexpr std::array planned_outcomes{
                     Outcome::ok, Outcome::ok,    Outcome::ok,   Outcome::ok,    Outcome::ok,
@@ -505,7 +508,7 @@
                 if (sure || (attempt.planned_outcome != Outcome::full && one_in(2))) run(attempt);
                 return;
             }
-            case Phase::whole:
+            case Phase::fully_sent:
                 if (attempt.planned_outcome == Outcome::moot) {
                     if (attempt.pool->gone) end(at, Outcome::timeout);
                     return;
@@ -529,7 +532,7 @@
     void end_cancelled(std::size_t at) {
         const AttemptModel& attempt = attempts_[at];
         const bool crossed =
-            attempt.phase == Phase::whole && attempt.planned_outcome == Outcome::ok && one_in(3);
+            attempt.phase == Phase::fully_sent && attempt.planned_outcome == Outcome::ok && one_in(3);
         end(at, crossed ? Outcome::ok : Outcome::cancelled);
     }
 
@@ -560,7 +563,8 @@
         enter_core([&] { core_->on_attempt_end(std::move(result)); });
     }
 
-    // Runs a function that calls the core. When the outermost one has returned, the core has handled all events.
+    // Runs a function that calls the core. When the outermost one has returned, the core has handled all
+    // events.
     template <typename Function>
     void enter_core(Function function) {
         const bool outermost = !in_core_;
@@ -872,9 +876,11 @@
         Taken taken = Taken::yes;
         enter_core([&] { taken = core_->take(call, *this, token, &id); });
         ++outcomes[name_of("taken ", static_cast<std::uint64_t>(taken))];
-        // Within other events, ends of attempts may still wait in the core's queue: the core lags behind the model.
+        // Within other events, ends of attempts may still wait in the core's queue: the core lags behind the
+        // model.
         const bool core_lags = in_core_ && expected == Taken::yes && taken == Taken::name_open;
-        // The core drops ids in doubt in the order in which it recorded them, which the model does not know here.
+        // The core drops ids in doubt in the order in which it recorded them, which the model does not know
+        // here.
         const bool order_unclear = (traits_.nested || traits_.slow_ports) && !call.name.empty() &&
                                    (expected == Taken::yes || expected == Taken::name_open) &&
                                    (taken == Taken::yes || taken == Taken::name_open) &&
--- a/tests/recovery/belief_test.cpp
+++ b/tests/recovery/belief_test.cpp
@@ -140,7 +140,8 @@
     EXPECT_EQ(after(std::chrono::hours(24 * 365)), UpstreamMemory{});
 }
 
-// State that was restored, and not changed since, neither decays twice nor becomes newer by being written again.
+// State that was restored, and not changed since, neither decays twice nor becomes newer by being written
+// again.
 TEST(Belief, DecayIsTheSameOverTwoRestartsAsOverOne) {
     const auto first = restore_at(now0 + minutes(6), list(1, {}),
                                   stored_snapshot(9, {member(1)}, {{1, memory(8000, 18)}}, now0));
@@ -234,9 +235,9 @@
     EXPECT_LE(memory_after.out_until, now0 + settings().ramp_time);
 }
 
-// Rule 9, with a clock that was set back by an hour. The server had run for two seconds when the list was stored. It must be
-// restored with that age: neither older, and thus past its slow start, nor with a start time in the future, and thus in slow
-// start for an hour.
+// Rule 9, with a clock that was set back by an hour. The server had run for two seconds when the list was
+// stored. It must be restored with that age: neither older, and thus past its slow start, nor with a start
+// time in the future, and thus in slow start for an hour.
 TEST(Belief, IfTheClockWasSetBackNoTimeHasPassed) {
     auto dead = memory();
     dead.out = dead.died = true;
@@ -272,7 +273,8 @@
     EXPECT_EQ(memory_of(small_step, 1).limit, memory().limit);
 }
 
-// A snapshot with a valid hash may still hold values that no policy writes. All restored values must be within their ranges.
+// A snapshot with a valid hash may still hold values that no policy writes. All restored values must be
+// within their ranges.
 TEST(Belief, ImpossibleValuesAreClamped) {
     constexpr auto max_count = std::numeric_limits<std::int64_t>::max();
     for (const double value : {-1e9, -1.0, 0.0, 0.5, 1e300}) {
--- a/tests/recovery/daemon_test.cpp
+++ b/tests/recovery/daemon_test.cpp
@@ -1,4 +1,5 @@
-// Tests of the daemon over a restart, from outside: what it serves, what it logs, and what happens to its files.
+// Tests of the daemon over a restart, from outside: what it serves, what it logs, and what happens to its
+// files.
 #include <filesystem>
 #include <fstream>
 #include <map>
@@ -45,7 +46,8 @@
     const store::test::FolderHere root_;
 };
 
-// A started daemon whose configuration lists only upstream 0, and whose store holds list 9 with only the upstreams 1 and 2.
+// A started daemon whose configuration lists only upstream 0, and whose store holds list 9 with only the
+// upstreams 1 and 2.
 struct StageWithStoredList : Stage {
     StageWithStoredList() : Stage(3) {
         config["known"]["hosts"] = json::array({upstream(0)});
@@ -191,8 +193,8 @@
          }},
         {"a newer format", "written by a newer version",
          [&](Stage&, const StoreFolder& store_folder) {
-             // Format versions are covered by a hash; the store's own tests write valid hashes for other versions. Here
-             // only the identity has an unknown version.
+             // Format versions are covered by a hash; the store's own tests write valid hashes for other
+             // versions. Here only the identity has an unknown version.
              change(store_folder, "IDENTITY", 8, 2);
          }},
         {"no store", "no store: the folder holds ",
--- a/tests/recovery/herd_test.cpp
+++ b/tests/recovery/herd_test.cpp
@@ -1,6 +1,6 @@
-// Twelve balancers, each a core with its policy, in front of the same servers under virtual time. Half of them crash and
-// restart within the same second with the same snapshot while service discovery is down. No server in slow start may be
-// overloaded, and the restarted balancers must not all choose the same server.
+// Twelve balancers, each a core with its policy, in front of the same servers under virtual time. Half of
+// them crash and restart within the same second with the same snapshot while service discovery is down. No
+// server in slow start may be overloaded, and the restarted balancers must not all choose the same server.
 #include <gtest/gtest.h>
 
 #include <deque>
@@ -34,8 +34,9 @@
     return settings;
 }
 
-// A server with a queue and workers. During its slow start it answers as fast as any other, so that its latency gives no
-// warning of overload: only its known start time limits its load. It counts the requests that it is sent, for the checks.
+// A server with a queue and workers. During its slow start it answers as fast as any other, so that its
+// latency gives no warning of overload: only its known start time limits its load. It counts the requests
+// that it is sent, for the checks.
 struct Server {
     Time started_at{};
     bool alive = true;
@@ -258,7 +259,8 @@
         });
     }
 
-    // Checks for overload: a server must not get more than fall_multiple times its present capacity within fall_span.
+    // Checks for overload: a server must not get more than fall_multiple times its present capacity within
+    // fall_span.
     void arrive_at(int number, std::function<void(Micros)> done) {
         Server& server = servers_[static_cast<std::size_t>(number)];
         server.sent.push_back(now_);
--- a/tests/recovery/keeper_test.cpp
+++ b/tests/recovery/keeper_test.cpp
@@ -1,4 +1,5 @@
-// Tests of the store behind the engine, with a disk that the test blocks. A blocked disk must never delay a request.
+// Tests of the store behind the engine, with a disk that the test blocks. A blocked disk must never delay a
+// request.
 #include "engine/keeper.h"
 
 #include <gtest/gtest.h>
@@ -30,8 +31,8 @@
 using namespace std::chrono_literals;
 using standins::run_until;
 
-// Controls what the disk may do. Blocked calls wait until the test releases them. If it never does, because the program waits
-// for the disk, they continue after a time limit and set `timed_out`.
+// Controls what the disk may do. Blocked calls wait until the test releases them. If it never does, because
+// the program waits for the disk, they continue after a time limit and set `timed_out`.
 struct Disk {
     enum class Hold { nothing, syncs, all };
     void hold(Hold mode) {
@@ -188,7 +189,8 @@
         list.version = version;
         engine->take_list(std::move(list));
     }
-    // Sends the given number of requests, with a new list after every 20 of them. Returns whether all were served.
+    // Sends the given number of requests, with a new list after every 20 of them. Returns whether all were
+    // served.
     bool load(std::uint64_t calls) {
         standins::LoadClient::Settings settings;
         settings.targets = {*engine->address()};
@@ -311,8 +313,8 @@
     EXPECT_EQ(stage.stored_version(), list.version);
 }
 
-// All reads, writes and syncs of the store are blocked. The start waits for 200 ms and then serves. The shutdown waits for two
-// seconds and then ends.
+// All reads, writes and syncs of the store are blocked. The start waits for 200 ms and then serves. The
+// shutdown waits for two seconds and then ends.
 TEST(Keeper, ADiskStalledFromTheStartDelaysNoRequest) {
     Stage stage;
     stage.start();
@@ -397,8 +399,8 @@
     EXPECT_LT(stage.disk->appends - appends_before, 100U);
 }
 
-// The store was written with a clock that was an hour ahead. The daemon serves, and takes no server for younger or older than
-// it is.
+// The store was written with a clock that was an hour ahead. The daemon serves, and takes no server for
+// younger or older than it is.
 TEST(Keeper, AClockThatWasSetBackDoesNoHarm) {
     Stage stage;
     const auto now = std::chrono::duration_cast<Micros>(std::chrono::system_clock::now().time_since_epoch());
@@ -424,7 +426,8 @@
     stage.start();
     EXPECT_EQ(stage.log.count("store: the clock has gone back"), 1U);
     EXPECT_EQ(stage.log.count("store: list 50 with 1 server, 0 s old"), 1U);
-    // The server had run for half an hour: it is not in slow start, although its start time lies in the future.
+    // The server had run for half an hour: it is not in slow start, although its start time lies in the
+    // future.
     ASSERT_TRUE(stage.load(500));
 }
 
@@ -471,8 +474,8 @@
     return list;
 }
 
-// The write of a list fails while the next one, which has only the changed parts, is queued. After a crash the store must hold
-// one list that existed, never a mixture of two.
+// The write of a list fails while the next one, which has only the changed parts, is queued. After a crash
+// the store must hold one list that existed, never a mixture of two.
 TEST(Keeper, AFailedWriteLeavesNoMixtureOfTwoLists) {
     Stage stage;
     auto keeper = stage.keeper(1h);
@@ -531,8 +534,8 @@
                             [](const auto& member) { return member.entry.memory.has_value(); }));
 }
 
-// The stored form of some names takes more bytes than the recorder assumes. Parts that were not written must not count as
-// written.
+// The stored form of some names takes more bytes than the recorder assumes. Parts that were not written must
+// not count as written.
 TEST(Keeper, AListTooLargeToWriteLeavesNoMixtureOfTwoLists) {
     Stage stage;
     auto keeper = stage.keeper(10ms);
--- a/tests/recovery/record_test.cpp
+++ b/tests/recovery/record_test.cpp
@@ -74,8 +74,9 @@
     return map_store;
 }
 
-// Changes each byte of each value in three ways, and cuts each value at every length. The value must be ignored, and reported
-// as a fault. A damaged part of the learned state must not affect any other value. A damaged list must be ignored.
+// Changes each byte of each value in three ways, and cuts each value at every length. The value must be
+// ignored, and reported as a fault. A damaged part of the learned state must not affect any other value. A
+// damaged list must be ignored.
 TEST(Record, EveryDamagedByteIsDetected) {
     const MapStore undamaged = sample_store();
     ASSERT_EQ(undamaged.read().remembered.size(), 3U);
--- a/tests/recovery/recorder_test.cpp
+++ b/tests/recovery/recorder_test.cpp
@@ -218,7 +218,8 @@
     EXPECT_TRUE(map_store.read().list);
 }
 
-// After the first list of a new origin was written, a restart must not find the learned state of the previous origin.
+// After the first list of a new origin was written, a restart must not find the learned state of the previous
+// origin.
 TEST(Recorder, AListFromAnotherOriginDeletesThePreviousLearnedState) {
     MapStore map_store;
     Recorder previous(default_origin, {}, now0);
--- a/tests/recovery/store_cli_test.cpp
+++ b/tests/recovery/store_cli_test.cpp
@@ -1,4 +1,5 @@
-// Tests of `flaxdoor store ...`: its output, its exit status, and that commands which only read change nothing.
+// Tests of `flaxdoor store ...`: its output, its exit status, and that commands which only read change
+// nothing.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -159,8 +160,8 @@
     EXPECT_EQ(run("verify " + path()).status, 0);
 }
 
-// Salvage of an undamaged store loses nothing. Salvage of a damaged one saves the rest, reports the loss, and does not change
-// the old files.
+// Salvage of an undamaged store loses nothing. Salvage of a damaged one saves the rest, reports the loss, and
+// does not change the old files.
 TEST_F(StoreProgram, SalvageCopiesReadableDataIntoANewStore) {
     fill(*open(), 1000);
     Ended ended = run("salvage " + path() + " " + path("whole"));
--- a/tests/recovery/store_thread_test.cpp
+++ b/tests/recovery/store_thread_test.cpp
@@ -1,4 +1,5 @@
-// Tests of the store on its thread: which results are reported when it can't be opened, is full, or its disk blocks.
+// Tests of the store on its thread: which results are reported when it can't be opened, is full, or its disk
+// blocks.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -78,8 +79,8 @@
     EXPECT_TRUE(store->close(20s));
 }
 
-// The disk blocks while the store is opened. The queue is bounded, close() has a time limit, and no callback is called after
-// it.
+// The disk blocks while the store is opened. The queue is bounded, close() has a time limit, and no callback
+// is called after it.
 TEST(StoreThread, ABlockedDiskBlocksNoCaller) {
     const FolderHere folder;
     Loop loop;
@@ -168,7 +169,8 @@
     EXPECT_LT(store->figures().groups, 150U);  // writes were grouped
 }
 
-// A durable write that is refused does not sync. An earlier write with the level `soon` must not wait for the next one.
+// A durable write that is refused does not sync. An earlier write with the level `soon` must not wait for the
+// next one.
 TEST(StoreThread, ASoonWriteIsSyncedAlthoughADurableWriteWasRefused) {
     const FolderHere folder;
     Loop loop;
@@ -205,8 +207,9 @@
     EXPECT_TRUE(synced());
 }
 
-// Several threads use the store while one closes it. Each accepted request must be reported exactly once, and each write that
-// was reported as successful must be found. Also run under the thread sanitizer (tests/tsan.sh).
+// Several threads use the store while one closes it. Each accepted request must be reported exactly once, and
+// each write that was reported as successful must be found. Also run under the thread sanitizer
+// (tests/tsan.sh).
 TEST(StoreThread, ManyThreadsMayUseAStoreWhileOneClosesIt) {
     constexpr int threads = 4, requests = 400;
     for (int round = 0; round < 10; ++round) {
