--- a/tests/recovery/herd_test.cpp
+++ b/tests/recovery/herd_test.cpp
@@ -74,7 +74,7 @@
         return -1;
     }
 
-    void at(Time when, std::function<void()> action) {
+    void schedule(Time when, std::function<void()> action) {
         events_.push({when, ++last_order_, std::move(action)});
     }
     void run(Time until) {
@@ -102,7 +102,7 @@
         for (int i = 0; i < balancers / 2; ++i) {
             nodes_[static_cast<std::size_t>(i)]->stop();
             const auto delay = Micros(std::uniform_int_distribution<int>(0, 49'999)(random_));
-            at(restart_at_ + delay, [this, i, snapshot] {
+            schedule(restart_at_ + delay, [this, i, snapshot] {
                 Node& node = *nodes_[static_cast<std::size_t>(i)];
                 node.start(snapshot, now_);
             });
@@ -162,11 +162,12 @@
             map_store.receive_list(*recorder, world.now_, list);
             core->on_list(pool, list);
         }
-        void tick(int current_incarnation) {
-            if (current_incarnation != incarnation) return;
+        void tick(int captured_incarnation) {
+            if (captured_incarnation != incarnation) return;
             map_store.apply(recorder->take_memory_changes(
                 world.now_, [&](UpstreamId upstream) { return core->learned(pool, upstream); }));
-            world.at(world.now_ + ms(200), [this, current_incarnation] { tick(current_incarnation); });
+            world.schedule(world.now_ + ms(200),
+                           [this, captured_incarnation] { tick(captured_incarnation); });
         }
         void call() {
             ++world.calls_;
@@ -180,10 +181,10 @@
 
         Time now() const override { return world.now_; }
         void set(Time at) override {
-            const int current_incarnation = incarnation;
+            const int captured_incarnation = incarnation;
             const std::uint64_t alarm_number = ++last_alarm;
-            world.at(at, [this, current_incarnation, alarm_number] {
-                if (current_incarnation == incarnation && alarm_number == last_alarm) core->on_alarm();
+            world.schedule(at, [this, captured_incarnation, alarm_number] {
+                if (captured_incarnation == incarnation && alarm_number == last_alarm) core->on_alarm();
             });
         }
         void event(const core::Event&, std::span<const core::Value>) override {}
@@ -204,15 +205,15 @@
                     choices.emplace_back(rank, server);
                 }
             }
-            const int current_incarnation = incarnation;
+            const int captured_incarnation = incarnation;
             const Time sent = world.now_;
             const auto key = attempt.key;
-            const auto end = [this, current_incarnation, key, sent](Outcome outcome) {
-                if (current_incarnation == incarnation) end_attempt(key, outcome, world.now_ - sent);
+            const auto end = [this, captured_incarnation, key, sent](Outcome outcome) {
+                if (captured_incarnation == incarnation) end_attempt(key, outcome, world.now_ - sent);
             };
             if (!world.servers_[static_cast<std::size_t>(server)].alive) {
                 if (incarnation > 1 && !std::exchange(probed, true)) world.probe_times_.push_back(sent);
-                world.at(sent + ms(1), [end] { end(Outcome::connect_failed); });
+                world.schedule(sent + ms(1), [end] { end(Outcome::connect_failed); });
                 return;
             }
             core->on_attempt_sending(key);
@@ -248,7 +249,7 @@
     void arrive() {
         const double interarrival_us =
             -std::log(1 - std::generate_canonical<double, 30>(random_)) / rate * 1e6;
-        at(now_ + Micros(static_cast<std::int64_t>(interarrival_us)), [this] {
+        schedule(now_ + Micros(static_cast<std::int64_t>(interarrival_us)), [this] {
             // Clients use the balancers that are running.
             std::vector<Node*> running;
             for (auto& node : nodes_) {
@@ -284,7 +285,7 @@
         const double factor = 0.5 + std::generate_canonical<double, 30>(random_);
         const auto time =
             Micros(static_cast<std::int64_t>(static_cast<double>(service_time.count()) * factor));
-        at(now_ + time, [this, number, time, done = std::move(done)] {
+        schedule(now_ + time, [this, number, time, done = std::move(done)] {
             Server& finished = servers_[static_cast<std::size_t>(number)];
             --finished.busy;
             done(time);
