--- a/src/loop/executor.h
+++ b/src/loop/executor.h
@@ -1,5 +1,5 @@
-// Where everything of one instance runs: the loop of one thread, or a strand of several. Never two handlers
-// at once.
+// The executor of one instance: the event loop of one thread, or a strand over several threads. It never runs
+// two handlers at once.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
