--- a/examples/web_host.cpp
+++ b/examples/web_host.cpp
@@ -1,6 +1,6 @@
 // A web server with an embedded balancer: RESTinio serves the application's pages, and the balancer sends
-// requests of /api to the upstream at ADDRESS:PORT. Usage: web_host PORT ADDRESS:PORT. SIGTERM and SIGINT shut it
-// down gracefully: it exits once all requests have been answered.
+// requests of /api to the upstream at ADDRESS:PORT. Usage: web_host PORT ADDRESS:PORT. SIGTERM and SIGINT
+// shut it down gracefully: it exits once all requests have been answered.
 #include <flaxdoor/middleware/restinio.h>
 
 #include <boost/asio/io_context.hpp>
--- a/tests/embed/host.cpp
+++ b/tests/embed/host.cpp
@@ -1,5 +1,5 @@
-// A host of the installed library, which has nothing else of this repository: one call to nobody, refused in
-// its time, on a loop of its own and by the form that waits.
+// A host of the installed library that uses nothing else of this repository. It makes one call without any
+// server, which must be refused, with Balancer on its own loop and with BlockingBalancer.
 #include <flaxdoor/balancer.h>
 #include <flaxdoor/blocking_balancer.h>
 
--- a/tests/embed/main.cpp
+++ b/tests/embed/main.cpp
@@ -1,5 +1,5 @@
-// The smallest host: two upstreams, one request, a failed connection and the retry. Prints what it is asked
-// to do.
+// The smallest host of the decision module: two upstreams, one request, a failed connection and a retry.
+// Prints the actions that the module requests.
 #include <flaxdoor/decide.h>
 
 #include <cstdio>
@@ -53,14 +53,14 @@
     policy.on_request(milliseconds(1), request);
     const flaxdoor::UpstreamId first = host.last;
 
-    flaxdoor::AttemptEnd end;  // the connection fails: the module may send again at once, or wait a gap
+    flaxdoor::AttemptEnd end;  // the connection fails: the module retries at once or after a back-off
     end.request = request.id;
     end.outcome = flaxdoor::Outcome::connect_failed;
     end.latency = milliseconds(2);
     end.upstream = first;
     policy.on_attempt_end(milliseconds(3), end);
 
-    while (host.sent < 2 && !host.timers.empty()) {  // a host's loop: fire what is due, in order of time
+    while (host.sent < 2 && !host.timers.empty()) {  // the host's loop: runs due timers in order of time
         const auto [at, token] = *host.timers.begin();
         host.timers.erase(host.timers.begin());
         if (at > request.deadline) break;
--- a/tests/embed/run.cmake
+++ b/tests/embed/run.cmake
@@ -1,5 +1,5 @@
-# Installs the build into a fresh prefix and builds hosts against it in folders of their own: by CMake with each compiler
-# that is there, by pkg-config, and the module alone where there is no Boost. Runs them.
+# Installs the build into a fresh prefix, builds host programs against it in separate folders, and runs them: with CMake
+# and each available compiler, with pkg-config, and the decision module alone without Boost.
 file(REMOVE_RECURSE ${WORK})
 
 function(step)
@@ -13,7 +13,7 @@
 function(expect program wanted)
   step(${program})
   if(NOT output MATCHES "${wanted}")
-    message(FATAL_ERROR "${program} said: ${output}")
+    message(FATAL_ERROR "${program} printed unexpected output: ${output}")
   endif()
 endfunction()
 
@@ -33,14 +33,14 @@
   endif()
 endforeach()
 
-# The module needs nothing else: neither Boost nor threads.
+# The decision module needs neither Boost nor threads.
 set(folder ${WORK}/module)
 step(${CMAKE_COMMAND} -S ${SOURCE} -B ${folder} -DCMAKE_PREFIX_PATH=${WORK}/prefix -DWITH_BALANCER=OFF
   -DCMAKE_DISABLE_FIND_PACKAGE_Boost=ON)
 step(${CMAKE_COMMAND} --build ${folder})
 expect(${folder}/embed "${module}")
 
-# By pkg-config, from wherever the prefix has been put.
+# With pkg-config, after the prefix has been moved.
 file(RENAME ${WORK}/prefix ${WORK}/moved)
 find_program(pkg_config NAMES pkg-config pkgconf REQUIRED)
 file(GLOB_RECURSE pc ${WORK}/moved/*/flaxdoor-balancer.pc)
@@ -51,8 +51,8 @@
 step(${found_g++} ${SOURCE}/host.cpp -o ${WORK}/host ${flags})
 expect(${WORK}/host "${library}")
 
-# What a host is made to read: our headers and Asio's, not what the library is built with.
+# The public headers include Asio, but none of the libraries that only the implementation uses.
 step(${found_g++} -std=c++20 -I ${WORK}/moved/include -M ${SOURCE}/host.cpp)
 if(output MATCHES "[^ ]*(beast|nlohmann|toml)[^ ]*" OR NOT output MATCHES "boost/asio")
-  message(FATAL_ERROR "the public headers bring ${CMAKE_MATCH_0}")
+  message(FATAL_ERROR "the public headers must include boost/asio and no private dependency, but found: ${CMAKE_MATCH_0}")
 endif()
--- a/tests/library/cancel_test.cpp
+++ b/tests/library/cancel_test.cpp
@@ -1,5 +1,5 @@
-// The host cancels a call, at every stage of its way and by every type of cancellation. What may have run is
-// counted at the nodes, and told as such.
+// The host cancels a call, at every stage and with every type of cancellation. The stand-ins count
+// executions, and the result must report a call that may have been executed.
 #include <functional>
 
 #include "rig.h"
@@ -18,95 +18,97 @@
                                                 : "terminal";
 }
 
-class Cancel : public Rig {
+class Cancel : public LibraryTest {
 protected:
-    struct Running {
+    struct CancellableCall {
         std::unique_ptr<asio::cancellation_signal> signal = std::make_unique<asio::cancellation_signal>();
-        EndingPointer ending = std::make_shared<Ending>();
+        CompletionPointer completion = std::make_shared<Completion>();
     };
-    Running run(Balancer& balancer, CallRequest request) {
-        Running running;
-        balancer.async_call(std::move(request),
-                            asio::bind_cancellation_slot(running.signal->slot(), into(running.ending)));
-        return running;
+    CancellableCall start_cancellable_call(Balancer& balancer, CallRequest request) {
+        CancellableCall cancellable;
+        balancer.async_call(
+            std::move(request),
+            asio::bind_cancellation_slot(cancellable.signal->slot(), record_into(cancellable.completion)));
+        return cancellable;
     }
-    // One more turn of the loop than a posted cancellation and the handler it posts need.
-    bool cancelled(Running& running, cancellation_type type) {
-        running.signal->emit(type);
+    // Emits the signal and returns whether the call has completed. Runs the loop once more than the posted
+    // cancellation and the handler that it posts need.
+    bool cancel(CancellableCall& cancellable, cancellation_type type) {
+        cancellable.signal->emit(type);
         for (int i = 0; i < 3; ++i) settle();
-        return running.ending->over();
+        return cancellable.completion->completed();
     }
-    // Before a byte of it is out: every type ends it, and nothing ever reaches the node.
-    void expect_never_sent(Running& running, cancellation_type type) {
-        ASSERT_TRUE(cancelled(running, type)) << name_of(type);
-        expect_cancelled(*running.ending, false, name_of(type));
+    // Before a byte of the call has been sent, every type cancels it, and nothing reaches the upstream.
+    void expect_never_sent(CancellableCall& cancellable, cancellation_type type) {
+        ASSERT_TRUE(cancel(cancellable, type)) << name_of(type);
+        expect_cancelled(*cancellable.completion, false, name_of(type));
     }
-    // Once a byte of it is out: `total` promises that nothing has happened, so it ends nothing.
-    void expect_sent(Running& running, cancellation_type type, const std::string& where) {
+    // After a byte of the call has been sent, `total` has no effect, since it promises no side effects.
+    void expect_sent(CancellableCall& cancellable, cancellation_type type, const std::string& where) {
         const bool total = type == cancellation_type::total;
-        EXPECT_EQ(cancelled(running, type), !total) << where;
+        EXPECT_EQ(cancel(cancellable, type), !total) << where;
         if (total) {
-            EXPECT_TRUE(cancelled(running, cancellation_type::terminal)) << where;
+            EXPECT_TRUE(cancel(cancellable, cancellation_type::terminal)) << where;
         }
-        expect_cancelled(*running.ending, true, where);
+        expect_cancelled(*cancellable.completion, true, where);
     }
 };
 
-TEST_F(Cancel, BeforeTheInstanceHasHeardOfIt) {
-    Balancer& balancer = serving();
+TEST_F(Cancel, BeforeTheExecutorRuns) {
+    Balancer& balancer = make_balancer();
     for (const auto type : types) {
-        auto running = run(balancer, check_in());
-        expect_never_sent(running, type);
+        auto cancellable = start_cancellable_call(balancer, check_in());
+        expect_never_sent(cancellable, type);
     }
     expect_served(balancer, check_in());
     EXPECT_EQ(nodes[0]->counts().begun, 1U);
     EXPECT_EQ(balancer.figures().library_calls, 4U);
 }
 
-TEST_F(Cancel, WaitingForItsGapInTheModule) {
+TEST_F(Cancel, WhileWaitingForAnUpstream) {
     add_node();
-    BalancerOptions its = options();
-    const ServerList listed = std::exchange(its.servers, {});
+    BalancerOptions balancer_options = options();
+    const ServerList listed = std::exchange(balancer_options.servers, {});
     for (const auto type : types) {
-        Balancer balancer(loop.get_executor(), its);
-        auto running = run(balancer, check_in());
-        settle();  // nobody is listed: it waits
-        ASSERT_FALSE(running.ending->over());
-        expect_never_sent(running, type);
+        Balancer balancer(loop.get_executor(), balancer_options);
+        auto cancellable = start_cancellable_call(balancer, check_in());
+        settle();  // no server is listed, so the call waits
+        ASSERT_FALSE(cancellable.completion->completed());
+        expect_never_sent(cancellable, type);
         balancer.set_servers(listed);
         expect_served(balancer, check_in());
     }
-    EXPECT_EQ(nodes[0]->counts().begun, 3U);  // of the three calls that were served
+    EXPECT_EQ(nodes[0]->counts().begun, 3U);  // those of the three served calls
 }
 
-TEST_F(Cancel, Connecting) {
+TEST_F(Cancel, WhileConnecting) {
     for (const auto type : types) {
         BookingNode& node = add_node();
         node.vanish();
-        BalancerOptions its = options_for({text_of(node.address())});
-        Balancer balancer(loop.get_executor(), its);
-        auto running = run(balancer, check_in());
+        BalancerOptions balancer_options = options_for({text_of(node.address())});
+        Balancer balancer(loop.get_executor(), balancer_options);
+        auto cancellable = start_cancellable_call(balancer, check_in());
         settle();
-        ASSERT_FALSE(running.ending->over());
-        expect_never_sent(running, type);
+        ASSERT_FALSE(cancellable.completion->completed());
+        expect_never_sent(cancellable, type);
         node.reappear(false);
         expect_served(balancer, check_in());
         EXPECT_EQ(node.counts().begun, 1U) << name_of(type);
     }
 }
 
-// The peer reads nothing and the body is large.
+// The upstream reads nothing, and the body does not fit into the socket buffers.
 TEST_F(Cancel, PartlyWritten) {
     for (const auto type : types) {
         DeafPeer peer(loop);
         Balancer balancer(loop.get_executor(), options_for({peer.address()}));
         CallRequest request = check_in();
         request.body.assign(64 * 1024, 'x');
-        auto running = run(balancer, request);
+        auto cancellable = start_cancellable_call(balancer, request);
         ASSERT_TRUE(until([&] { return peer.something_came(); }));
         settle();
-        expect_sent(running, type, name_of(type));
-        // What was out is all that comes: the rest is not sent on, nor the whole again.
+        expect_sent(cancellable, type, name_of(type));
+        // Neither the rest of the request nor the whole request again is sent.
         peer.read_all();
         ASSERT_TRUE(until([&] { return peer.ended(); }));
         EXPECT_GT(peer.bytes().size(), 0U);
@@ -115,7 +117,7 @@
     }
 }
 
-// From the last byte on it has run, or may have: no other node gets it.
+// Once the whole request has been sent, it may have been executed: it is sent to no other upstream.
 TEST_F(Cancel, WhollyWrittenOrPartlyAnswered) {
     for (const char* const spec :
          {"never,times=1", "never,run=0,times=1", "after_head,end=silence,times=1",
@@ -126,15 +128,15 @@
             add_node();
             for (auto& node : nodes) fault(*node, spec);
             Balancer balancer(loop.get_executor(), options());
-            auto running = run(balancer, check_in());
-            const auto struck = [&](const auto& node) { return node->count_of(Kind::fault) > 0; };
-            ASSERT_TRUE(until([&] { return struck(nodes[0]) || struck(nodes[1]); })) << spec;
+            auto cancellable = start_cancellable_call(balancer, check_in());
+            const auto triggered = [&](const auto& node) { return node->count_of(Kind::fault) > 0; };
+            ASSERT_TRUE(until([&] { return triggered(nodes[0]) || triggered(nodes[1]); })) << spec;
             settle();
             const std::string where = std::string(spec) + ", " + name_of(type);
-            expect_sent(running, type, where);
-            const std::string id = running.ending->result.id;
+            expect_sent(cancellable, type, where);
+            const std::string id = cancellable.completion->result.id;
             for (auto& node : nodes) node->clear_faults();
-            // Its connection carries no other call: what may still come on it is no other's answer.
+            // The connection is not reused: a late answer on it must not be taken for another call's.
             expect_served(balancer, check_in());
             expect_served(balancer, look());
             EXPECT_EQ(attempts_of(id), 1U) << where;
@@ -143,182 +145,186 @@
     }
 }
 
-// Where the platform's rules forbid to cancel, the attempt runs on there; the caller is told all the same.
-TEST_F(Cancel, WhereAttemptsMayNotBeCancelled) {
+// If may_cancel is false, the attempt continues at the upstream, but the caller's call ends all the same.
+TEST_F(Cancel, WhenAttemptsMayNotBeCancelled) {
     add_node();
     fault(*nodes[0], "never,req=1");
-    BalancerOptions its = options();
-    its.settings.may_cancel = false;
-    Balancer balancer(loop.get_executor(), its);
-    auto running = run(balancer, check_in());
-    ASSERT_TRUE(struck());
-    EXPECT_TRUE(cancelled(running, cancellation_type::terminal));
-    expect_cancelled(*running.ending, true, "may_cancel is false");
+    BalancerOptions balancer_options = options();
+    balancer_options.settings.may_cancel = false;
+    Balancer balancer(loop.get_executor(), balancer_options);
+    auto cancellable = start_cancellable_call(balancer, check_in());
+    ASSERT_TRUE(wait_for_fault());
+    EXPECT_TRUE(cancel(cancellable, cancellation_type::terminal));
+    expect_cancelled(*cancellable.completion, true, "may_cancel is false");
     expect_served(balancer, check_in());
-    EXPECT_EQ(attempts_of(running.ending->result.id), 1U);
+    EXPECT_EQ(attempts_of(cancellable.completion->result.id), 1U);
 }
 
-// Turned away, it has not run although bytes of it were out, and waits for another try.
+// The upstream rejected the first attempt: although it was sent, the call has not been executed. It waits for
+// a retry.
 TEST_F(Cancel, BetweenTwoAttempts) {
     add_node();
     fault(*nodes[0], "turn_away");
     for (const auto type : types) {
-        BalancerOptions its = options();
-        its.settings.max_attempts = 1000;
-        Balancer balancer(loop.get_executor(), its);
-        auto running = run(balancer, check_in());
+        BalancerOptions balancer_options = options();
+        balancer_options.settings.max_attempts = 1000;
+        Balancer balancer(loop.get_executor(), balancer_options);
+        auto cancellable = start_cancellable_call(balancer, check_in());
         const auto before = nodes[0]->count_of(Kind::turned_away);
-        ASSERT_TRUE(
-            until([&] { return running.ending->over() || nodes[0]->count_of(Kind::turned_away) > before; }));
+        ASSERT_TRUE(until([&] {
+            return cancellable.completion->completed() || nodes[0]->count_of(Kind::turned_away) > before;
+        }));
         settle();
-        if (running.ending->over()) continue;  // the module had no further use for it
+        if (cancellable.completion->completed()) continue;  // the decision module gave the call up
         if (type == cancellation_type::total) {
-            EXPECT_FALSE(cancelled(running, type)) << "bytes of it were out";
-            running.signal->emit(cancellation_type::terminal);
+            EXPECT_FALSE(cancel(cancellable, type)) << "bytes of it have been sent";
+            cancellable.signal->emit(cancellation_type::terminal);
         } else {
-            running.signal->emit(type);
+            cancellable.signal->emit(type);
         }
-        ASSERT_TRUE(over(running.ending));
-        EXPECT_EQ(running.ending->result.cause, CallCause::cancelled);
+        ASSERT_TRUE(wait_for_completion(cancellable.completion));
+        EXPECT_EQ(cancellable.completion->result.cause, CallCause::cancelled);
         EXPECT_EQ(effects->counts().ran, 0U);
     }
 }
 
-// The answer is there and the handler waits for its executor: nothing is cancelled any more.
-TEST_F(Cancel, AnsweredAndTheHandlerHasNotRun) {
-    Balancer& balancer = serving();
+// The answer has arrived and the handler waits for balancer_options executor: cancellation has no effect.
+TEST_F(Cancel, AfterTheAnswerBeforeTheHandler) {
+    Balancer& balancer = make_balancer();
     for (const auto type : types) {
-        asio::io_context later;
+        asio::io_context handler_loop;
         asio::cancellation_signal signal;
-        const auto ending = std::make_shared<Ending>();
-        balancer.async_call(check_in(), asio::bind_cancellation_slot(
-                                            signal.slot(), asio::bind_executor(later, into(ending))));
+        const auto completion = std::make_shared<Completion>();
+        balancer.async_call(check_in(),
+                            asio::bind_cancellation_slot(
+                                signal.slot(), asio::bind_executor(handler_loop, record_into(completion))));
         const auto answered = nodes[0]->counts().answered;
         ASSERT_TRUE(until([&] { return nodes[0]->counts().answered > answered; }));
         expect_served(balancer, look());
-        EXPECT_EQ(ending->times, 0);
+        EXPECT_EQ(completion->times, 0);
         signal.emit(type);
         settle();
-        later.run();
-        EXPECT_EQ(ending->times, 1);
-        EXPECT_EQ(ending->result.verdict, CallVerdict::served) << name_of(type);
-        signal.emit(type);  // and long after
+        handler_loop.run();
+        EXPECT_EQ(completion->times, 1);
+        EXPECT_EQ(completion->result.verdict, CallVerdict::served) << name_of(type);
+        signal.emit(type);  // and after the handler has run
         settle();
-        EXPECT_EQ(ending->times, 1);
+        EXPECT_EQ(completion->times, 1);
     }
 }
 
-TEST_F(Cancel, TwiceAndAfterTheEnd) {
-    Balancer& balancer = serving("never,req=1");
-    auto running = run(balancer, check_in());
-    ASSERT_TRUE(struck());
-    running.signal->emit(cancellation_type::terminal);
-    running.signal->emit(cancellation_type::terminal);
-    running.signal->emit(cancellation_type::partial);
-    ASSERT_TRUE(over(running.ending));
-    running.signal->emit(cancellation_type::terminal);
+TEST_F(Cancel, TwiceAndAfterCompletion) {
+    Balancer& balancer = make_balancer("never,req=1");
+    auto cancellable = start_cancellable_call(balancer, check_in());
+    ASSERT_TRUE(wait_for_fault());
+    cancellable.signal->emit(cancellation_type::terminal);
+    cancellable.signal->emit(cancellation_type::terminal);
+    cancellable.signal->emit(cancellation_type::partial);
+    ASSERT_TRUE(wait_for_completion(cancellable.completion));
+    cancellable.signal->emit(cancellation_type::terminal);
     expect_served(balancer, look());
-    expect_cancelled(*running.ending, true, "twice");
-    // A signal outlives the instance: it leads nowhere.
-    auto later = run(balancer, check_in());
-    ASSERT_TRUE(over(later.ending));
+    expect_cancelled(*cancellable.completion, true, "twice");
+    // A signal that outlives the instance has no effect.
+    auto later = start_cancellable_call(balancer, check_in());
+    ASSERT_TRUE(wait_for_completion(later.completion));
     std::optional<Balancer> second(std::in_place, loop.get_executor(), options());
-    auto open = run(*second, check_in());
+    auto open = start_cancellable_call(*second, check_in());
     second.reset();
     open.signal->emit(cancellation_type::terminal);
     settle();
     open.signal->emit(cancellation_type::terminal);
-    EXPECT_EQ(open.ending->times, 1);
-    EXPECT_EQ(open.ending->result.cause, CallCause::closed);
+    EXPECT_EQ(open.completion->times, 1);
+    EXPECT_EQ(open.completion->result.cause, CallCause::closed);
 }
 
 TEST_F(Cancel, WithinAnotherCallsHandler) {
-    Balancer& balancer = serving("never,class=check-in,req=1");
-    auto running = run(balancer, check_in());
-    ASSERT_TRUE(struck());
+    Balancer& balancer = make_balancer("never,class=check-in,req=1");
+    auto cancellable = start_cancellable_call(balancer, check_in());
+    ASSERT_TRUE(wait_for_fault());
     bool within = false;
     balancer.async_call(look(), [&](CallResult result) {
         EXPECT_EQ(result.verdict, CallVerdict::served);
-        running.signal->emit(cancellation_type::terminal);
-        within = running.ending->over();
+        cancellable.signal->emit(cancellation_type::terminal);
+        within = cancellable.completion->completed();
     });
-    ASSERT_TRUE(over(running.ending));
-    EXPECT_FALSE(within);  // never from within
-    expect_cancelled(*running.ending, true, "within");
+    ASSERT_TRUE(wait_for_completion(cancellable.completion));
+    EXPECT_FALSE(within);  // a handler never runs from within emit()
+    expect_cancelled(*cancellable.completion, true, "within");
 }
 
-// A call that cancels itself in its own handler, and one that cancels the call it starts there.
+// A handler emits balancer_options own call's signal, and then starts and cancels a second call with the same
+// signal.
 TEST_F(Cancel, WithinItsOwnHandler) {
-    Balancer& balancer = serving();
+    Balancer& balancer = make_balancer();
     asio::cancellation_signal signal;
-    const auto second = std::make_shared<Ending>();
+    const auto second = std::make_shared<Completion>();
     int first = 0;
     balancer.async_call(look(), asio::bind_cancellation_slot(signal.slot(), [&](CallResult) {
                             ++first;
                             signal.emit(cancellation_type::terminal);
-                            balancer.async_call(look(),
-                                                asio::bind_cancellation_slot(signal.slot(), into(second)));
+                            balancer.async_call(
+                                look(), asio::bind_cancellation_slot(signal.slot(), record_into(second)));
                             signal.emit(cancellation_type::terminal);
                         }));
-    ASSERT_TRUE(over(second));
+    ASSERT_TRUE(wait_for_completion(second));
     EXPECT_EQ(first, 1);
-    // Its connection was there already: it went out before the cancellation came.
+    // A connection was idle, so the second call was sent before the cancellation was processed.
     expect_cancelled(*second, true, "the second");
     EXPECT_LE(attempts_of(second->result.id), 1U);
 }
 
-TEST_F(Cancel, ByTheLoopsOwnStop) {
-    Balancer& balancer = serving("never");
-    auto running = run(balancer, check_in());
-    ASSERT_TRUE(struck());
-    running.signal->emit(cancellation_type::terminal);
+TEST_F(Cancel, WhenTheLoopIsStopped) {
+    Balancer& balancer = make_balancer("never");
+    auto cancellable = start_cancellable_call(balancer, check_in());
+    ASSERT_TRUE(wait_for_fault());
+    cancellable.signal->emit(cancellation_type::terminal);
     loop.stop();
     EXPECT_EQ(loop.run(), 0U);
-    EXPECT_EQ(running.ending->times, 0);
-    ASSERT_TRUE(over(running.ending));  // it is run on
-    expect_cancelled(*running.ending, true, "stopped");
+    EXPECT_EQ(cancellable.completion->times, 0);
+    ASSERT_TRUE(wait_for_completion(cancellable.completion));  // restarts the loop
+    expect_cancelled(*cancellable.completion, true, "stopped");
 }
 
-TEST_F(Cancel, NoneCancelsNothing) {
-    Balancer& balancer = serving();
+TEST_F(Cancel, TypeNoneHasNoEffect) {
+    Balancer& balancer = make_balancer();
     asio::cancellation_signal signal;
-    const auto ending = std::make_shared<Ending>();
-    balancer.async_call(look(), asio::bind_cancellation_slot(signal.slot(), into(ending)));
+    const auto completion = std::make_shared<Completion>();
+    balancer.async_call(look(), asio::bind_cancellation_slot(signal.slot(), record_into(completion)));
     signal.emit(cancellation_type::none);
-    ASSERT_TRUE(over(ending));
-    EXPECT_EQ(ending->result.verdict, CallVerdict::served) << text_of(ending->result);
+    ASSERT_TRUE(wait_for_completion(completion));
+    EXPECT_EQ(completion->result.verdict, CallVerdict::served) << text_of(completion->result);
 }
 
-// As with Asio's own sockets: a signal that goes before its call is over has only lost its say.
-TEST_F(Cancel, TheSignalGoesFirst) {
-    Balancer& balancer = serving();
-    const auto ending = std::make_shared<Ending>();
+// As with Asio's sockets, destroying the signal before the call completes only makes it uncancellable.
+TEST_F(Cancel, SignalDestroyedFirst) {
+    Balancer& balancer = make_balancer();
+    const auto completion = std::make_shared<Completion>();
     {
         const auto signal = std::make_unique<asio::cancellation_signal>();
-        balancer.async_call(look(), asio::bind_cancellation_slot(signal->slot(), into(ending)));
+        balancer.async_call(look(), asio::bind_cancellation_slot(signal->slot(), record_into(completion)));
     }
-    ASSERT_TRUE(over(ending));
-    EXPECT_EQ(ending->result.verdict, CallVerdict::served) << text_of(ending->result);
+    ASSERT_TRUE(wait_for_completion(completion));
+    EXPECT_EQ(completion->result.verdict, CallVerdict::served) << text_of(completion->result);
 }
 
-// A slot leads to the last call that was given it, whatever becomes of those before.
+// A slot cancels the last call that it was bound to, whatever happens to earlier ones.
 TEST_F(Cancel, OneSlotForTwoCalls) {
-    Balancer& balancer = serving("never");
+    Balancer& balancer = make_balancer("never");
     asio::cancellation_signal signal;
-    const auto first = std::make_shared<Ending>();
-    const auto second = std::make_shared<Ending>();
-    balancer.async_call(call("none"), asio::bind_cancellation_slot(signal.slot(), into(first)));
-    balancer.async_call(check_in(), asio::bind_cancellation_slot(signal.slot(), into(second)));
-    ASSERT_TRUE(until([&] { return first->over() && nodes[0]->count_of(Kind::fault) > 0; }));
+    const auto first = std::make_shared<Completion>();
+    const auto second = std::make_shared<Completion>();
+    balancer.async_call(call("none"), asio::bind_cancellation_slot(signal.slot(), record_into(first)));
+    balancer.async_call(check_in(), asio::bind_cancellation_slot(signal.slot(), record_into(second)));
+    ASSERT_TRUE(until([&] { return first->completed() && nodes[0]->count_of(Kind::fault) > 0; }));
     EXPECT_EQ(first->result.cause, CallCause::bad_request);
     signal.emit(cancellation_type::terminal);
-    ASSERT_TRUE(over(second));
+    ASSERT_TRUE(wait_for_completion(second));
     expect_cancelled(*second, true, "the second");
 }
 
-// Of a request that was served under a framework, whose client has gone.
-TEST_F(Cancel, AFrameworksRequest) {
-    Balancer& balancer = serving("never,req=1");
+// Middleware cancels a request of async_serve when the client disconnects.
+TEST_F(Cancel, RequestOfAFramework) {
+    Balancer& balancer = make_balancer("never,req=1");
     HttpRequest request;
     request.method = "POST";
     request.target = "/api?op=1";
@@ -326,11 +332,11 @@
     asio::cancellation_signal signal;
     int times = 0;
     HttpAnswer answer;
-    balancer.async_serve(request, asio::bind_cancellation_slot(signal.slot(), [&](HttpAnswer its) {
+    balancer.async_serve(request, asio::bind_cancellation_slot(signal.slot(), [&](HttpAnswer received) {
                              ++times;
-                             answer = std::move(its);
+                             answer = std::move(received);
                          }));
-    ASSERT_TRUE(struck());
+    ASSERT_TRUE(wait_for_fault());
     signal.emit(cancellation_type::terminal);
     ASSERT_TRUE(until([&] { return times > 0; }));
     EXPECT_EQ(answer.result.cause, CallCause::cancelled);
--- a/tests/library/examples_test.cpp
+++ b/tests/library/examples_test.cpp
@@ -1,5 +1,6 @@
-// The examples, run against nodes whose ledger tells what they did. First of all: a check-in that can't run
-// twice, at whichever point a node fails; and that the same service with its retries by hand shows up here.
+// Runs the example programs against stand-ins that record what they executed. With the library a check-in
+// must never be executed twice, at whichever point an upstream fails. The hand-written retries of
+// checkin_before do execute some check-ins twice, which proves that this test would notice.
 #include <fcntl.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -12,25 +13,25 @@
 namespace flaxdoor::test {
 namespace {
 
-struct Said {
+struct ProgramOutput {
     int status = -1;
     std::string text;
 };
 
-// A program that runs until it ends by itself. It inherits nothing: a stand-in's listener that lived on in it
-// could not be opened again here.
-std::future<Said> run(const std::string& program, const std::string& arguments, const Fleet& fleet) {
+// Starts a program, which runs until it exits by itself. Closes all other descriptors in the child: a
+// stand-in could not listen again on an address whose listener a child still holds.
+std::future<ProgramOutput> run(const std::string& program, const std::string& arguments, const Fleet& fleet) {
     std::vector<std::string> words = {program};
-    std::istringstream more(arguments);
-    for (std::string word; more >> word;) words.push_back(word);
+    std::istringstream remaining(arguments);
+    for (std::string word; remaining >> word;) words.push_back(word);
     words.insert(words.end(), fleet.addresses().begin(), fleet.addresses().end());
     return std::async(std::launch::async, [words = std::move(words)]() mutable {
-        Said said;
+        ProgramOutput output;
         std::vector<char*> command;
         for (auto& word : words) command.push_back(word.data());
         command.push_back(nullptr);
         std::array<int, 2> pipe{};
-        if (::pipe2(pipe.data(), O_CLOEXEC) != 0) return said;
+        if (::pipe2(pipe.data(), O_CLOEXEC) != 0) return output;
         const pid_t child = ::fork();
         if (child == 0) {
             ::dup2(pipe[1], STDOUT_FILENO);
@@ -39,18 +40,18 @@
             ::_exit(127);
         }
         ::close(pipe[1]);
-        std::array<char, 4096> room{};
-        for (ssize_t got = 0; (got = ::read(pipe[0], room.data(), room.size())) > 0;) {
-            said.text.append(room.data(), static_cast<std::size_t>(got));
+        std::array<char, 4096> buffer{};
+        for (ssize_t received = 0; (received = ::read(pipe[0], buffer.data(), buffer.size())) > 0;) {
+            output.text.append(buffer.data(), static_cast<std::size_t>(received));
         }
         ::close(pipe[0]);
-        ::waitpid(child, &said.status, 0);
-        return said;
+        ::waitpid(child, &output.status, 0);
+        return output;
     });
 }
 
-// Every named point at which a stand-in can fail. One request in three meets it.
-constexpr const char* points[] = {"before_accept,late=400,conn_every=3",
+// Every fault of the stand-ins. It affects one request, or connection, in three.
+constexpr const char* faults[] = {"before_accept,late=400,conn_every=3",
                                   "after_n_request_bytes=0,conn_every=3",
                                   "after_n_request_bytes=40,req_every=3",
                                   "after_n_request_bytes=40,end=silence,req_every=3",
@@ -76,101 +77,102 @@
 struct Tally {
     int in = 0, unknown = 0, failed = 0;
     int ran_twice = 0;
-    int in_not_once = 0;  // told to be in, and ran never or twice
+    int in_not_once = 0;  // reported as in, but not executed exactly once
 };
 
-Tally judge(const Said& said, Fleet& fleet, const std::string& name) {
-    EXPECT_EQ(said.status, 0) << said.text;
-    EXPECT_EQ(fleet.ask([](Fleet& f) {
-        for (std::size_t i = 0; i < f.size(); ++i) {
-            f.node(i).clear_faults();
-            f.node(i).listen();
+Tally check_output(const ProgramOutput& output, Fleet& fleet, const std::string& name) {
+    EXPECT_EQ(output.status, 0) << output.text;
+    EXPECT_EQ(fleet.run_on_loop([](Fleet& stand_ins) {
+        for (std::size_t i = 0; i < stand_ins.size(); ++i) {
+            stand_ins.node(i).clear_faults();
+            stand_ins.node(i).listen();
         }
         return 0;
     }),
               0);
-    EXPECT_TRUE(fleet.quiet());
+    EXPECT_TRUE(fleet.wait_until_idle());
     Tally tally;
-    std::istringstream lines(said.text);
-    std::string who, what;
-    int told = 0;
-    while (lines >> who >> what) {
-        ++told;
-        const auto runs = fleet.ask([&](Fleet& f) { return f.effects().runs_of_operation(who); });
-        tally.in += what == "in";
-        tally.unknown += what == "unknown";
-        tally.failed += what == "failed";
+    std::istringstream lines(output.text);
+    std::string donor, outcome;
+    int reported = 0;
+    while (lines >> donor >> outcome) {
+        ++reported;
+        const auto runs =
+            fleet.run_on_loop([&](Fleet& stand_ins) { return stand_ins.effects().runs_of_operation(donor); });
+        tally.in += outcome == "in";
+        tally.unknown += outcome == "unknown";
+        tally.failed += outcome == "failed";
         tally.ran_twice += runs > 1;
-        tally.in_not_once += what == "in" && runs != 1;
-        if (what == "failed" && name == "after") {
-            EXPECT_EQ(runs, 0U) << who;
+        tally.in_not_once += outcome == "in" && runs != 1;
+        if (outcome == "failed" && name == "after") {
+            EXPECT_EQ(runs, 0U) << donor;
         }
     }
-    EXPECT_EQ(told, check_ins) << said.text;
+    EXPECT_EQ(reported, check_ins) << output.text;
     return tally;
 }
 
-TEST(Examples, ACheckInThatCantRunTwice) {
-    // Each service at each point, all at once; each has nodes of its own.
+TEST(Examples, CheckInIsNeverExecutedTwice) {
+    // Runs each service with each fault, all concurrently, each against stand-ins of its own.
     std::vector<std::unique_ptr<Fleet>> fleets;
-    std::vector<std::future<Said>> before, after;
-    for (const char* const point : points) {
+    std::vector<std::future<ProgramOutput>> before, after;
+    for (const char* const fault_spec : faults) {
         for (auto* const service : {&before, &after}) {
             fleets.push_back(std::make_unique<Fleet>(3));
             Fleet& fleet = *fleets.back();
-            for (std::size_t i = 0; i < fleet.size(); ++i) fleet.fault(i, point);
+            for (std::size_t i = 0; i < fleet.size(); ++i) fleet.fault(i, fault_spec);
             const bool is_before = service == &before;
             service->push_back(
                 run(is_before ? CHECKIN_BEFORE : CHECKIN_AFTER, std::to_string(check_ins), fleet));
         }
     }
     int seen_twice = 0, in = 0;
-    for (std::size_t i = 0; i < std::size(points); ++i) {
-        const Tally was = judge(before[i].get(), *fleets[2 * i], "before");
-        const Tally is = judge(after[i].get(), *fleets[2 * i + 1], "after");
+    for (std::size_t i = 0; i < std::size(faults); ++i) {
+        const Tally tally_before = check_output(before[i].get(), *fleets[2 * i], "before");
+        const Tally tally_after = check_output(after[i].get(), *fleets[2 * i + 1], "after");
         std::printf("%-58s before: %2d in, %2d twice   after: %2d in, %d unknown, %d failed, %d twice\n",
-                    points[i], was.in, was.ran_twice, is.in, is.unknown, is.failed, is.ran_twice);
-        EXPECT_EQ(is.ran_twice, 0) << points[i];
-        EXPECT_EQ(is.in_not_once, 0) << points[i];
-        seen_twice += was.ran_twice;
-        in += is.in;
+                    faults[i], tally_before.in, tally_before.ran_twice, tally_after.in, tally_after.unknown,
+                    tally_after.failed, tally_after.ran_twice);
+        EXPECT_EQ(tally_after.ran_twice, 0) << faults[i];
+        EXPECT_EQ(tally_after.in_not_once, 0) << faults[i];
+        seen_twice += tally_before.ran_twice;
+        in += tally_after.in;
     }
-    // The oracle sees what it is there for: retries by hand do run twice.
+    // Proves that the test notices a repeat: hand-written retries do execute check-ins twice.
     EXPECT_GE(seen_twice, 10);
-    EXPECT_GT(in, static_cast<int>(std::size(points)) * check_ins / 2);
+    EXPECT_GT(in, static_cast<int>(std::size(faults)) * check_ins / 2);
 }
 
 TEST(Examples, FirstCall) {
     Fleet fleet(1);
-    const Said said = run(FIRST_CALL, "", fleet).get();
-    EXPECT_EQ(said.status, 0);
-    EXPECT_EQ(said.text.substr(0, 18), "served (none): id=") << said.text;
+    const ProgramOutput output = run(FIRST_CALL, "", fleet).get();
+    EXPECT_EQ(output.status, 0);
+    EXPECT_EQ(output.text.substr(0, 18), "served (none): id=") << output.text;
 }
 
 TEST(Examples, CoroutineHost) {
     Fleet fleet(3);
-    const Said said = run(COROUTINE_HOST, "3 200", fleet).get();
-    EXPECT_EQ(said.status, 0);
+    const ProgramOutput output = run(COROUTINE_HOST, "3 200", fleet).get();
+    EXPECT_EQ(output.status, 0);
     for (const char* const line : {"visitor-1 ", "visitor-2 ", "visitor-3 ", "\nclosed\n"}) {
-        EXPECT_NE(said.text.find(line), std::string::npos) << said.text;
+        EXPECT_NE(output.text.find(line), std::string::npos) << output.text;
     }
-    EXPECT_NE(said.text.find("served (none)"), std::string::npos) << said.text;
-    EXPECT_TRUE(fleet.ask([](Fleet& f) { return f.effects().ran_again().empty(); }));
+    EXPECT_NE(output.text.find("served (none)"), std::string::npos) << output.text;
+    EXPECT_TRUE(fleet.run_on_loop([](Fleet& stand_ins) { return stand_ins.effects().ran_again().empty(); }));
 }
 
-// At closing time what has not gone out is called off, by `total`; what has is answered. Nobody is listed
-// here, so all wait.
-TEST(Examples, CoroutineHostCallsOffWhatHasNotGoneOut) {
-    Fleet none(0);
-    const Said said = run(COROUTINE_HOST, "3 1", none).get();
-    EXPECT_EQ(said.status, 0);
-    std::istringstream lines(said.text);
-    int off = 0;
+// At closing time unsent calls are cancelled with `total`. No server is listed, so all calls are unsent.
+TEST(Examples, CoroutineHostCancelsUnsentCalls) {
+    Fleet empty_fleet(0);
+    const ProgramOutput output = run(COROUTINE_HOST, "3 1", empty_fleet).get();
+    EXPECT_EQ(output.status, 0);
+    std::istringstream lines(output.text);
+    int cancelled = 0;
     for (std::string line; std::getline(lines, line);) {
-        off += line.find("failed (cancelled)") != std::string::npos;
+        cancelled += line.find("failed (cancelled)") != std::string::npos;
         EXPECT_EQ(line.find("may have run"), std::string::npos) << line;
     }
-    EXPECT_EQ(off, 3) << said.text;
+    EXPECT_EQ(cancelled, 3) << output.text;
 }
 
 }  // namespace
--- a/tests/library/fleet.h
+++ b/tests/library/fleet.h
@@ -1,4 +1,4 @@
-// Nodes on a thread of their own, for hosts with several threads.
+// Upstream stand-ins that run on their own thread, for tests of hosts with several threads.
 #pragma once
 
 #include <future>
@@ -29,39 +29,40 @@
 
     const std::vector<std::string>& addresses() const { return addresses_; }
 
-    // On the nodes' thread; waits for it.
-    template <typename Ask>
-    auto ask(Ask question) {
-        std::packaged_task<decltype(question(*this))()> task([&] { return question(*this); });
-        auto answer = task.get_future();
+    // Runs the function on the stand-ins' thread, waits for it and returns its result.
+    template <typename Function>
+    auto run_on_loop(Function function) {
+        std::packaged_task<decltype(function(*this))()> task([&] { return function(*this); });
+        auto result = task.get_future();
         asio::post(loop_, [&] { task(); });
-        return answer.get();
+        return result.get();
     }
-    // Only within ask().
+    // May be called only within run_on_loop().
     BookingNode& node(std::size_t i) { return *nodes_[i]; }
     std::size_t size() const { return nodes_.size(); }
     const standins::Effects& effects() const { return *effects_; }
 
     void fault(std::size_t i, const std::string& spec) {
-        ask([&](Fleet&) {
+        run_on_loop([&](Fleet&) {
             const auto parsed = standins::parse_fault(spec);
             EXPECT_TRUE(parsed.fault) << parsed.error.text;
             nodes_[i]->add(*parsed.fault);
             return 0;
         });
     }
-    // Nobody is connected any more and nothing is at work: what has run has run. The limit is a net.
-    bool quiet() {
+    // Waits until no stand-in has a connection, a running or a queued request, so that the counts are final.
+    // Returns false after 20 s, a limit that only a failed test reaches.
+    bool wait_until_idle() {
         const auto end = std::chrono::steady_clock::now() + seconds(20);
         while (std::chrono::steady_clock::now() < end) {
-            const bool still = ask([](Fleet& fleet) {
+            const bool idle = run_on_loop([](Fleet& fleet) {
                 for (const auto& node : fleet.nodes_) {
                     const auto counts = node->counts();
                     if (counts.open + counts.running + counts.queued > 0) return false;
                 }
                 return true;
             });
-            if (still) return true;
+            if (idle) return true;
             std::this_thread::yield();
         }
         return false;
@@ -78,11 +79,11 @@
     std::thread thread_;
 };
 
-// A loop on a thread of its own, which ends when there is nothing left to do.
-class Loop {
+// A loop that runs on its own thread. finish() waits until the loop has no more work.
+class LoopThread {
 public:
-    Loop() : thread_([this] { loop_.run(); }) {}
-    ~Loop() { finish(); }
+    LoopThread() : thread_([this] { loop_.run(); }) {}
+    ~LoopThread() { finish(); }
     void finish() {
         work_.reset();
         if (thread_.joinable()) thread_.join();
@@ -95,7 +96,7 @@
     std::thread thread_;
 };
 
-inline CallResult wait_for(Balancer& balancer, CallRequest request) {
+inline CallResult call_and_wait(Balancer& balancer, CallRequest request) {
     return balancer.async_call(std::move(request), asio::use_future).get();
 }
 
--- a/tests/library/handlers_test.cpp
+++ b/tests/library/handlers_test.cpp
@@ -1,4 +1,4 @@
-// What handlers may do: throw, start the next call, take their time.
+// Handlers that throw, start the next call or block, and executors that throw.
 #include <optional>
 #include <stdexcept>
 #include <thread>
@@ -8,11 +8,11 @@
 namespace flaxdoor::test {
 namespace {
 
-class Handlers : public Rig {};
+class Handlers : public LibraryTest {};
 
-// What it throws goes to whoever runs the executor; nothing else is hurt.
-TEST_F(Handlers, OneThrows) {
-    Balancer& balancer = serving();
+// The exception of a handler propagates to the code that runs its executor. Other calls are unaffected.
+TEST_F(Handlers, HandlerThrows) {
+    Balancer& balancer = make_balancer();
     int times = 0;
     for (int i = 0; i < 3; ++i) {
         balancer.async_call(call("none"), [&](CallResult) {
@@ -20,96 +20,96 @@
             throw std::runtime_error("the host's own");
         });
     }
-    const auto beside = begin(balancer, check_in());
-    int met = 0;
-    while (!beside->over() || times < 3) {
+    const auto other_call = start_call(balancer, check_in());
+    int caught = 0;
+    while (!other_call->completed() || times < 3) {
         try {
-            ASSERT_TRUE(until([&] { return beside->over() && times == 3; }));
+            ASSERT_TRUE(until([&] { return other_call->completed() && times == 3; }));
         } catch (const std::runtime_error& error) {
             EXPECT_STREQ(error.what(), "the host's own");
-            ++met;
+            ++caught;
         }
     }
-    EXPECT_EQ(met, 3);
-    EXPECT_EQ(beside->result.verdict, CallVerdict::served);
+    EXPECT_EQ(caught, 3);
+    EXPECT_EQ(other_call->result.verdict, CallVerdict::served);
     expect_served(balancer, check_in());
     EXPECT_EQ(balancer.figures().faults, 0U);
 }
 
-// Each starts the next one: the stack stays as it is, and so does what is held.
-TEST_F(Handlers, EachStartsTheNextTenThousandTimes) {
-    BookingNode::Settings its;
-    its.detail = standins::Detail::counts;
+// Each handler starts the next call. Neither the stack nor the instance's state may grow.
+TEST_F(Handlers, EachHandlerStartsTheNextCall) {
+    BookingNode::Settings node_settings;
+    node_settings.detail = standins::Detail::counts;
     effects = std::make_shared<standins::Effects>(standins::Detail::counts);
-    add_node(its);
+    add_node(node_settings);
     BalancerOptions options = this->options();
     options.figures_every = milliseconds(1);
     Balancer balancer(loop.get_executor(), options);
-    int left = 10'000;
+    int remaining = 10'000;
     int depth = 0, deepest = 0;
     const char* lowest = nullptr;
     const char* highest = nullptr;
     std::function<void(CallResult)> next = [&](CallResult result) {
-        const char here = 0;
-        const char* const at = &here;
-        if (!lowest || at < lowest) lowest = at;
-        if (!highest || at > highest) highest = at;
+        const char stack_variable = 0;
+        const char* const address = &stack_variable;
+        if (!lowest || address < lowest) lowest = address;
+        if (!highest || address > highest) highest = address;
         deepest = std::max(deepest, ++depth);
         EXPECT_TRUE(result.verdict == CallVerdict::served || result.cause == CallCause::bad_request);
-        // Every other one ends at once, without a server.
-        if (--left > 0) balancer.async_call(left % 2 ? look() : call("none"), next);
+        // Every other call is invalid, so it ends at once and reaches no upstream.
+        if (--remaining > 0) balancer.async_call(remaining % 2 ? look() : call("none"), next);
         --depth;
     };
     balancer.async_call(look(), next);
     ASSERT_TRUE(standins::run_until(
-        loop, [&] { return left == 0; }, seconds(60)));
+        loop, [&] { return remaining == 0; }, seconds(60)));
     EXPECT_EQ(deepest, 1);
     EXPECT_LT(highest - lowest, 64 * 1024);
     expect_served(balancer, look());
-    EXPECT_LE(nodes[0]->counts().accepted, 4U) << "connections are kept";
+    EXPECT_LE(nodes[0]->counts().accepted, 4U) << "connections are reused";
     EXPECT_LE(balancer.figures().open, 2U);
 }
 
-// A sink that throws has lost its line: no call, no construction and no end pays for it.
-TEST_F(Handlers, ASinkThrows) {
+// An exception of a sink is dropped: construction, calls and the drain succeed.
+TEST_F(Handlers, SinkThrows) {
     add_node();
-    BalancerOptions its = options();
-    its.figures_every = milliseconds(1);
+    BalancerOptions balancer_options = options();
+    balancer_options.figures_every = milliseconds(1);
     int lines = 0, figures = 0;
-    its.log = [&](std::string_view, std::string_view) {
+    balancer_options.log = [&](std::string_view, std::string_view) {
         ++lines;
         throw std::runtime_error("the log is full");
     };
-    its.figures = [&](std::string_view, const BalancerFigures&) {
+    balancer_options.figures = [&](std::string_view, const BalancerFigures&) {
         ++figures;
-        throw std::runtime_error("nobody counts");
+        throw std::runtime_error("the figures sink failed");
     };
     std::optional<Balancer> balancer;
-    ASSERT_NO_THROW(balancer.emplace(loop.get_executor(), its));
-    its.settings.max_attempts = 2;
-    balancer->reconfigure(its);
-    const auto ending = begin(*balancer, look());
-    ASSERT_NO_THROW(until([&] { return ending->over() && figures > 3; }));
-    EXPECT_EQ(ending->result.verdict, CallVerdict::served) << text_of(ending->result);
+    ASSERT_NO_THROW(balancer.emplace(loop.get_executor(), balancer_options));
+    balancer_options.settings.max_attempts = 2;
+    balancer->reconfigure(balancer_options);
+    const auto completion = start_call(*balancer, look());
+    ASSERT_NO_THROW(until([&] { return completion->completed() && figures > 3; }));
+    EXPECT_EQ(completion->result.verdict, CallVerdict::served) << text_of(completion->result);
     bool drained = false;
     balancer->async_drain([&] { drained = true; });
     ASSERT_NO_THROW(until([&] { return drained; }));
     EXPECT_GT(lines, 0);
 }
 
-// Takes work until it is told to refuse, as one whose memory or queue is full.
-class Refusing {
+// An executor that throws once refuse(true) has been called, as one does whose queue or memory is exhausted.
+class RefusingExecutor {
 public:
-    explicit Refusing(asio::io_context& loop) : loop_(&loop) {}
-    void refuse(bool does) { *refuses_ = does; }
+    explicit RefusingExecutor(asio::io_context& loop) : loop_(&loop) {}
+    void refuse(bool refuses) { *refuses_ = refuses; }
 
-    bool operator==(const Refusing& other) const noexcept { return refuses_ == other.refuses_; }
-    bool operator!=(const Refusing& other) const noexcept { return !(*this == other); }
+    bool operator==(const RefusingExecutor& other) const noexcept { return refuses_ == other.refuses_; }
+    bool operator!=(const RefusingExecutor& other) const noexcept { return !(*this == other); }
     asio::execution_context& query(asio::execution::context_t) const noexcept { return *loop_; }
     static constexpr asio::execution::blocking_t query(asio::execution::blocking_t) noexcept {
         return asio::execution::blocking.never;
     }
-    Refusing require(asio::execution::blocking_t::never_t) const { return *this; }
+    RefusingExecutor require(asio::execution::blocking_t::never_t) const { return *this; }
     template <typename Work>
     void execute(Work work) const {
         if (*refuses_) throw std::runtime_error("the executor is full");
@@ -121,89 +121,88 @@
     std::shared_ptr<bool> refuses_ = std::make_shared<bool>(false);
 };
 
-// One handler whose executor takes nothing costs no other its end, and the host's loop nothing.
-TEST_F(Handlers, AnExecutorRefusesOne) {
+// Handlers whose executor throws are lost. Other handlers still run, and the host's loop sees no exception.
+TEST_F(Handlers, HandlerExecutorThrows) {
     add_node();
-    BalancerOptions its = options();
+    BalancerOptions balancer_options = options();
     std::string lines;
-    its.log = [&](std::string_view, std::string_view line) { lines += line; };
-    Balancer balancer(loop.get_executor(), its);
-    Refusing full(loop);
-    balancer.async_call(look(), asio::bind_executor(full, [](CallResult) { FAIL(); }));
-    balancer.async_call(call("none"), asio::bind_executor(full, [](CallResult) { FAIL(); }));
-    const auto beside = begin(balancer, check_in());
-    balancer.async_drain(asio::bind_executor(full, [] { FAIL(); }));
+    balancer_options.log = [&](std::string_view, std::string_view line) { lines += line; };
+    Balancer balancer(loop.get_executor(), balancer_options);
+    RefusingExecutor refusing(loop);
+    balancer.async_call(look(), asio::bind_executor(refusing, [](CallResult) { FAIL(); }));
+    balancer.async_call(call("none"), asio::bind_executor(refusing, [](CallResult) { FAIL(); }));
+    const auto other_call = start_call(balancer, check_in());
+    balancer.async_drain(asio::bind_executor(refusing, [] { FAIL(); }));
     bool drained = false;
     balancer.async_drain([&] { drained = true; });
-    full.refuse(true);
-    ASSERT_NO_THROW(until([&] { return beside->over() && drained; }));
-    EXPECT_EQ(beside->times, 1);
+    refusing.refuse(true);
+    ASSERT_NO_THROW(until([&] { return other_call->completed() && drained; }));
+    EXPECT_EQ(other_call->times, 1);
     EXPECT_TRUE(drained);
     EXPECT_NE(lines.find("a handler could not be posted"), std::string::npos) << lines;
 }
 
-// The instance's own executor takes nothing: async_call throws, so its handler is not called as well, then or
-// at the end.
-TEST_F(Handlers, TheInstancesExecutorRefuses) {
+// If the instance's executor throws, async_call throws, and the handler is never called.
+TEST_F(Handlers, InstanceExecutorThrows) {
     add_node();
-    Refusing full(loop);
-    asio::io_context other;
-    const auto ending = std::make_shared<Ending>();
+    RefusingExecutor refusing(loop);
+    asio::io_context handler_loop;
+    const auto completion = std::make_shared<Completion>();
     {
-        Balancer balancer(full, options());
-        full.refuse(true);
-        EXPECT_THROW(balancer.async_call(check_in(), asio::bind_executor(other, into(ending))),
-                     std::runtime_error);
-        full.refuse(false);
+        Balancer balancer(refusing, options());
+        refusing.refuse(true);
+        EXPECT_THROW(
+            balancer.async_call(check_in(), asio::bind_executor(handler_loop, record_into(completion))),
+            std::runtime_error);
+        refusing.refuse(false);
         expect_served(balancer, check_in());
     }
-    other.poll();
-    EXPECT_EQ(ending->times, 0);
-    EXPECT_EQ(ending.use_count(), 1) << "nothing is kept of it";
+    handler_loop.poll();
+    EXPECT_EQ(completion->times, 0);
+    EXPECT_EQ(completion.use_count(), 1) << "the handler was not destroyed";
 }
 
-// More at once than may be open: the rest is refused, and what is held stays within it.
-TEST_F(Handlers, TooManyAtOnce) {
+// Calls beyond BalancerOptions::open_calls are refused and not executed.
+TEST_F(Handlers, OpenCallLimit) {
     add_node();
-    BalancerOptions its = options();
-    its.open_calls = 10;
-    Balancer balancer(loop.get_executor(), its);
-    std::vector<EndingPointer> all;
-    for (int i = 0; i < 30; ++i) all.push_back(begin(balancer, check_in()));
-    std::size_t served = 0, own = 0;
-    ASSERT_TRUE(over(all));
-    for (const auto& ending : all) {
-        served += ending->result.verdict == CallVerdict::served;
-        if (ending->result.verdict == CallVerdict::served) continue;
-        EXPECT_EQ(ending->result.verdict, CallVerdict::refused) << text_of(ending->result);
-        EXPECT_FALSE(ending->result.may_have_run);
-        EXPECT_EQ(runs_of(ending->result.id), 0U);
-        own += ending->result.cause == CallCause::own_shortage;
+    BalancerOptions balancer_options = options();
+    balancer_options.open_calls = 10;
+    Balancer balancer(loop.get_executor(), balancer_options);
+    std::vector<CompletionPointer> all;
+    for (int i = 0; i < 30; ++i) all.push_back(start_call(balancer, check_in()));
+    std::size_t served = 0, refused_locally = 0;
+    ASSERT_TRUE(wait_for_completion(all));
+    for (const auto& completion : all) {
+        served += completion->result.verdict == CallVerdict::served;
+        if (completion->result.verdict == CallVerdict::served) continue;
+        EXPECT_EQ(completion->result.verdict, CallVerdict::refused) << text_of(completion->result);
+        EXPECT_FALSE(completion->result.may_have_run);
+        EXPECT_EQ(runs_of(completion->result.id), 0U);
+        refused_locally += completion->result.cause == CallCause::own_shortage;
     }
-    EXPECT_EQ(own, 20U);
+    EXPECT_EQ(refused_locally, 20U);
     EXPECT_GT(served, 0U);
     expect_served(balancer, check_in());
 }
 
-// They are refused at once, also while the instance's own thread is busy elsewhere: what waits for it is
-// bounded.
-TEST_F(Handlers, TooManyWhileTheLoopIsBusy) {
+// The limit also bounds calls that wait for a busy loop: further ones are refused at once.
+TEST_F(Handlers, OpenCallLimitWhileTheLoopIsBusy) {
     add_node();
-    BalancerOptions its = options();
-    its.open_calls = 10;
-    Balancer balancer(loop.get_executor(), its);
-    asio::io_context other;
+    BalancerOptions balancer_options = options();
+    balancer_options.open_calls = 10;
+    Balancer balancer(loop.get_executor(), balancer_options);
+    asio::io_context handler_loop;
     int refused = 0;
     for (int i = 0; i < 1000; ++i) {
-        balancer.async_call(check_in(), asio::bind_executor(other, [&](CallResult result) {
+        balancer.async_call(check_in(), asio::bind_executor(handler_loop, [&](CallResult result) {
                                 refused += result.cause == CallCause::own_shortage;
                             }));
     }
-    other.poll();
+    handler_loop.poll();
     EXPECT_EQ(refused, 990);
     ASSERT_TRUE(until([&] {
-        other.poll();
-        return other.stopped();
+        handler_loop.poll();
+        return handler_loop.stopped();
     }));
     EXPECT_EQ(refused, 990);
 }
--- a/tests/library/process_test.cpp
+++ b/tests/library/process_test.cpp
@@ -1,5 +1,5 @@
-// What an instance is to the process it lives in: descriptors that no child inherits, and a host that runs
-// out of them for its own sake.
+// How an instance affects its process: no child inherits its descriptors, it copes with a host that runs out
+// of descriptors, and it changes no state of the process.
 #include <arpa/inet.h>
 #include <fcntl.h>
 #include <sys/resource.h>
@@ -20,35 +20,36 @@
 namespace flaxdoor::test {
 namespace {
 
-std::vector<int> descriptors() {
-    std::vector<int> all;
+std::vector<int> open_descriptors() {
+    std::vector<int> descriptors;
     for (const auto& entry : std::filesystem::directory_iterator("/proc/self/fd")) {
-        all.push_back(std::stoi(entry.path().filename()));
+        descriptors.push_back(std::stoi(entry.path().filename()));
     }
-    return all;
+    return descriptors;
 }
 
 std::uint16_t port_of(int descriptor, bool peer) {
     sockaddr_in address{};
     socklen_t size = sizeof address;
-    auto* const at = reinterpret_cast<sockaddr*>(&address);
-    const int result = peer ? ::getpeername(descriptor, at, &size) : ::getsockname(descriptor, at, &size);
+    auto* const generic = reinterpret_cast<sockaddr*>(&address);
+    const int result =
+        peer ? ::getpeername(descriptor, generic, &size) : ::getsockname(descriptor, generic, &size);
     return result == 0 && address.sin_family == AF_INET ? ntohs(address.sin_port) : 0;
 }
 
-class Process : public Rig {
+class Process : public LibraryTest {
 protected:
-    // The node and the roster are in this process too: the instance's sockets are those whose other side, or
-    // whose listener, is known.
+    // The stand-ins run in this process, too. The instance's sockets are those that are connected to one of
+    // `servers`, or that have the port of the instance's listener.
     std::vector<int> sockets_of(const Balancer& balancer, const std::set<std::uint16_t>& servers) const {
         const auto listener = static_cast<std::uint16_t>(std::stoi(balancer.address().substr(10)));
-        std::vector<int> its;
-        for (const int descriptor : descriptors()) {
+        std::vector<int> sockets;
+        for (const int descriptor : open_descriptors()) {
             if (servers.contains(port_of(descriptor, true)) || port_of(descriptor, false) == listener) {
-                its.push_back(descriptor);
+                sockets.push_back(descriptor);
             }
         }
-        return its;
+        return sockets;
     }
 };
 
@@ -60,16 +61,16 @@
     entry.dial = text_of(nodes[0]->address());
     entry.site = "here";
     roster.set(entry);
-    BalancerOptions its = options();
-    its.servers = {};
-    its.listen = "127.0.0.1:0";
-    its.discovery = text_of(roster.address());
-    Balancer balancer(loop.get_executor(), its);
+    BalancerOptions balancer_options = options();
+    balancer_options.servers = {};
+    balancer_options.listen = "127.0.0.1:0";
+    balancer_options.discovery = text_of(roster.address());
+    Balancer balancer(loop.get_executor(), balancer_options);
     expect_served(balancer, check_in());
     tcp::socket client(loop);
     client.connect({asio::ip::address_v4::loopback(),
                     static_cast<std::uint16_t>(std::stoi(balancer.address().substr(10)))});
-    // A listener, a client, a server's connection, and one to the roster, which may have been asked twice.
+    // A listener, a client connection, an upstream connection, and one or two to service discovery.
     std::vector<int> sockets;
     ASSERT_TRUE(until([&] {
         sockets = sockets_of(balancer, {nodes[0]->address().port(), roster.address().port()});
@@ -83,7 +84,7 @@
         ASSERT_GT(::readlink(path.c_str(), text.data(), text.size() - 1), 0);
         inodes.insert(text.data());
     }
-    // And so a child that is exec'd has none of them.
+    // So a program that a child executes has none of them.
     std::array<int, 2> pipe{};
     ASSERT_EQ(::pipe(pipe.data()), 0);
     const pid_t child = ::fork();
@@ -94,32 +95,33 @@
     }
     ::close(pipe[1]);
     std::string listed;
-    std::array<char, 4096> room{};
-    for (ssize_t got = 0; (got = ::read(pipe[0], room.data(), room.size())) > 0;) {
-        listed.append(room.data(), static_cast<std::size_t>(got));
+    std::array<char, 4096> buffer{};
+    for (ssize_t received = 0; (received = ::read(pipe[0], buffer.data(), buffer.size())) > 0;) {
+        listed.append(buffer.data(), static_cast<std::size_t>(received));
     }
     ::close(pipe[0]);
     int status = 0;
     ASSERT_EQ(::waitpid(child, &status, 0), child);
     ASSERT_EQ(WEXITSTATUS(status), 0);
-    EXPECT_NE(listed.find("pipe:"), std::string::npos) << listed;  // it lists what there is
+    EXPECT_NE(listed.find("pipe:"), std::string::npos) << listed;  // proves that the list is not empty
     for (const auto& inode : inodes)
         EXPECT_EQ(listed.find(inode), std::string::npos) << inode << "\n" << listed;
-    expect_served(balancer, check_in());  // the parent's go on
+    expect_served(balancer, check_in());  // the parent's connections still work
 }
 
-// All descriptors that the process may have, until it is let go.
-class Hoard {
+// Uses up all descriptors that the process may open, until destroyed.
+class DescriptorExhaustion {
 public:
-    Hoard() {
+    DescriptorExhaustion() {
         ::getrlimit(RLIMIT_NOFILE, &before_);
-        const auto all = descriptors();
+        const auto descriptors = open_descriptors();
         rlimit low = before_;
-        low.rlim_cur = static_cast<rlim_t>(*std::max_element(all.begin(), all.end())) + 8;
+        low.rlim_cur = static_cast<rlim_t>(*std::max_element(descriptors.begin(), descriptors.end())) + 8;
         ::setrlimit(RLIMIT_NOFILE, &low);
-        for (int got = 0; (got = ::open("/dev/null", O_RDONLY | O_CLOEXEC)) >= 0;) held_.push_back(got);
+        for (int opened = 0; (opened = ::open("/dev/null", O_RDONLY | O_CLOEXEC)) >= 0;)
+            held_.push_back(opened);
     }
-    ~Hoard() {
+    ~DescriptorExhaustion() {
         for (const int descriptor : held_) ::close(descriptor);
         ::setrlimit(RLIMIT_NOFILE, &before_);
     }
@@ -132,55 +134,55 @@
 TEST_F(Process, TheHostRunsOutOfDescriptors) {
 #ifdef __SANITIZE_ADDRESS__
     GTEST_SKIP()
-        << "the undefined-behaviour sanitizer looks at objects through a pipe: without a descriptor it "
-           "takes every one for broken";
+        << "the undefined-behaviour sanitizer inspects objects through a pipe: without a descriptor it "
+           "reports every object as invalid";
 #endif
     add_node();
-    Balancer& balancer = serving();
+    Balancer& balancer = make_balancer();
     {
-        const Hoard hoard;
-        for (const char* const its_class : {"look", "check-in"}) {
-            const auto ending = begin(balancer, call(its_class, milliseconds(500)));
-            ASSERT_TRUE(over(ending));
-            EXPECT_EQ(ending->times, 1);
-            EXPECT_EQ(ending->result.verdict, CallVerdict::refused) << text_of(ending->result);
-            EXPECT_EQ(ending->result.cause, CallCause::own_shortage) << text_of(ending->result);
-            EXPECT_FALSE(ending->result.may_have_run);
+        const DescriptorExhaustion exhaustion;
+        for (const char* const class_name : {"look", "check-in"}) {
+            const auto completion = start_call(balancer, call(class_name, milliseconds(500)));
+            ASSERT_TRUE(wait_for_completion(completion));
+            EXPECT_EQ(completion->times, 1);
+            EXPECT_EQ(completion->result.verdict, CallVerdict::refused) << text_of(completion->result);
+            EXPECT_EQ(completion->result.cause, CallCause::own_shortage) << text_of(completion->result);
+            EXPECT_FALSE(completion->result.may_have_run);
         }
     }
-    // Afterwards all is as before: no server was blamed for it.
+    // Once descriptors are available, calls are served: no upstream was ejected because of the shortage.
     for (int i = 0; i < 10; ++i) expect_served(balancer, check_in());
     EXPECT_EQ(balancer.figures().faults, 0U);
 }
 
-// With a connection kept, calls go on over it.
-TEST_F(Process, AKeptConnectionServesOn) {
-    Balancer& balancer = serving();
+// Calls over an existing connection need no further descriptor.
+TEST_F(Process, KeptConnectionServesWithoutDescriptors) {
+    Balancer& balancer = make_balancer();
     expect_served(balancer, check_in());
-    const Hoard hoard;
+    const DescriptorExhaustion exhaustion;
     expect_served(balancer, check_in());
     EXPECT_EQ(nodes[0]->counts().accepted, 1U);
 }
 
-// The instance's own share counts apart from the process's.
-TEST_F(Process, ItsOwnShareOfDescriptors) {
+// BalancerOptions::descriptors limits the instance even if the process may open more.
+TEST_F(Process, DescriptorLimitOfTheInstance) {
     add_node(working(milliseconds(50)));
-    BalancerOptions its = options();
-    its.descriptors = 36;  // four for servers
-    Balancer balancer(loop.get_executor(), its);
-    std::vector<EndingPointer> all;
-    for (int i = 0; i < 12; ++i) all.push_back(begin(balancer, check_in(milliseconds(3000))));
-    ASSERT_TRUE(over(all));
+    BalancerOptions balancer_options = options();
+    balancer_options.descriptors = 36;  // leaves four for upstream connections
+    Balancer balancer(loop.get_executor(), balancer_options);
+    std::vector<CompletionPointer> all;
+    for (int i = 0; i < 12; ++i) all.push_back(start_call(balancer, check_in(milliseconds(3000))));
+    ASSERT_TRUE(wait_for_completion(all));
     EXPECT_LE(nodes[0]->counts().accepted, 4U);
-    for (const auto& ending : all) {
-        if (ending->result.verdict == CallVerdict::served) continue;
-        EXPECT_EQ(ending->result.verdict, CallVerdict::refused) << text_of(ending->result);
-        EXPECT_EQ(runs_of(ending->result.id), 0U);
+    for (const auto& completion : all) {
+        if (completion->result.verdict == CallVerdict::served) continue;
+        EXPECT_EQ(completion->result.verdict, CallVerdict::refused) << text_of(completion->result);
+        EXPECT_EQ(runs_of(completion->result.id), 0U);
     }
 }
 
-// Signals, limits and streams are the host's.
-TEST_F(Process, NothingOfTheProcessIsTouched) {
+// The library leaves the host's signal handlers, limits and standard streams alone.
+TEST_F(Process, ProcessStateIsUnchanged) {
     struct sigaction before {
     }, after{};
     rlimit limit_before{}, limit_after{};
@@ -193,8 +195,8 @@
         Balancer balancer(loop.get_executor(), options());
         expect_served(balancer, check_in());
         nodes[0]->die();
-        const auto ending = begin(balancer, check_in(milliseconds(50)));
-        ASSERT_TRUE(over(ending));
+        const auto completion = start_call(balancer, check_in(milliseconds(50)));
+        ASSERT_TRUE(wait_for_completion(completion));
     }
     settle();
     EXPECT_EQ(testing::internal::GetCapturedStdout(), "");
--- a/tests/library/rig.h
+++ b/tests/library/rig.h
@@ -1,5 +1,5 @@
-// Hosts of the library for tests: nodes (stand-ins) with one ledger of effects, options that list them,
-// calls, and what became of them.
+// Fixture for tests of the library: upstream stand-ins that share a record of what they executed, options
+// that list them, calls, and the results that handlers received.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -28,29 +28,31 @@
 using standins::peers::DeafPeer;
 using standins::peers::text_of;
 
-// Three classes, one of each effect, with time enough for all but what a test's own budget cuts.
-inline Settings settings() {
-    Settings s;
-    const auto of = [](const char* name, Effect effect) {
-        ClassSettings c;
-        c.name = name;
-        c.aim = milliseconds(200);
-        c.deadline = seconds(20);
-        c.late_worth = 0.5;
-        c.effect = effect;
-        c.window = effect == Effect::keyed ? Micros(seconds(10)) : Micros{0};
-        return c;
+// Settings with three classes, one for each effect. Their deadlines are long: only a test's own budget ends a
+// call early.
+inline Settings test_settings() {
+    Settings settings;
+    const auto make_class = [](const char* name, Effect effect) {
+        ClassSettings class_settings;
+        class_settings.name = name;
+        class_settings.aim = milliseconds(200);
+        class_settings.deadline = seconds(20);
+        class_settings.late_worth = 0.5;
+        class_settings.effect = effect;
+        class_settings.window = effect == Effect::keyed ? Micros(seconds(10)) : Micros{0};
+        return class_settings;
     };
-    s.classes = {of("look", Effect::safe), of("hold", Effect::keyed), of("check-in", Effect::unsafe)};
-    s.max_attempts = 3;
-    s.may_cancel = true;
-    s.connect_timeout = seconds(10);
-    return s;
+    settings.classes = {make_class("look", Effect::safe), make_class("hold", Effect::keyed),
+                        make_class("check-in", Effect::unsafe)};
+    settings.max_attempts = 3;
+    settings.may_cancel = true;
+    settings.connect_timeout = seconds(10);
+    return settings;
 }
 
 inline BalancerOptions options_for(const std::vector<std::string>& addresses, std::uint64_t seed = 1) {
     BalancerOptions options;
-    options.settings = settings();
+    options.settings = test_settings();
     options.zones = {"here"};
     options.seed = seed;
     for (const auto& address : addresses) {
@@ -64,9 +66,9 @@
     return options;
 }
 
-inline CallRequest call(const char* its_class, Micros budget = seconds(15)) {
+inline CallRequest call(const char* class_name, Micros budget = seconds(15)) {
     CallRequest request;
-    request.class_name = its_class;
+    request.class_name = class_name;
     request.budget = budget;
     return request;
 }
@@ -77,31 +79,31 @@
     return request;
 }
 
-// What a handler was called with, and how often.
-struct Ending {
+// The result that a handler received, and how often the handler was called.
+struct Completion {
     int times = 0;
     CallResult result;
 
-    bool over() const { return times > 0; }
+    bool completed() const { return times > 0; }
 };
-using EndingPointer = std::shared_ptr<Ending>;
-inline auto into(const EndingPointer& ending) {
-    return [ending](CallResult result) {
-        ++ending->times;
-        ending->result = std::move(result);
+using CompletionPointer = std::shared_ptr<Completion>;
+inline auto record_into(const CompletionPointer& completion) {
+    return [completion](CallResult result) {
+        ++completion->times;
+        completion->result = std::move(result);
     };
 }
 
-inline void expect_cancelled(const Ending& ending, bool may_have_run, const std::string& where) {
-    EXPECT_EQ(ending.times, 1) << where;
-    EXPECT_EQ(ending.result.verdict, CallVerdict::failed) << where;
-    EXPECT_EQ(ending.result.cause, CallCause::cancelled) << where;
-    EXPECT_EQ(ending.result.may_have_run, may_have_run) << where;
-    EXPECT_EQ(ending.result.error, asio::error::operation_aborted) << where;
+inline void expect_cancelled(const Completion& completion, bool may_have_run, const std::string& where) {
+    EXPECT_EQ(completion.times, 1) << where;
+    EXPECT_EQ(completion.result.verdict, CallVerdict::failed) << where;
+    EXPECT_EQ(completion.result.cause, CallCause::cancelled) << where;
+    EXPECT_EQ(completion.result.may_have_run, may_have_run) << where;
+    EXPECT_EQ(completion.result.error, asio::error::operation_aborted) << where;
 }
 
-// Nodes and instances on one loop, which the test runs.
-class Rig : public standins::OnLoop {
+// Upstream stand-ins and instances on one loop, which the test runs.
+class LibraryTest : public standins::OnLoop {
 protected:
     std::shared_ptr<standins::Effects> effects = std::make_shared<standins::Effects>();
     std::vector<std::unique_ptr<BookingNode>> nodes;
@@ -112,49 +114,52 @@
         nodes.push_back(std::make_unique<BookingNode>(loop, std::move(settings)));
         return *nodes.back();
     }
-    // Each with another seed, so that no two instances draw one id.
+    // Every call returns another seed, so that no two instances generate the same id.
     BalancerOptions options() { return options(++seed_); }
     BalancerOptions options(std::uint64_t seed) const {
         std::vector<std::string> addresses;
         for (const auto& node : nodes) addresses.push_back(text_of(node->address()));
         return options_for(addresses, seed);
     }
-    // A node, under a fault where one is named, and an instance that lists it; it goes with the test.
-    Balancer& serving(const char* spec = nullptr) {
+    // Adds a stand-in, with a fault if `spec` is given, and returns an instance that lists it. The fixture
+    // owns the instance.
+    Balancer& make_balancer(const char* spec = nullptr) {
         BookingNode& node = add_node();
         if (spec) fault(node, spec);
-        return serving(options());
+        return make_balancer(options());
     }
-    Balancer& serving(const BalancerOptions& options) {
+    Balancer& make_balancer(const BalancerOptions& options) {
         return instance_.emplace(loop.get_executor(), options);
     }
-    // Until a fault has struck at a node.
-    bool struck(std::size_t node = 0) {
+    // Waits until a stand-in has triggered its fault.
+    bool wait_for_fault(std::size_t node = 0) {
         return until([&] { return nodes[node]->count_of(Kind::fault) > 0; });
     }
-    template <typename... Endings>
-    bool over(const Endings&... endings) {
-        return until([&] { return (endings->over() && ...); });
+    template <typename... Completions>
+    bool wait_for_completion(const Completions&... completions) {
+        return until([&] { return (completions->completed() && ...); });
     }
-    bool over(const std::vector<EndingPointer>& all) {
-        return until(
-            [&] { return std::all_of(all.begin(), all.end(), [](const auto& e) { return e->over(); }); });
+    bool wait_for_completion(const std::vector<CompletionPointer>& all) {
+        return until([&] {
+            return std::all_of(all.begin(), all.end(),
+                               [](const auto& completion) { return completion->completed(); });
+        });
     }
-    EndingPointer begin(Balancer& balancer, CallRequest request) {
-        auto ending = std::make_shared<Ending>();
-        balancer.async_call(std::move(request), into(ending));
-        return ending;
+    CompletionPointer start_call(Balancer& balancer, CallRequest request) {
+        auto completion = std::make_shared<Completion>();
+        balancer.async_call(std::move(request), record_into(completion));
+        return completion;
     }
-    // A call to its end, whichever.
-    CallResult ended(Balancer& balancer, CallRequest request) {
-        const auto ending = begin(balancer, std::move(request));
-        EXPECT_TRUE(over(ending));
-        EXPECT_EQ(ending->times, 1);
-        return ending->result;
+    // Makes a call and waits for its result.
+    CallResult call_and_wait(Balancer& balancer, CallRequest request) {
+        const auto completion = start_call(balancer, std::move(request));
+        EXPECT_TRUE(wait_for_completion(completion));
+        EXPECT_EQ(completion->times, 1);
+        return completion->result;
     }
-    // A call that is served, to its end: whatever was under way before has had its turns meanwhile.
+    // Makes a call that must be served, and waits for it. The loop meanwhile also runs whatever was pending.
     void expect_served(Balancer& balancer, CallRequest request) {
-        const CallResult result = ended(balancer, request);
+        const CallResult result = call_and_wait(balancer, request);
         EXPECT_EQ(result.verdict, CallVerdict::served) << text_of(result);
         EXPECT_TRUE(standins::made_for(result.body, result.id, request.class_name, request.idempotency_key,
                                        request.body))
@@ -164,7 +169,7 @@
         return std::string(flaxdoor::text_of(result.verdict)) + "/" +
                std::string(flaxdoor::text_of(result.cause)) + " " + result.why;
     }
-    static std::string text_of(const tcp::endpoint& at) { return test::text_of(at); }
+    static std::string text_of(const tcp::endpoint& endpoint) { return test::text_of(endpoint); }
     std::uint32_t runs_of(const std::string& id) const {
         const auto* const record = effects->find(id);
         return record ? record->runs : 0;
@@ -176,7 +181,7 @@
 
 private:
     std::uint64_t seed_ = 100;
-    std::optional<Balancer> instance_;  // goes first
+    std::optional<Balancer> instance_;  // destroyed first
 };
 
 }  // namespace flaxdoor::test
--- a/tests/library/threads_test.cpp
+++ b/tests/library/threads_test.cpp
@@ -1,5 +1,5 @@
-// Several threads: calls from all of them, handlers on a pool, destruction by one while others start calls,
-// and the form that waits.
+// Several threads: all of them make calls, handlers run on a pool, one thread destroys an instance while
+// others start calls. And the blocking balancer.
 #include <atomic>
 #include <latch>
 
@@ -9,11 +9,11 @@
 namespace flaxdoor::test {
 namespace {
 
-// The instance on a strand of a pool, calls from several threads, handlers on the pool.
+// The instance runs on a strand of a pool, several threads make calls, and the pool runs their handlers.
 TEST(Threads, OnAStrandOfAPool) {
     Fleet fleet(3);
     asio::thread_pool pool(3);
-    std::atomic<int> over = 0, served = 0;
+    std::atomic<int> completed = 0, served = 0;
     {
         Balancer balancer(asio::make_strand(pool), options_for(fleet.addresses()));
         std::vector<std::thread> hosts;
@@ -24,7 +24,7 @@
                     balancer.async_call(i % 2 ? look() : check_in(),
                                         asio::bind_executor(pool, [&](CallResult result) {
                                             served += result.verdict == CallVerdict::served;
-                                            ++over;
+                                            ++completed;
                                             done.set_value();
                                         }));
                     done.get_future().get();
@@ -35,72 +35,73 @@
         for (auto& host : hosts) host.join();
     }
     pool.join();
-    EXPECT_EQ(over, 300);
+    EXPECT_EQ(completed, 300);
     EXPECT_GT(served, 250);
-    EXPECT_TRUE(fleet.ask([](Fleet& f) { return f.effects().ran_again().empty(); }));
+    EXPECT_TRUE(fleet.run_on_loop([](Fleet& stand_ins) { return stand_ins.effects().ran_again().empty(); }));
 }
 
-// A handler that takes its time on a pool holds nobody up: another call begins and ends meanwhile.
-TEST(Threads, AHandlerThatBlocksHoldsNobodyUp) {
+// While a handler blocks a thread of a pool, other calls are started and completed.
+TEST(Threads, BlockingHandlerDelaysNoOtherCall) {
     Fleet fleet(2);
-    Loop loop;
+    LoopThread loop;
     asio::thread_pool pool(2);
     Balancer balancer(loop.get().get_executor(), options_for(fleet.addresses()));
-    std::latch blocked(1), let_go(1);
+    std::latch blocked(1), release(1);
     std::promise<void> ended;
     balancer.async_call(look(), asio::bind_executor(pool, [&](CallResult) {
                             blocked.count_down();
-                            let_go.wait();
+                            release.wait();
                             ended.set_value();
                         }));
     blocked.wait();
-    for (int i = 0; i < 10; ++i) EXPECT_EQ(wait_for(balancer, look()).verdict, CallVerdict::served);
-    let_go.count_down();
+    for (int i = 0; i < 10; ++i) EXPECT_EQ(call_and_wait(balancer, look()).verdict, CallVerdict::served);
+    release.count_down();
     ended.get_future().get();
 }
 
-// Destroyed by one thread while others start calls (by operations that were made before): each handler once,
-// and what was told not to have run never does.
+// One thread destroys the instance while others start deferred calls, which were created before. Each handler
+// runs once, and a call that was reported as not executed is never executed.
 TEST(Threads, DestroyedWhileOthersStartCalls) {
     Fleet fleet(3);
-    std::vector<std::pair<std::string, bool>> told;  // id, may have run
+    std::vector<std::pair<std::string, bool>> results;  // id, may have run
     std::mutex mutex;
     for (int round = 0; round < 20; ++round) {
-        Loop loop;
+        LoopThread loop;
         asio::thread_pool pool(2);
-        constexpr int each = 20;
+        constexpr int calls_per_host = 20;
         constexpr int hosts = 3;
-        std::array<std::array<std::atomic<int>, each>, hosts> times{};
-        std::latch begin(hosts + 1);
+        std::array<std::array<std::atomic<int>, calls_per_host>, hosts> times{};
+        std::latch start(hosts + 1);
         std::vector<std::thread> threads;
         {
             Balancer balancer(loop.get().get_executor(),
                               options_for(fleet.addresses(), 1000 + static_cast<unsigned>(round)));
             for (int t = 0; t < hosts; ++t) {
                 std::vector<decltype(balancer.async_call(check_in(), asio::deferred))> operations;
-                for (int i = 0; i < each; ++i) {
+                for (int i = 0; i < calls_per_host; ++i) {
                     operations.push_back(balancer.async_call(check_in(), asio::deferred));
                 }
-                threads.emplace_back([&, t, mine = std::move(operations)]() mutable {
-                    begin.arrive_and_wait();
-                    for (int i = 0; i < each; ++i) {
+                threads.emplace_back([&, t, own_operations = std::move(operations)]() mutable {
+                    start.arrive_and_wait();
+                    for (int i = 0; i < calls_per_host; ++i) {
                         std::atomic<int>& count =
                             times[static_cast<std::size_t>(t)][static_cast<std::size_t>(i)];
                         auto handler = [&](CallResult result) {
                             ++count;
                             const std::lock_guard lock(mutex);
-                            told.emplace_back(result.id, result.may_have_run);
+                            results.emplace_back(result.id, result.may_have_run);
                         };
                         if (i % 2) {
-                            std::move(mine[static_cast<std::size_t>(i)])(handler);
+                            std::move(own_operations[static_cast<std::size_t>(i)])(handler);
                         } else {
-                            std::move(mine[static_cast<std::size_t>(i)])(asio::bind_executor(pool, handler));
+                            std::move(own_operations[static_cast<std::size_t>(i)])(
+                                asio::bind_executor(pool, handler));
                         }
                     }
                 });
             }
-            begin.arrive_and_wait();
-            // Somewhere among their calls.
+            start.arrive_and_wait();
+            // Lets the destruction happen at another point of the threads' calls in each round.
             for (int i = 0; i < round * 3; ++i) std::this_thread::yield();
         }
         for (auto& thread : threads) thread.join();
@@ -110,11 +111,11 @@
             for (const auto& count : of_host) EXPECT_EQ(count, 1) << "round " << round;
         }
     }
-    ASSERT_TRUE(fleet.quiet());
-    fleet.ask([&](Fleet& f) {
+    ASSERT_TRUE(fleet.wait_until_idle());
+    fleet.run_on_loop([&](Fleet& stand_ins) {
         int not_run = 0;
-        for (const auto& [id, may_have_run] : told) {
-            const auto* const record = f.effects().find(id);
+        for (const auto& [id, may_have_run] : results) {
+            const auto* const record = stand_ins.effects().find(id);
             const std::uint32_t runs = record ? record->runs : 0;
             EXPECT_LE(runs, 1U) << id;
             if (!may_have_run) {
@@ -149,7 +150,7 @@
     EXPECT_EQ(balancer.call(look()).cause, CallCause::closed);
 }
 
-TEST(Blocking, AStopCancels) {
+TEST(Blocking, StopRequestCancels) {
     Fleet fleet(1);
     fleet.fault(0, "never");
     BlockingBalancer balancer(options_for(fleet.addresses()));
@@ -170,7 +171,7 @@
     EXPECT_EQ(balancer.call(call("none")).cause, CallCause::bad_request);
 }
 
-// Calls that wait in other threads are told, and a drain that waits ends too.
+// Calls that block in other threads end as closed.
 TEST(Blocking, DestroyedWhileCallsWait) {
     Fleet fleet(6);
     for (std::size_t i = 0; i < fleet.size(); ++i) fleet.fault(i, "never");
@@ -180,10 +181,11 @@
         std::vector<std::thread> hosts;
         std::atomic<int> started = 0;
         const auto faults = [&] {
-            return fleet.ask([](Fleet& f) {
-                std::size_t all = 0;
-                for (std::size_t i = 0; i < f.size(); ++i) all += f.node(i).count_of(Kind::fault);
-                return all;
+            return fleet.run_on_loop([](Fleet& stand_ins) {
+                std::size_t total = 0;
+                for (std::size_t i = 0; i < stand_ins.size(); ++i)
+                    total += stand_ins.node(i).count_of(Kind::fault);
+                return total;
             });
         };
         const auto before = faults();
@@ -201,38 +203,38 @@
     }
 }
 
-// On its own thread, from a handler or from a sink: it lets the thread end by itself.
+// Destroyed on its own thread, by a handler or by a sink. The thread then ends by itself.
 TEST(Blocking, DestroyedOnItsOwnThread) {
     Fleet fleet(1);
     auto balancer = std::make_unique<BlockingBalancer>(options_for(fleet.addresses()));
-    std::promise<void> gone;
+    std::promise<void> destroyed;
     const auto other = std::make_shared<std::promise<CallResult>>();
     balancer->balancer().async_call(look(), [&, other](CallResult) {
         balancer->balancer().async_call(look(),
                                         [other](CallResult result) { other->set_value(std::move(result)); });
         balancer.reset();
-        gone.set_value();
+        destroyed.set_value();
     });
-    gone.get_future().get();
+    destroyed.get_future().get();
     EXPECT_EQ(other->get_future().get().cause, CallCause::closed);
 
-    std::promise<void> again;
-    std::atomic<bool> once = false;
+    std::promise<void> destroyed_by_sink;
+    std::atomic<bool> destroying = false;
     std::unique_ptr<BlockingBalancer> from_sink;
-    std::latch made(1);
+    std::latch constructed(1);
     BalancerOptions options = options_for(fleet.addresses(), 9);
     options.figures_every = milliseconds(1);
-    const auto maker = std::this_thread::get_id();
+    const auto constructing_thread = std::this_thread::get_id();
     options.figures = [&](std::string_view, const BalancerFigures&) {
-        if (std::this_thread::get_id() == maker || once.exchange(true))
-            return;  // the first ones, while it is made
-        made.wait();
+        if (std::this_thread::get_id() == constructing_thread || destroying.exchange(true))
+            return;  // the calls from the constructor
+        constructed.wait();
         from_sink.reset();
-        again.set_value();
+        destroyed_by_sink.set_value();
     };
     from_sink = std::make_unique<BlockingBalancer>(options);
-    made.count_down();
-    again.get_future().get();
+    constructed.count_down();
+    destroyed_by_sink.get_future().get();
 }
 
 }  // namespace
--- a/tests/library/tokens_test.cpp
+++ b/tests/library/tokens_test.cpp
@@ -1,5 +1,5 @@
-// Completion tokens: each kind gets its one completion, on its own executor, and cancellation as its rules
-// have it.
+// Completion tokens: each kind completes once, on its own executor, and passes cancellation on as Asio's
+// rules for it require.
 #include <boost/asio/deferred.hpp>
 #include <thread>
 
@@ -10,10 +10,10 @@
 
 using asio::cancellation_type;
 
-class Tokens : public Rig {
+class Tokens : public LibraryTest {
 protected:
-    // Cancels a coroutine that waits for a call which is never answered. Whether the coroutine's own filter
-    // let the cancellation through is in what comes back.
+    // Cancels a coroutine that waits for a call that is never answered. Returns the call's result if the
+    // coroutine's filter let the cancellation through, else nothing.
     template <typename Filter>
     std::optional<CallResult> cancel_coroutine(cancellation_type type, Filter filter, bool and_terminal) {
         nodes.clear();
@@ -29,22 +29,22 @@
         bool over = false;
         asio::co_spawn(loop, coroutine,
                        asio::bind_cancellation_slot(signal.slot(), [&](std::exception_ptr) { over = true; }));
-        EXPECT_TRUE(struck());
+        EXPECT_TRUE(wait_for_fault());
         signal.emit(type);
         for (int i = 0; i < 3; ++i) settle();
-        const auto passed = result;
+        const auto result_of_first = result;
         if (and_terminal && !over) signal.emit(cancellation_type::terminal);
         EXPECT_TRUE(until([&] { return over; }));
-        return passed;
+        return result_of_first;
     }
 };
 
 TEST_F(Tokens, Future) {
-    Balancer& balancer = serving();
+    Balancer& balancer = make_balancer();
     auto future = balancer.async_call(check_in(), asio::use_future);
     ASSERT_TRUE(until([&] { return future.wait_for(seconds(0)) == std::future_status::ready; }));
     EXPECT_EQ(future.get().verdict, CallVerdict::served);
-    // What fails is a result too, and no exception.
+    // A failed call is reported as a result, not as an exception.
     auto bad = balancer.async_call(call("none"), asio::use_future);
     ASSERT_TRUE(until([&] { return bad.wait_for(seconds(0)) == std::future_status::ready; }));
     EXPECT_EQ(bad.get().cause, CallCause::bad_request);
@@ -53,7 +53,7 @@
 }
 
 TEST_F(Tokens, Awaitable) {
-    Balancer& balancer = serving();
+    Balancer& balancer = make_balancer();
     std::optional<CallResult> result;
     bool drained = false;
     asio::co_spawn(
@@ -69,31 +69,31 @@
 }
 
 TEST_F(Tokens, AwaitableLetsOnlyTerminalThroughByDefault) {
-    const auto as_it_is = []() -> asio::awaitable<void> { co_return; };
-    EXPECT_FALSE(cancel_coroutine(cancellation_type::total, as_it_is, true));
-    EXPECT_FALSE(cancel_coroutine(cancellation_type::partial, as_it_is, true));
-    const auto result = cancel_coroutine(cancellation_type::terminal, as_it_is, false);
+    const auto default_filter = []() -> asio::awaitable<void> { co_return; };
+    EXPECT_FALSE(cancel_coroutine(cancellation_type::total, default_filter, true));
+    EXPECT_FALSE(cancel_coroutine(cancellation_type::partial, default_filter, true));
+    const auto result = cancel_coroutine(cancellation_type::terminal, default_filter, false);
     ASSERT_TRUE(result);
     EXPECT_EQ(result->cause, CallCause::cancelled);
     EXPECT_TRUE(result->may_have_run);
 }
 
-TEST_F(Tokens, AwaitableWithItsStateReset) {
-    const auto all = [] {
+TEST_F(Tokens, AwaitableWithCancellationStateReset) {
+    const auto allow_all = [] {
         return asio::this_coro::reset_cancellation_state(asio::enable_total_cancellation());
     };
-    // It comes through, and is not honoured: bytes are out.
-    EXPECT_FALSE(cancel_coroutine(cancellation_type::total, all, true));
-    const auto partial = cancel_coroutine(cancellation_type::partial, all, false);
+    // The call receives `total` but ignores it, because bytes have been sent.
+    EXPECT_FALSE(cancel_coroutine(cancellation_type::total, allow_all, true));
+    const auto partial = cancel_coroutine(cancellation_type::partial, allow_all, false);
     ASSERT_TRUE(partial);
     EXPECT_EQ(partial->cause, CallCause::cancelled);
-    ASSERT_TRUE(cancel_coroutine(cancellation_type::terminal, all, false));
+    ASSERT_TRUE(cancel_coroutine(cancellation_type::terminal, allow_all, false));
 }
 
-// A signal before any byte is out: `total` is honoured.
-TEST_F(Tokens, AwaitableTotalBeforeAByteIsOut) {
-    BalancerOptions its = options();  // nobody listed
-    Balancer balancer(loop.get_executor(), its);
+// `total` cancels a call of which no byte has been sent.
+TEST_F(Tokens, AwaitableTotalBeforeSending) {
+    BalancerOptions balancer_options = options();  // no server listed
+    Balancer balancer(loop.get_executor(), balancer_options);
     asio::cancellation_signal signal;
     std::optional<CallResult> result;
     asio::co_spawn(
@@ -111,52 +111,52 @@
     EXPECT_FALSE(result->may_have_run);
 }
 
-// Deferred: nothing happens until it is started; it may be started when the instance has gone.
+// A deferred call does nothing until it is started. It may be started after the instance has been destroyed.
 TEST_F(Tokens, Deferred) {
     add_node();
     std::optional<Balancer> balancer(std::in_place, loop.get_executor(), options());
-    const auto ending = std::make_shared<Ending>();
-    const auto late = std::make_shared<Ending>();
+    const auto completion = std::make_shared<Completion>();
+    const auto late = std::make_shared<Completion>();
     auto operation = balancer->async_call(check_in(), asio::deferred);
-    auto forgotten = balancer->async_call(check_in(), asio::deferred);
+    auto never_started = balancer->async_call(check_in(), asio::deferred);
     auto started_late = balancer->async_call(check_in(), asio::deferred);
     settle();
     EXPECT_EQ(nodes[0]->counts().begun, 0U);
-    std::move(operation)(into(ending));
-    ASSERT_TRUE(over(ending));
-    EXPECT_EQ(ending->result.verdict, CallVerdict::served);
+    std::move(operation)(record_into(completion));
+    ASSERT_TRUE(wait_for_completion(completion));
+    EXPECT_EQ(completion->result.verdict, CallVerdict::served);
     balancer.reset();
     settle();
-    std::move(started_late)(into(late));
-    ASSERT_TRUE(over(late));
+    std::move(started_late)(record_into(late));
+    ASSERT_TRUE(wait_for_completion(late));
     EXPECT_EQ(late->result.cause, CallCause::closed);
     EXPECT_FALSE(late->result.may_have_run);
     EXPECT_EQ(nodes[0]->counts().begun, 1U);
-    (void)forgotten;
+    (void)never_started;
 }
 
-// On a pool's threads, and the pool is kept at work until the handler has run.
+// Handlers run on the pool's threads, and pending calls keep the pool from finishing.
 TEST_F(Tokens, BoundToAPool) {
-    Balancer& balancer = serving();
+    Balancer& balancer = make_balancer();
     asio::thread_pool pool(2);
-    std::atomic<int> on_pool = 0, of_mine = 0;
-    const auto mine = std::this_thread::get_id();
+    std::atomic<int> on_pool = 0, on_test_thread = 0;
+    const auto test_thread = std::this_thread::get_id();
     constexpr int calls = 20;
     for (int i = 0; i < calls; ++i) {
         balancer.async_call(check_in(), asio::bind_executor(pool, [&](CallResult result) {
                                 EXPECT_NE(result.verdict, CallVerdict::failed);
-                                if (std::this_thread::get_id() == mine) ++of_mine;
+                                if (std::this_thread::get_id() == test_thread) ++on_test_thread;
                                 ++on_pool;
                             }));
     }
     ASSERT_TRUE(until([&] { return on_pool == calls; }));
     pool.join();
-    EXPECT_EQ(of_mine, 0);
+    EXPECT_EQ(on_test_thread, 0);
 }
 
-// A handler that can't be copied, and one that is large.
+// A handler that is not copyable and is large.
 TEST_F(Tokens, HandlersOfAnyKind) {
-    Balancer& balancer = serving();
+    Balancer& balancer = make_balancer();
     auto owned = std::make_unique<int>(7);
     std::array<char, 4096> large{};
     int seen = 0;
