--- a/src/library/instance.cpp
+++ b/src/library/instance.cpp
@@ -380,7 +380,7 @@
         }
         self->draining_ = true;
         self->engine_->drain([weak = self->weak_from_this()] {
-            // Posts, because the engine, which tear_down() destroys, is on the stack.
+            // Posts tear_down(), because it destroys the engine, which is on the stack here.
             const auto instance = weak.lock();
             if (instance) asio::post(instance->executor_, [instance] { instance->tear_down(); });
         });
@@ -552,7 +552,7 @@
     if (found != pending_.end()) found->second.call = id;
 }
 
-// Prevents that a call is sent after another thread has completed it as closed and not executed.
+// Returns false for a call that another thread has completed as closed and not executed: it must not be sent.
 bool Instance::on_sending(std::uint64_t token) {
     const std::lock_guard lock(mutex_);
     const auto found = pending_.find(token);
--- a/src/library/instance.h
+++ b/src/library/instance.h
@@ -78,6 +78,7 @@
     void run_guarded(std::uint64_t number, Work work);
     void start_call(std::uint64_t number, const CallRequest& request);
     void start_http(std::uint64_t number, HttpRequest& request);
+    // `unseen` is the client's transit time: see http::call_of().
     void submit_to_core(std::uint64_t number, http::ClientRequest request, std::optional<UpstreamId> pinned,
                         Micros unseen);
     void complete_final(std::uint64_t token, core::Final final);
@@ -120,8 +121,8 @@
     // Accessed on the executor only.
     std::unique_ptr<engine::Engine> engine_;
     std::optional<boost::asio::steady_timer> figures_timer_;
-    std::optional<boost::asio::steady_timer>
-        drain_accept_timer_;  // ends acceptance during a drain: see BalancerOptions::keep_taking
+    // Ends the acceptance of calls during a drain: see BalancerOptions::keep_taking.
+    std::optional<boost::asio::steady_timer> drain_accept_timer_;
     bool draining_ = false;
     bool torn_down_ = false;
 };
--- a/src/middleware/mount.cpp
+++ b/src/middleware/mount.cpp
@@ -89,8 +89,8 @@
         notify_if_idle();
     }
 
-    // May be called from any thread. Prevents that functions already posted to the loop use the balancer,
-    // which may be destroyed right after the mount.
+    // May be called from any thread. Functions that are already posted to the loop then no longer use the
+    // balancer, which may be destroyed right after the mount.
     void detach_balancer() {
         const std::lock_guard lock(mutex_);
         balancer_ = nullptr;
--- a/tests/library/middleware_test.cpp
+++ b/tests/library/middleware_test.cpp
@@ -184,7 +184,7 @@
 
 // ---- pipelines
 
-// Bytes behind a request with Connection: close are ignored.
+// Requests that follow one with Connection: close are ignored.
 TEST(Pipelined, RequestsAfterConnectionCloseAreIgnored) {
     Site site;
     const auto client = site.start_with_client();
