--- a/src/budget/admission.cpp
+++ b/src/budget/admission.cpp
@@ -7,20 +7,20 @@
 
 namespace {
 
-bool falls_under(const Budget& budget, const core::Call& call, const std::string& pool,
-                 const Settings& settings) {
+bool applies_to(const Budget& budget, const core::Call& call, const std::string& pool,
+                const Settings& settings) {
     if (!budget.pool.empty() && budget.pool != pool) return false;
     if (!budget.of_class.empty() &&
         budget.of_class != settings.classes[static_cast<std::size_t>(call.class_index)].name) {
         return false;
     }
     if (budget.tenant.empty()) return true;
-    const auto number = static_cast<std::size_t>(call.tenant.number);
-    return call.tenant.kind == core::Tenant::Kind::known && number < settings.tenants.size() &&
-           budget.tenant == settings.tenants[number].name;
+    const auto tenant_index = static_cast<std::size_t>(call.tenant.number);
+    return call.tenant.kind == core::Tenant::Kind::known && tenant_index < settings.tenants.size() &&
+           budget.tenant == settings.tenants[tenant_index].name;
 }
 
-bool takes(Counts counts, int attempt) {
+bool takes_permit(Counts counts, int attempt) {
     switch (counts) {
         case Counts::requests: return attempt == 0;
         case Counts::retries: return attempt > 0;
@@ -32,102 +32,106 @@
 
 }  // namespace
 
-// Permits of one call. What an attempt takes goes by how many begin before it, which is not known while several wait
-// for their connections: so the permits that are set aside belong to the call, for the next so many that begin.
-class Admission::Held final : public core::Permits {
+// The permits of one call. Which budgets an attempt takes permits of depends on how many attempts of the call begin before it,
+// which is not known while several of them wait for connections. Reserved permits therefore belong to the call: they serve the
+// next attempts that begin, whichever these are.
+class Admission::CallPermits final : public core::Permits {
 public:
-    Held(Admission& owner, std::vector<std::size_t> budgets) : owner_(owner), budgets_(std::move(budgets)) {}
-    ~Held() override {
-        while (aside_ > 0) give_back_last();
-        for (const Begun& each : begun_) free_places(budgets_, each.at, false);
+    CallPermits(Admission& owner, std::vector<std::size_t> budgets)
+        : owner_(owner), budgets_(std::move(budgets)) {}
+    ~CallPermits() override {
+        while (reserved_ > 0) release_last();
+        for (const BegunAttempt& attempt : begun_) end_attempts(budgets_, attempt.at, false);
     }
 
-    // One that never began leaves what was set aside for it to the next.
+    // An attempt that never began leaves its reserved permits to the next attempt.
     bool allow(int attempt, Time) override {
-        if (aside_ > static_cast<int>(waiting_.size()) || set_aside()) {
-            waiting_.push_back(attempt);
+        if (reserved_ > static_cast<int>(allowed_.size()) || set_aside()) {
+            allowed_.push_back(attempt);
             return true;
         }
         return false;
     }
 
     bool begin(int attempt, Time) override {
-        if (std::erase(waiting_, attempt) == 0) return false;
+        if (std::erase(allowed_, attempt) == 0) return false;
         const Time now = owner_.clock_.now();
         Holder& holder = owner_.holder_;
-        const int ordinal = next_++;
-        --aside_;
-        std::vector<std::size_t> used;
-        bool all = true;
+        const int ordinal = begun_count_++;
+        --reserved_;
+        std::vector<std::size_t> committed;
+        bool all_committed = true;
         for (const std::size_t budget : budgets_) {
-            if (!takes(owner_.counts(budget), ordinal)) continue;
+            if (!takes_permit(owner_.counts(budget), ordinal)) continue;
             if (holder.at(budget).use(now)) {
-                used.push_back(budget);
+                committed.push_back(budget);
                 continue;
             }
-            all = false;
-            lacking_ = budget;
+            all_committed = false;
+            missing_budget_ = budget;
             ++owner_.figures_[budget].lapsed;
         }
-        if (!all) {
-            // Permits of the others are used up: what goes out may be less than they allow, never more.
-            free_places(used, now, true);
+        if (!all_committed) {
+            // The permits that were committed for the other budgets are spent: less may be sent than these budgets allow, but
+            // never more.
+            end_attempts(committed, now, true);
             return false;
         }
-        for (const std::size_t budget : used) ++owner_.figures_[budget].permits;
+        for (const std::size_t budget : committed) ++owner_.figures_[budget].permits;
         begun_.push_back({attempt, now});
         return true;
     }
 
     void end(int attempt, bool known, Time) override {
-        if (std::erase(waiting_, attempt) > 0) {
-            // Kept for a call's next first attempt, so that it need not ask again; of a copy's nobody may have need.
-            if (next_ > 0 || !waiting_.empty()) give_back_last();
+        if (std::erase(allowed_, attempt) > 0) {
+            // Keeps the permits if the call's first attempt is still to begin, so that it need not reserve them again. Permits of
+            // a hedged attempt are released, since no other attempt may need them.
+            if (begun_count_ > 0 || !allowed_.empty()) release_last();
             return;
         }
-        const auto at =
-            std::find_if(begun_.begin(), begun_.end(), [&](const Begun& b) { return b.attempt == attempt; });
-        if (at == begun_.end()) return;
-        free_places(budgets_, at->at, known);
-        begun_.erase(at);
+        const auto found = std::find_if(begun_.begin(), begun_.end(),
+                                        [&](const BegunAttempt& b) { return b.attempt == attempt; });
+        if (found == begun_.end()) return;
+        end_attempts(budgets_, found->at, known);
+        begun_.erase(found);
     }
 
-    Micros retry_after(Time) override { return owner_.wait_for(lacking_, owner_.clock_.now()); }
+    Micros retry_after(Time) override { return owner_.retry_delay(missing_budget_, owner_.clock_.now()); }
 
-    // For the first attempt, before it has a number. False: there is none.
+    // Reserves the permits of the next attempt, for the first one before it has a number. Returns false if a budget has none.
     bool set_aside() {
         const Time now = owner_.clock_.now();
         Holder& holder = owner_.holder_;
-        const int ordinal = next_ + aside_;
+        const int ordinal = begun_count_ + reserved_;
         for (std::size_t i = 0; i < budgets_.size(); ++i) {
             const std::size_t budget = budgets_[i];
-            if (!takes(owner_.counts(budget), ordinal) || holder.at(budget).set_aside(now)) continue;
-            lacking_ = budget;
+            if (!takes_permit(owner_.counts(budget), ordinal) || holder.at(budget).set_aside(now)) continue;
+            missing_budget_ = budget;
             owner_.on_refused(budget, now);
             for (std::size_t j = 0; j < i; ++j) {
-                if (takes(owner_.counts(budgets_[j]), ordinal)) holder.at(budgets_[j]).give_back(now);
+                if (takes_permit(owner_.counts(budgets_[j]), ordinal)) holder.at(budgets_[j]).give_back(now);
             }
             return false;
         }
-        ++aside_;
+        ++reserved_;
         return true;
     }
 
 private:
-    struct Begun {
+    struct BegunAttempt {
         int attempt = 0;
         Time at{};
     };
 
-    void give_back_last() {
+    void release_last() {
         const Time now = owner_.clock_.now();
-        const int ordinal = next_ + --aside_;
+        const int ordinal = begun_count_ + --reserved_;
         for (const std::size_t budget : budgets_) {
-            if (takes(owner_.counts(budget), ordinal)) owner_.holder_.at(budget).give_back(now);
+            if (takes_permit(owner_.counts(budget), ordinal)) owner_.holder_.at(budget).give_back(now);
         }
     }
 
-    void free_places(const std::vector<std::size_t>& budgets, Time began, bool known) {
+    void end_attempts(const std::vector<std::size_t>& budgets, Time began, bool known) {
         const Time now = owner_.clock_.now();
         for (const std::size_t budget : budgets) {
             if (owner_.counts(budget) == Counts::concurrency)
@@ -137,11 +141,11 @@
 
     Admission& owner_;
     const std::vector<std::size_t> budgets_;
-    std::vector<int> waiting_;  // allowed, neither begun nor ended
-    std::vector<Begun> begun_;
-    std::size_t lacking_ = 0;
-    int next_ = 0;   // how many have begun
-    int aside_ = 0;  // for so many of the next that begin; as many as are waiting, or one more
+    std::vector<int> allowed_;  // attempts that have neither begun nor ended
+    std::vector<BegunAttempt> begun_;
+    std::size_t missing_budget_ = 0;
+    int begun_count_ = 0;  // attempts that have begun
+    int reserved_ = 0;     // attempts with reserved permits: as many as allowed_ holds, or one more
 };
 
 Admission::Admission(Holder& holder, const core::Clock& clock, std::function<void()> on_want)
@@ -152,36 +156,37 @@
 
 core::Admitted Admission::admit(core::Call& call, const std::string& pool, const Settings& settings,
                                 Time now) {
-    std::vector<std::size_t> under;
+    std::vector<std::size_t> applicable;
     const auto& budgets = holder_.terms().budgets;
     for (std::size_t i = 0; i < budgets.size(); ++i) {
-        if (!falls_under(budgets[i], call, pool, settings)) continue;
-        under.push_back(i);
+        if (!applies_to(budgets[i], call, pool, settings)) continue;
+        applicable.push_back(i);
         if (budgets[i].counts != Counts::concurrency) continue;
-        // No longer than its place is counted as held should this process die.
+        // The attempt must not outlast its concurrency permit, which the authority frees after `longest` if this process dies.
         const Micros longest = holder_.terms().longest;
         call.attempt_limit = call.attempt_limit > Micros{} ? std::min(call.attempt_limit, longest) : longest;
     }
     core::Admitted admitted;
-    if (under.empty()) return admitted;
-    auto held = std::make_unique<Held>(*this, std::move(under));
-    if (!held->set_aside()) {
+    if (applicable.empty()) return admitted;
+    auto permits = std::make_unique<CallPermits>(*this, std::move(applicable));
+    if (!permits->set_aside()) {
         admitted.refused = true;
-        admitted.retry_after = held->retry_after(now);
+        admitted.retry_after = permits->retry_after(now);
         return admitted;
     }
-    admitted.permits = std::move(held);
+    admitted.permits = std::move(permits);
     return admitted;
 }
 
 Counts Admission::counts(std::size_t budget) const { return holder_.terms().budgets[budget].counts; }
 
-// Until a permit of its own share may be there; with none, until a lease that asks now may bring one.
-Micros Admission::wait_for(std::size_t budget, Time now) {
+// Returns the time until the present share may yield a permit, or if there is none, until the next lease request may bring a
+// share.
+Micros Admission::retry_delay(std::size_t budget, Time now) {
     const auto next = holder_.at(budget).next(now);
-    const Micros ask =
+    const Micros until_request =
         std::max(holder_.next_request() - now, Micros{0}) + Micros(std::chrono::milliseconds(1));
-    return next && *next > Micros{0} ? std::min(*next, ask + holder_.terms().term) : ask;
+    return next && *next > Micros{0} ? std::min(*next, until_request + holder_.terms().term) : until_request;
 }
 
 void Admission::on_refused(std::size_t budget, Time now) {
--- a/src/budget/admission.h
+++ b/src/budget/admission.h
@@ -1,10 +1,11 @@
-// The budgets at the core's admission (core/admission.h): which budgets a call falls under, and a permit of each.
+// Applies the budgets at the core's admission (core/admission.h): selects the budgets that apply to a call and takes a
+// permit of each.
 //
-// A call has to have a permit of every budget that it falls under; where one has none, those of the others are given back.
+// A call needs a permit of every budget that applies to it. If one budget has none, the permits of the others are released.
 //
-// Threading: the core's one thread.   Ownership: the holder and the clock are borrowed and outlive it; it outlives
-//            the permits.
-// Time:      the holder's own clock, which counts while the process is paused; the core's times are not looked at.
+// Threading: the core's thread.   Ownership: the holder and the clock are borrowed and outlive the admission, which
+//            outlives the permits.
+// Time:      the holder's clock, which advances while the process is suspended; the core's times are ignored.
 #pragma once
 
 #include <functional>
@@ -22,11 +23,11 @@
 public:
     struct Figures {
         std::string budget;
-        std::uint64_t permits = 0;  // used
-        std::uint64_t refused = 0;  // calls and further attempts, for want of one
-        std::uint64_t lapsed = 0;   // attempts that were not begun since their permit had ended
+        std::uint64_t permits = 0;  // committed
+        std::uint64_t refused = 0;  // calls and later attempts that found no permit
+        std::uint64_t lapsed = 0;   // attempts that were not started because their permit had been revoked
     };
-    // `on_want`: called when the holder wants to ask sooner than it did (Holder::next_request).
+    // `on_want` is called when the holder may want to send a request earlier (Holder::next_request).
     Admission(Holder& holder, const core::Clock& clock, std::function<void()> on_want);
     ~Admission() override;
 
@@ -35,9 +36,9 @@
     const std::vector<Figures>& figures() const { return figures_; }
 
 private:
-    class Held;
+    class CallPermits;
     Counts counts(std::size_t budget) const;
-    Micros wait_for(std::size_t budget, Time now);
+    Micros retry_delay(std::size_t budget, Time now);
     void on_refused(std::size_t budget, Time now);
 
     Holder& holder_;
--- a/src/budget/allowance.cpp
+++ b/src/budget/allowance.cpp
@@ -5,151 +5,154 @@
 namespace flaxdoor::budget {
 
 namespace {
-constexpr std::int64_t permit = 1'000'000'000;  // in what tokens are counted in: a thousandth's microsecond
-constexpr std::int64_t millionths = 1'000'000;
-constexpr Micros longest_fill = std::chrono::hours(1);  // so that the products below fit
+// A rate of a thousandth of a permit a second yields one token a microsecond.
+constexpr std::int64_t tokens_per_permit = 1'000'000'000;
+constexpr std::int64_t million = 1'000'000;
+constexpr Micros max_refill_interval = std::chrono::hours(1);  // bounds the products below
 
-// Rounded down, so that no more comes in than may.
-std::int64_t pace_of(double drift) { return static_cast<std::int64_t>(1e6 * (1 - drift)); }
+// Rounded down, so that no more tokens accrue than the rate allows.
+std::int64_t fill_factor_of(double drift) { return static_cast<std::int64_t>(1e6 * (1 - drift)); }
 }  // namespace
 
 Allowance::Allowance(Counts counts, Amount reserve, Micros longest, Time now, double drift)
     : counts_(counts),
       reserve_(reserve),
       longest_(drift > 0 ? at_authority(longest, drift) : longest),
-      pace_(pace_of(drift)),
-      until_(now),
-      at_(now) {}
+      fill_factor_(fill_factor_of(drift)),
+      lease_until_(now),
+      updated_at_(now) {}
 
 void Allowance::lease(Amount share, Time until, Time now) {
-    settle(now);
+    advance(now);
     lease_ = share;
-    until_ = std::max(until, at_);
-    clip();
+    lease_until_ = std::max(until, updated_at_);
+    clamp_to_size();
 }
 
 void Allowance::set_reserve(Amount reserve, Time now) {
-    settle(now);
+    advance(now);
     reserve_ = reserve;
-    clip();
+    clamp_to_size();
 }
 
 bool Allowance::set_aside(Time now) {
-    settle(now);
-    ++asked_.wanted;
-    const bool there =
-        counts_ == Counts::concurrency ? places_ + aside_ < size_at(at_).size : tokens_ >= permit;
-    if (!there) {
-        ++asked_.refused;
+    advance(now);
+    ++demand_.wanted;
+    const bool available = counts_ == Counts::concurrency ? in_use_ + reserved_ < amount_at(updated_at_).size
+                                                          : tokens_ >= tokens_per_permit;
+    if (!available) {
+        ++demand_.refused;
         return false;
     }
-    ++aside_;
-    if (counts_ != Counts::concurrency) tokens_ -= permit;
-    asked_.most_in_use = std::max(asked_.most_in_use, places_ + aside_);
+    ++reserved_;
+    if (counts_ != Counts::concurrency) tokens_ -= tokens_per_permit;
+    demand_.most_in_use = std::max(demand_.most_in_use, in_use_ + reserved_);
     return true;
 }
 
 bool Allowance::use(Time now) {
-    settle(now);
-    if (gone_ > 0) {
-        --gone_;
+    advance(now);
+    if (revoked_ > 0) {
+        --revoked_;
         return false;
     }
-    const bool there = counts_ != Counts::concurrency || places_ + aside_ <= size_at(at_).size;
-    --aside_;
-    if (there && counts_ == Counts::concurrency) ++places_;
-    return there;
+    const bool available =
+        counts_ != Counts::concurrency || in_use_ + reserved_ <= amount_at(updated_at_).size;
+    --reserved_;
+    if (available && counts_ == Counts::concurrency) ++in_use_;
+    return available;
 }
 
 void Allowance::give_back(Time now) {
-    settle(now);
-    if (gone_ > 0) {
-        --gone_;
+    advance(now);
+    if (revoked_ > 0) {
+        --revoked_;
         return;
     }
-    --aside_;
+    --reserved_;
     if (counts_ == Counts::concurrency) return;
-    tokens_ += permit;
-    clip();
+    tokens_ += tokens_per_permit;
+    clamp_to_size();
 }
 
 void Allowance::free_place(bool known, Time began, Time now) {
-    settle(now);
-    const Time later = began + longest_;
-    if (known || later <= at_) {
-        --places_;
+    advance(now);
+    const Time held_until = began + longest_;
+    if (known || held_until <= updated_at_) {
+        --in_use_;
     } else {
-        later_.insert(std::upper_bound(later_.begin(), later_.end(), later), later);
+        held_until_.insert(std::upper_bound(held_until_.begin(), held_until_.end(), held_until), held_until);
     }
 }
 
 Amount Allowance::leased(Time now) {
-    settle(now);
-    return at_ < until_ ? lease_ : Amount{};
+    advance(now);
+    return updated_at_ < lease_until_ ? lease_ : Amount{};
 }
 
 Amount Allowance::in_force(Time now) {
-    settle(now);
-    return size_at(at_);
+    advance(now);
+    return amount_at(updated_at_);
 }
 
 std::int64_t Allowance::in_use(Time now) {
-    settle(now);
-    return places_ + aside_;
+    advance(now);
+    return in_use_ + reserved_;
 }
 
 std::optional<Micros> Allowance::next(Time now) {
-    settle(now);
-    const Amount here = size_at(at_);
-    if (here.size == 0) return std::nullopt;
+    advance(now);
+    const Amount amount = amount_at(updated_at_);
+    if (amount.size == 0) return std::nullopt;
     if (counts_ == Counts::concurrency) {
-        if (places_ + aside_ < here.size) return Micros{0};
-        if (later_.empty()) return std::nullopt;
-        return later_.front() - at_;
+        if (in_use_ + reserved_ < amount.size) return Micros{0};
+        if (held_until_.empty()) return std::nullopt;
+        return held_until_.front() - updated_at_;
     }
-    if (tokens_ >= permit) return Micros{0};
-    if (here.rate == 0) return std::nullopt;
-    const __int128 lacking = static_cast<__int128>(permit - tokens_) * millionths;
-    const __int128 pace = static_cast<__int128>(here.rate) * pace_;
-    return Micros(static_cast<std::int64_t>((lacking + pace - 1) / pace));
+    if (tokens_ >= tokens_per_permit) return Micros{0};
+    if (amount.rate == 0) return std::nullopt;
+    const __int128 missing_tokens = static_cast<__int128>(tokens_per_permit - tokens_) * million;
+    const __int128 refill_rate = static_cast<__int128>(amount.rate) * fill_factor_;
+    return Micros(static_cast<std::int64_t>((missing_tokens + refill_rate - 1) / refill_rate));
 }
 
-Allowance::Asked Allowance::take_asked() {
-    const Asked asked = asked_;
-    asked_ = {0, 0, places_ + aside_};
-    return asked;
+Allowance::Demand Allowance::take_demand() {
+    const Demand demand = demand_;
+    demand_ = {0, 0, in_use_ + reserved_};
+    return demand;
 }
 
-// Up to the lease's end by what there was until then, from there on by the reserve alone.
-void Allowance::settle(Time now) {
-    if (now <= at_) return;
-    if (at_ < until_ && until_ <= now) {
-        fill(until_);
-        clip();
+// Brings the state up to `now`. Refills by the lease and the reserve until the lease ends, and by the reserve alone after it.
+void Allowance::advance(Time now) {
+    if (now <= updated_at_) return;
+    if (updated_at_ < lease_until_ && lease_until_ <= now) {
+        refill(lease_until_);
+        clamp_to_size();
     }
-    fill(now);
-    while (!later_.empty() && later_.front() <= at_) {
-        later_.pop_front();
-        --places_;
+    refill(now);
+    while (!held_until_.empty() && held_until_.front() <= updated_at_) {
+        held_until_.pop_front();
+        --in_use_;
     }
 }
 
-void Allowance::fill(Time until) {
-    if (counts_ != Counts::concurrency && until > at_) {
-        const Amount here = size_at(at_);
-        const __int128 come = static_cast<__int128>(here.rate) * std::min(until - at_, longest_fill).count();
-        tokens_ += static_cast<std::int64_t>(come * pace_ / millionths);
-        tokens_ = std::min(tokens_, (here.size - aside_) * permit);
+void Allowance::refill(Time until) {
+    if (counts_ != Counts::concurrency && until > updated_at_) {
+        const Amount amount = amount_at(updated_at_);
+        const __int128 accrued =
+            static_cast<__int128>(amount.rate) * std::min(until - updated_at_, max_refill_interval).count();
+        tokens_ += static_cast<std::int64_t>(accrued * fill_factor_ / million);
+        tokens_ = std::min(tokens_, (amount.size - reserved_) * tokens_per_permit);
     }
-    at_ = until;
+    updated_at_ = until;
 }
 
-void Allowance::clip() {
-    if (counts_ == Counts::concurrency) return;  // those are told to the authority, which counts them
-    const std::int64_t size = size_at(at_).size;
-    gone_ += std::max<std::int64_t>(aside_ - size, 0);
-    aside_ = std::min(aside_, size);
-    tokens_ = std::min(tokens_, (size - aside_) * permit);
+void Allowance::clamp_to_size() {
+    if (counts_ == Counts::concurrency) return;  // the authority counts these as in use, as reported
+    const std::int64_t size = amount_at(updated_at_).size;
+    revoked_ += std::max<std::int64_t>(reserved_ - size, 0);
+    reserved_ = std::min(reserved_, size);
+    tokens_ = std::min(tokens_, (size - reserved_) * tokens_per_permit);
 }
 
 }  // namespace flaxdoor::budget
--- a/src/budget/allowance.h
+++ b/src/budget/allowance.h
@@ -1,13 +1,15 @@
-// What one process may use of one budget: its reserve, and its share by a lease while that is in force. A token bucket, or
-// places.
+// The part of one budget that this process may use: its reserve, and its leased share while the lease is in force. Either
+// a token bucket or a number of concurrency permits.
 //
-// A permit is set aside when a call is admitted, used when the first byte of its attempt goes out, and given back if
-// none does. What is set aside counts as carried: tokens and what is set aside never exceed the size in force, so
-// that over the fleet what goes out in any window W is at most rate * W + size. A new share begins empty; one that
-// ends, or shrinks, takes its tokens with it, and what was set aside beyond the rest can't be used any more.
+// A permit is reserved (set_aside) when a call is admitted, committed (use) when the first byte of its attempt is sent, and
+// released (give_back) if no byte is sent. Reserved permits count against the bucket's depth: tokens and reserved permits
+// together never exceed the size in force. Over the fleet, the permits committed in any window W are therefore at most
+// rate * W + size. A new share starts empty. A share that ends or shrinks takes its tokens with it, and reserved permits
+// beyond the remaining size can no longer be committed.
 //
-// Time:      handed in; it must count while the process is paused. Going back counts as standing still.
-// Threading: one thread.   Errors: none.   Units: terms.h; tokens in billionths of a permit, so all is exact.
+// Time:      passed in; the clock must advance while the process is suspended. A clock that goes back is treated as stopped.
+// Threading: single-threaded.   Errors: none.   Units: terms.h; tokens are in billionths of a permit, so all arithmetic is
+//            exact.
 #pragma once
 
 #include <cstdint>
@@ -20,58 +22,61 @@
 
 class Allowance {
 public:
-    // `longest`: for how long an attempt that has begun may hold its place when its end is not known. `drift`: this clock
-    // may be so much too fast; over a fleet of fast clocks neither a rate nor a place's end may come early.
+    // `longest`: how long an attempt that has begun may hold its concurrency permit if its end is not known. `drift`: the
+    // largest relative amount by which this clock may be fast. Tokens accrue more slowly and uncertain permits are held
+    // longer by it, so that a fleet of fast clocks neither exceeds the rate nor frees a concurrency permit early.
     Allowance(Counts counts, Amount reserve, Micros longest, Time now, double drift = 0);
 
-    // A lease takes the place of what was leased before.
+    // Replaces the previous lease.
     void lease(Amount share, Time until, Time now);
     void end_lease(Time now) { lease({}, now, now); }
-    // Without it nothing but a lease counts. In force at once; see Holder for when it may be.
+    // Takes effect at once. Without a reserve, only a lease gives permits. See Holder for when a reserve may be used.
     void set_reserve(Amount reserve, Time now);
 
+    // Reserves a permit. Returns false if none is available.
     [[nodiscard]] bool set_aside(Time now);
-    // Ahead of the first byte. False: the permit is gone with what it came from, and nothing may go out.
+    // Commits a reserved permit before the attempt's first byte. Returns false if the permit was revoked because its share
+    // ended or shrank; nothing may be sent then.
     [[nodiscard]] bool use(Time now);
-    void give_back(Time now);  // set aside, not used
-    // A place is free again once its attempt has ended; with `known` false no earlier than `longest` after it
-    // began.
+    // Releases a reserved permit that was not committed.
+    void give_back(Time now);
+    // Returns a concurrency permit after its attempt has ended. If `known` is false, the upstream may still be working on
+    // the attempt, and the permit is freed no earlier than `longest` after the attempt began.
     void free_place(bool known, Time began, Time now);
 
     Amount leased(Time now);    // in force
-    Amount in_force(Time now);  // with the reserve
+    Amount in_force(Time now);  // leased share and reserve
     Amount reserve() const { return reserve_; }
-    Time leased_until() const { return until_; }
-    std::int64_t in_use(Time now);  // places, those set aside included
-    // Until a permit is there if nothing changes; empty: there will be none.
+    Time leased_until() const { return lease_until_; }
+    std::int64_t in_use(Time now);  // concurrency permits, including reserved ones
+    // Returns the time until a permit is available if nothing changes; empty if there will be none.
     std::optional<Micros> next(Time now);
 
-    // Permits asked for, and those of them that there were not, since the last take_asked(); most places in use meanwhile.
-    struct Asked {
+    // Permits requested, permits refused, and the peak of permits in use, since the last take_demand().
+    struct Demand {
         std::int64_t wanted = 0, refused = 0, most_in_use = 0;
     };
-    [[nodiscard]] Asked take_asked();
-    const Asked& asked() const { return asked_; }
+    [[nodiscard]] Demand take_demand();
+    const Demand& demand() const { return demand_; }
 
 private:
-    void settle(Time now);
-    void fill(Time until);
-    void clip();
-    Amount size_at(Time now) const { return now < until_ ? reserve_ + lease_ : reserve_; }
+    void advance(Time now);
+    void refill(Time until);
+    void clamp_to_size();
+    Amount amount_at(Time now) const { return now < lease_until_ ? reserve_ + lease_ : reserve_; }
 
     Counts counts_;
     Amount reserve_, lease_;
     Micros longest_;
-    std::int64_t pace_;  // of filling, in millionths
-    Time until_{};       // of the lease
-    Time at_{};          // settled up to here
+    std::int64_t fill_factor_;  // of the nominal refill rate, in millionths; below one by the clock's drift
+    Time lease_until_{};
+    Time updated_at_{};  // state is up to date as of this time
     std::int64_t tokens_ = 0;
-    std::int64_t aside_ = 0;  // set aside, not used
-    std::int64_t gone_ =
-        0;  // set aside, and gone with the share that they came from: no later one brings them back
-    std::int64_t places_ = 0;  // in use, those set aside not included
-    std::deque<Time> later_;   // places whose attempts' ends are not known: free then
-    Asked asked_;
+    std::int64_t reserved_ = 0;  // reserved and not yet committed
+    std::int64_t revoked_ = 0;   // reserved permits whose share has gone; a later share does not restore them
+    std::int64_t in_use_ = 0;    // committed concurrency permits
+    std::deque<Time> held_until_;  // release times of permits whose attempts' ends are not known; ascending
+    Demand demand_;
 };
 
 }  // namespace flaxdoor::budget
--- a/src/budget/authority.cpp
+++ b/src/budget/authority.cpp
@@ -9,15 +9,20 @@
 
 namespace {
 
-constexpr std::int64_t kept_part =
-    32;  // a share that is too large by no more than a so-manieth is left as it is
-constexpr std::int64_t again_a_term = 20;  // so often a term asks who is to get more than there is yet
-constexpr Micros gap_each = std::chrono::milliseconds(5);  // of each process that is heard: 200 requests a
-    // second of all together, beside those that are due
-constexpr int untaken_most = 3;  // grants in a row that did not arrive, after which no further one is made
-constexpr std::int64_t clock_terms = 8;  // a holder's clock is compared over so many terms
-
-bool nothing(Amount amount) { return amount == Amount{}; }
+// A share that exceeds its target by at most the share divided by this is kept. Otherwise every change of one holder's demand would
+// change all shares.
+constexpr std::int64_t share_tolerance_divisor = 32;
+// Requests per lease term of a holder that is to get more than is available yet.
+constexpr std::int64_t early_requests_per_term = 20;
+// Least interval between unscheduled requests of a holder, for each active process: bounds the unscheduled requests of all
+// holders together to 200 a second.
+constexpr Micros interval_per_holder = std::chrono::milliseconds(5);
+// Consecutive grants that were not accepted, after which a holder gets only empty grants.
+constexpr int max_unaccepted_grants = 3;
+// Lease terms over which a holder's clock is compared with the authority's.
+constexpr std::int64_t clock_comparison_terms = 8;
+
+bool is_zero(Amount amount) { return amount == Amount{}; }
 
 Amount positive(Amount amount) { return most(amount, {}); }
 
@@ -41,17 +46,17 @@
         if (!holds) throw std::invalid_argument("budget: " + what);
     };
     require(terms.term > Micros{0}, "the term must be positive");
-    require(terms.drift >= 0 && terms.drift < 0.5, "the drift must be below a half");
+    require(terms.drift >= 0 && terms.drift < 0.5, "the clock drift must be at least 0 and below 0.5");
     require(terms.expected >= 1, "balancers must be at least 1");
     for (std::size_t i = 0; i < terms.budgets.size(); ++i) {
-        const Budget& b = terms.budgets[i];
+        const Budget& budget = terms.budgets[i];
         for (std::size_t j = 0; j < i; ++j)
-            require(terms.budgets[j].name != b.name, b.name + ": named twice");
-        require(b.whole.size >= 1, b.name + ": a whole of less than one permit");
-        require((b.counts == Counts::concurrency) == (b.whole.rate == 0),
-                b.name + ": a rate where none is, or none");
-        const Amount reserves{b.reserve.rate * terms.expected, b.reserve.size * terms.expected};
-        require(reserves.within(b.whole), b.name + ": the reserves are more than the whole");
+            require(terms.budgets[j].name != budget.name, budget.name + ": duplicate name");
+        require(budget.whole.size >= 1, budget.name + ": the whole must be at least one permit");
+        require((budget.counts == Counts::concurrency) == (budget.whole.rate == 0),
+                budget.name + ": a concurrency budget must have no rate, any other budget must have one");
+        const Amount reserves{budget.reserve.rate * terms.expected, budget.reserve.size * terms.expected};
+        require(reserves.within(budget.whole), budget.name + ": the reserves exceed the whole");
     }
 }
 
@@ -61,69 +66,72 @@
       longest_term_(std::max(terms_.term, start.longest_term)) {
     check(terms_);
     budgets_ = terms_.budgets;
-    if (!start.current) wait(now);
+    if (!start.current) begin_waiting(now);
     for (Record& record : start.records) {
-        Party& party = parties_[{record.holder, record.instance}];
-        party.number = record.number;
-        party.heard = record.heard;
+        HolderState& holder = holders_[{record.holder, record.instance}];
+        holder.number = record.number;
+        holder.last_request_at = record.last_request_at;
         for (const auto& [budget, count] : record.in_use) {
-            const std::size_t at = place_of(budget);
-            party.in_use.resize(budgets_.size());
-            party.in_use[at] = count;
+            const std::size_t index = find_or_add(budget);
+            holder.in_use.resize(budgets_.size());
+            holder.in_use[index] = count;
         }
         for (const auto& [budget, reserve] : record.reserves) {
-            const std::size_t at = place_of(budget);
-            party.reserves.resize(budgets_.size());
-            party.reserves[at] = reserve;
+            const std::size_t index = find_or_add(budget);
+            holder.reserves.resize(budgets_.size());
+            holder.reserves[index] = reserve;
         }
-        for (const Record::Given& given : record.given) {
-            Given known{given.fence, given.until, {}};
-            for (const auto& [budget, share] : given.shares) {
-                const std::size_t at = place_of(budget);
+        for (const Record::Allocation& recorded : record.allocations) {
+            Allocation known{recorded.fence, recorded.until, {}};
+            for (const auto& [budget, share] : recorded.shares) {
+                const std::size_t index = find_or_add(budget);
                 known.shares.resize(budgets_.size());
-                known.shares[at] = share;
+                known.shares[index] = share;
             }
-            party.given.push_back(std::move(known));
+            holder.allocations.push_back(std::move(known));
         }
-        std::string& instance = current_[record.holder];
-        const auto other = parties_.find({record.holder, instance});
-        if (other == parties_.end() || other->second.heard <= record.heard) instance = record.instance;
+        std::string& instance = current_instance_[record.holder];
+        const auto other = holders_.find({record.holder, instance});
+        if (other == holders_.end() || other->second.last_request_at <= record.last_request_at)
+            instance = record.instance;
     }
-    widen();
+    resize_holders();
 }
 
-// Until nothing is in force that was granted before, and for places until what began under it has ended.
-void Authority::wait(Time now) {
+// Waits until no earlier grant can be in force, and for concurrency budgets until the attempts that began under one must have
+// ended.
+void Authority::begin_waiting(Time now) {
     waits_until_ = now + at_authority(longest_term_, terms_.drift);
-    places_from_ = waits_until_ + at_authority(terms_.longest, terms_.drift);
+    concurrency_waits_until_ = waits_until_ + at_authority(terms_.longest, terms_.drift);
 }
 
-// Places of budgets that have come since.
-void Authority::widen() {
-    for (auto& [key, party] : parties_) {
-        party.wants.resize(budgets_.size());
-        party.reserves.resize(budgets_.size());
-        party.in_use.resize(budgets_.size());
-        party.without.resize(budgets_.size());
-        for (Given& given : party.given) given.shares.resize(budgets_.size());
+// Extends the holders' vectors to the budgets that have been added.
+void Authority::resize_holders() {
+    for (auto& [key, holder] : holders_) {
+        holder.wants.resize(budgets_.size());
+        holder.reserves.resize(budgets_.size());
+        holder.in_use.resize(budgets_.size());
+        holder.without_permit_since.resize(budgets_.size());
+        for (Allocation& allocation : holder.allocations) allocation.shares.resize(budgets_.size());
     }
 }
 
 std::size_t Authority::find(const std::string& budget) const {
-    const auto found =
-        std::find_if(budgets_.begin(), budgets_.end(), [&](const Budget& b) { return b.name == budget; });
+    const auto found = std::find_if(budgets_.begin(), budgets_.end(),
+                                    [&](const Budget& known) { return known.name == budget; });
     return static_cast<std::size_t>(found - budgets_.begin());
 }
 
-// One that the terms do not name has a whole of nothing: it is granted to nobody.
-std::size_t Authority::place_of(const std::string& budget) {
-    const std::size_t at = find(budget);
-    if (at == budgets_.size()) {
+// A budget that is not configured has a whole of zero, so nothing of it is granted.
+std::size_t Authority::find_or_add(const std::string& budget) {
+    const std::size_t index = find(budget);
+    if (index == budgets_.size()) {
         budgets_.emplace_back();
         budgets_.back().name = budget;
-        budgets_.back().counts = Counts::concurrency;  // what is not known to be a rate is held for longer
+        // Concurrency permits are held for longer, which is safe for a budget of unknown kind.
+        budgets_.back().counts = Counts::concurrency;
     }
-    return at;
+    return index;
 }
 
 void Authority::change(Terms terms, Time) {
@@ -131,95 +139,103 @@
     terms_ = std::move(terms);
     longest_term_ = std::max(longest_term_, terms_.term);
     for (Budget& budget : budgets_) budget.whole = budget.reserve = {};
-    for (const Budget& budget : terms_.budgets) budgets_[place_of(budget.name)] = budget;
-    widen();
+    for (const Budget& budget : terms_.budgets) budgets_[find_or_add(budget.name)] = budget;
+    resize_holders();
 }
 
-bool Authority::heard_lately(const Party& party, Time now) const {
-    return !party.leaving && now - party.heard < at_authority(terms_.term, terms_.drift);
+bool Authority::is_active(const HolderState& holder, Time now) const {
+    return !holder.leaving && now - holder.last_request_at < at_authority(terms_.term, terms_.drift);
 }
 
-// Guards against a share that lies unused with a holder whose requests arrive and whose replies do not: it gets an
-// empty grant, and a share again once it has taken that one.
-bool Authority::takes_grants(const Party& party) { return party.untaken < untaken_most; }
+// Guards against a share that stays unused at a holder whose requests arrive while the replies to it are lost. Such a holder
+// gets an empty grant, and a share again once it has accepted that grant.
+bool Authority::accepts_grants(const HolderState& holder) {
+    return holder.unaccepted_grants < max_unaccepted_grants;
+}
 
-Amount Authority::counted(const Party& party, std::size_t budget, Time now) const {
-    const bool places = budgets_[budget].counts == Counts::concurrency;
-    const Micros held_on = places ? at_authority(terms_.longest, terms_.drift) : Micros{0};
-    Amount all;
-    for (const Given& given : party.given) {
-        if (now < given.until + held_on) all = most(all, given.shares[budget]);
+Amount Authority::counted(const HolderState& holder, std::size_t budget, Time now) const {
+    const bool is_concurrency = budgets_[budget].counts == Counts::concurrency;
+    const Micros extra_hold = is_concurrency ? at_authority(terms_.longest, terms_.drift) : Micros{0};
+    Amount largest;
+    for (const Allocation& allocation : holder.allocations) {
+        if (now < allocation.until + extra_hold) largest = most(largest, allocation.shares[budget]);
     }
-    if (places && now < party.heard + held_on) {
-        all.size = std::max(all.size, party.in_use[budget] - party.reserves[budget].size);
+    if (is_concurrency && now < holder.last_request_at + extra_hold) {
+        largest.size = std::max(largest.size, holder.in_use[budget] - holder.reserves[budget].size);
     }
-    return all;
+    return largest;
 }
 
-Authority::Present Authority::present(Time now) const {
-    Present all;
+Authority::ActiveHolders Authority::active_holders(Time now) const {
+    ActiveHolders active;
     int names = 0;
-    const std::string* last = nullptr;
-    for (const auto& [key, party] : parties_) {
-        if (!heard_lately(party, now)) continue;
-        const bool twice = last && *last == key.first;
-        if (!twice) ++names;
-        all.reserving.push_back({&party, twice || names > terms_.expected});
-        last = &key.first;
-        const auto its = current_.find(key.first);
-        const bool has_the_name = its != current_.end() && its->second == key.second;
-        if (takes_grants(party) && has_the_name) all.claiming.push_back(&party);
+    const std::string* previous_name = nullptr;
+    for (const auto& [key, holder] : holders_) {
+        if (!is_active(holder, now)) continue;
+        const bool duplicate_name = previous_name && *previous_name == key.first;
+        if (!duplicate_name) ++names;
+        active.reserving.push_back({&holder, duplicate_name || names > terms_.expected});
+        previous_name = &key.first;
+        const auto current = current_instance_.find(key.first);
+        const bool owns_name = current != current_instance_.end() && current->second == key.second;
+        if (accepts_grants(holder) && owns_name) active.claiming.push_back(&holder);
     }
-    return all;
+    return active;
 }
 
-// Set aside for each expected balancer, whether it has been heard of or not; and once more for each process beyond
-// that number or that has another one's name, and for what a process says it has beyond the terms.
-Amount Authority::reserved(std::size_t budget, const Present& present) const {
+// Returns the amount set aside for reserves: one reserve for each expected balancer, whether or not it has sent a request; one
+// more for each process beyond that number or with the name of another process; and what a process reports beyond the
+// configured reserve.
+Amount Authority::reserved(std::size_t budget, const ActiveHolders& active) const {
     const Amount each = budgets_[budget].reserve;
-    Amount all{each.rate * terms_.expected, each.size * terms_.expected};
-    for (const auto& [party, beyond] : present.reserving) {
-        all = all + (beyond ? most(party->reserves[budget], each) : positive(party->reserves[budget] - each));
+    Amount total{each.rate * terms_.expected, each.size * terms_.expected};
+    for (const auto& [holder, extra] : active.reserving) {
+        total = total +
+                (extra ? most(holder->reserves[budget], each) : positive(holder->reserves[budget] - each));
     }
-    return all;
+    return total;
 }
 
-// Once found to be off, a clock has to be right for a whole span.
-std::optional<std::string> Authority::clock_fault(Party& party, Time its, Time now) const {
-    if (party.our_clock == Time{} || its < party.its_clock) {
-        party.its_clock = its;
-        party.our_clock = now;
+// Compares the rates of the holder's clock and the authority's. A clock that was found to be off must be right for a whole
+// comparison interval before the holder gets a lease again.
+std::optional<std::string> Authority::clock_fault(HolderState& holder, Time holder_now, Time now) const {
+    if (holder.authority_clock == Time{} || holder_now < holder.holder_clock) {
+        holder.holder_clock = holder_now;
+        holder.authority_clock = now;
         return std::nullopt;
     }
-    const Micros here = now - party.our_clock, there = its - party.its_clock;
-    const Micros off = here > there ? here - there : there - here;
-    // Requests come late by different times; a late one beyond half a term earns no lease anyway.
+    const Micros authority_elapsed = now - holder.authority_clock,
+                 holder_elapsed = holder_now - holder.holder_clock;
+    const Micros difference = authority_elapsed > holder_elapsed ? authority_elapsed - holder_elapsed
+                                                                 : holder_elapsed - authority_elapsed;
+    // Half a term is allowed for different delays of requests; a request delayed by more brings no usable lease anyway.
     const auto drift =
-        Micros(static_cast<std::int64_t>(2 * terms_.drift * static_cast<double>(here.count())));
-    const bool fault = off > drift + terms_.term / 2;
-    const bool whole_span = here > terms_.term * clock_terms;
-    if (fault || whole_span) {
-        party.clock_off = fault;
-        party.its_clock = its;
-        party.our_clock = now;
+        Micros(static_cast<std::int64_t>(2 * terms_.drift * static_cast<double>(authority_elapsed.count())));
+    const bool fault = difference > drift + terms_.term / 2;
+    const bool interval_over = authority_elapsed > terms_.term * clock_comparison_terms;
+    if (fault || interval_over) {
+        holder.clock_off = fault;
+        holder.holder_clock = holder_now;
+        holder.authority_clock = now;
     }
-    if (!party.clock_off) return std::nullopt;
-    return "in " + std::to_string(here.count() / 1000) +
-           " ms of the authority's clock the holder's went on by " + std::to_string(there.count() / 1000) +
-           " ms";
+    if (!holder.clock_off) return std::nullopt;
+    return "in " + std::to_string(authority_elapsed.count() / 1000) +
+           " ms of the authority's clock, the holder's clock advanced by " +
+           std::to_string(holder_elapsed.count() / 1000) + " ms";
 }
 
-std::optional<std::string> Authority::at_odds(const LeaseRequest& request) const {
+std::optional<std::string> Authority::configuration_mismatch(const LeaseRequest& request) const {
     for (const Need& need : request.needs) {
-        const std::size_t at = find(need.budget);
-        if (at == budgets_.size() || budgets_[at].whole == Amount{}) continue;
-        if (budgets_[at].counts != need.counts) return need.budget + " counts something else here";
+        const std::size_t index = find(need.budget);
+        if (index == budgets_.size() || budgets_[index].whole == Amount{}) continue;
+        if (budgets_[index].counts != need.counts)
+            return need.budget + ": the coordinator counts a different unit";
     }
     return std::nullopt;
 }
 
 LeaseReply Authority::on_request(const LeaseRequest& request, Time now, std::vector<Change>& changes) {
-    forget_old(now, changes);
+    expire_holders(now, changes);
     LeaseReply reply;
     reply.number = request.number;
     reply.term = terms_.term;
@@ -230,226 +246,234 @@
         reply.epoch = epoch_;
         return reply;
     };
-    const std::uint64_t told = std::max(request.epoch, request.taken.epoch);
-    if (told > epoch_) {
-        // With an empty store and a clock that went back. One that has granted something is the older of two.
+    const std::uint64_t reported_epoch = std::max(request.epoch, request.taken.epoch);
+    if (reported_epoch > epoch_) {
+        // An authority that still waits and has granted nothing may have started with an empty store after its clock was set
+        // back; it takes a higher epoch. An authority that has granted something is the older of two.
         if (now < waits_until_ && seq_ == 0) {
-            epoch_ = told + 1;
-            wait(now);
+            epoch_ = reported_epoch + 1;
+            begin_waiting(now);
         } else {
             stepped_down_ = true;
         }
     }
-    if (stepped_down_)
-        return answer(Verdict::stepped_down, "an authority of a later epoch has been heard of");
+    if (stepped_down_) return answer(Verdict::stepped_down, "an authority with a higher epoch exists");
 
     const Key key{request.holder, request.instance};
-    auto found = parties_.find(key);
-    if (found != parties_.end() && request.number <= found->second.number) {
-        return answer(Verdict::waiting, "an older request than the last", terms_.term / again_a_term);
+    auto found = holders_.find(key);
+    if (found != holders_.end() && request.number <= found->second.number) {
+        return answer(Verdict::waiting, "a newer request was already received",
+                      terms_.term / early_requests_per_term);
     }
-    if (found == parties_.end()) {
-        if (parties_.size() >= terms_.holders_most) {
+    if (found == holders_.end()) {
+        if (holders_.size() >= terms_.holders_most) {
             return answer(Verdict::too_many,
-                          std::to_string(parties_.size()) + " processes are known already");
+                          std::to_string(holders_.size()) + " processes are already registered");
         }
-        found = parties_.try_emplace(key).first;
-        current_[key.first] = key.second;
-        widen();
+        found = holders_.try_emplace(key).first;
+        current_instance_[key.first] = key.second;
+        resize_holders();
     }
-    Party& party = found->second;
-    note(party, request, now);
-    std::string& instance = current_[key.first];
+    HolderState& holder = found->second;
+    record_request(holder, request, now);
+    std::string& instance = current_instance_[key.first];
     if (instance != key.second) {
-        const auto other = parties_.find({key.first, instance});
-        if (other != parties_.end() && heard_lately(other->second, now)) {
-            changes.push_back({key.first, key.second, record_of(key, party)});
-            return answer(Verdict::name_taken, "process " + instance + " has this name");
+        const auto other = holders_.find({key.first, instance});
+        if (other != holders_.end() && is_active(other->second, now)) {
+            changes.push_back({key.first, key.second, record_of(key, holder)});
+            return answer(Verdict::name_taken, "process " + instance + " uses this name");
         }
         instance = key.second;
     }
     if (request.leaving) {
-        party.given.clear();
-        party.leaving = true;
-        changes.push_back({key.first, key.second, record_of(key, party)});
+        holder.allocations.clear();
+        holder.leaving = true;
+        changes.push_back({key.first, key.second, record_of(key, holder)});
         return answer(Verdict::granted, {});
     }
-    if (auto why = clock_fault(party, request.clock, now)) return answer(Verdict::clock_off, std::move(*why));
-    if (auto why = at_odds(request)) return answer(Verdict::at_odds, std::move(*why));
+    if (auto why = clock_fault(holder, request.clock, now))
+        return answer(Verdict::clock_off, std::move(*why));
+    if (auto why = configuration_mismatch(request)) return answer(Verdict::at_odds, std::move(*why));
     if (now < waits_until_) {
-        changes.push_back({key.first, key.second, record_of(key, party)});
-        return answer(Verdict::waiting, "leases of an earlier authority may be in force",
+        changes.push_back({key.first, key.second, record_of(key, holder)});
+        return answer(Verdict::waiting, "leases of an earlier authority may still be in force",
                       std::min(waits_until_ - now + Micros{1}, terms_.term / 2));
     }
-    LeaseReply granted = grant(party, now);
+    LeaseReply granted = grant(holder, now);
     granted.number = request.number;
-    changes.push_back({key.first, key.second, record_of(key, party)});
+    changes.push_back({key.first, key.second, record_of(key, holder)});
     return granted;
 }
 
-void Authority::note(Party& party, const LeaseRequest& request, Time now) {
-    party.number = request.number;
-    party.heard = now;
-    party.leaving = false;
-    const bool behind = !party.given.empty() && request.taken < party.given.back().fence;
-    party.untaken = behind ? party.untaken + 1 : 0;
-    std::vector<Amount> foreign(budgets_.size());
-    std::fill(party.wants.begin(), party.wants.end(), Amount{});
+void Authority::record_request(HolderState& holder, const LeaseRequest& request, Time now) {
+    holder.number = request.number;
+    holder.last_request_at = now;
+    holder.leaving = false;
+    const bool behind = !holder.allocations.empty() && request.taken < holder.allocations.back().fence;
+    holder.unaccepted_grants = behind ? holder.unaccepted_grants + 1 : 0;
+    std::vector<Amount> reported_leases(budgets_.size());
+    std::fill(holder.wants.begin(), holder.wants.end(), Amount{});
     for (const Need& need : request.needs) {
-        const std::size_t at = find(need.budget);
-        if (at == budgets_.size()) continue;
-        party.wants[at] = positive(need.wants);
-        party.reserves[at] = positive(need.reserve);
-        party.in_use[at] = std::max<std::int64_t>(need.in_use, 0);
-        foreign[at] = positive(need.leased);
+        const std::size_t index = find(need.budget);
+        if (index == budgets_.size()) continue;
+        holder.wants[index] = positive(need.wants);
+        holder.reserves[index] = positive(need.reserve);
+        holder.in_use[index] = std::max<std::int64_t>(need.in_use, 0);
+        reported_leases[index] = positive(need.leased);
     }
-    const bool known = std::any_of(party.given.begin(), party.given.end(),
-                                   [&](const Given& g) { return g.fence == request.taken; });
-    // Of another authority, which this one knows nothing of: counted until it must have ended.
-    if (!known && request.taken.epoch < epoch_ && !std::all_of(foreign.begin(), foreign.end(), nothing)) {
-        add(party, {request.taken, now + at_authority(longest_term_, terms_.drift), std::move(foreign)});
+    const bool known = std::any_of(holder.allocations.begin(), holder.allocations.end(),
+                                   [&](const Allocation& g) { return g.fence == request.taken; });
+    // The lease was granted by another authority and has no record here: it counts until it must have ended.
+    if (!known && request.taken.epoch < epoch_ &&
+        !std::all_of(reported_leases.begin(), reported_leases.end(), is_zero)) {
+        add(holder,
+            {request.taken, now + at_authority(longest_term_, terms_.drift), std::move(reported_leases)});
     }
-    std::erase_if(party.given, [&](const Given& g) { return g.fence < request.taken; });
+    std::erase_if(holder.allocations, [&](const Allocation& g) { return g.fence < request.taken; });
 }
 
-LeaseReply Authority::grant(Party& party, Time now) {
+LeaseReply Authority::grant(HolderState& holder, Time now) {
     LeaseReply reply;
     reply.term = terms_.term;
-    Given given{{epoch_, ++seq_},
-                now + at_authority(terms_.term, terms_.drift),
-                std::vector<Amount>(budgets_.size())};
-    bool more = false;
-    const Present others = present(now);
+    Allocation allocation{{epoch_, ++seq_},
+                          now + at_authority(terms_.term, terms_.drift),
+                          std::vector<Amount>(budgets_.size())};
+    bool more_wanted = false;
+    const ActiveHolders active = active_holders(now);
     for (std::size_t i = 0; i < budgets_.size(); ++i) {
         const Budget& budget = budgets_[i];
         if (budget.whole == Amount{}) continue;
-        if (budget.counts == Counts::concurrency && now < places_from_) {
-            more = true;
+        if (budget.counts == Counts::concurrency && now < concurrency_waits_until_) {
+            more_wanted = true;
             continue;
         }
-        const Amount shared = budget.whole - reserved(i, others);
+        const Amount shared = budget.whole - reserved(i, active);
         Amount left = shared;
-        for (const auto& [other, its] : parties_) {
-            if (&its != &party) left = left - counted(its, i, now);
+        for (const auto& [key, other] : holders_) {
+            if (&other != &holder) left = left - counted(other, i, now);
         }
-        const Amount wanted = target(i, party, positive(shared), others, now);
+        const Amount wanted = fair_share(i, holder, positive(shared), active, now);
         const Amount share = least(wanted, positive(left));
-        more = more || !wanted.within(share);
-        given.shares[i] = share;
-        if (share.size > 0 || nothing(party.wants[i])) {
-            party.without[i] = Time{};
-        } else if (party.without[i] == Time{}) {
-            party.without[i] = now;
+        more_wanted = more_wanted || !wanted.within(share);
+        allocation.shares[i] = share;
+        if (share.size > 0 || is_zero(holder.wants[i])) {
+            holder.without_permit_since[i] = Time{};
+        } else if (holder.without_permit_since[i] == Time{}) {
+            holder.without_permit_since[i] = now;
         }
         reply.grants.push_back({budget.name, share});
     }
-    reply.gap = gap_each * static_cast<std::int64_t>(others.reserving.size());
-    if (more) reply.again = std::max(terms_.term / again_a_term, reply.gap);
+    reply.gap = interval_per_holder * static_cast<std::int64_t>(active.reserving.size());
+    if (more_wanted) reply.again = std::max(terms_.term / early_requests_per_term, reply.gap);
     reply.epoch = epoch_;
     reply.seq = seq_;
-    add(party, std::move(given));
+    add(holder, std::move(allocation));
     return reply;
 }
 
-// What a party would have of `shared` if all that was given to others could be taken back at once.
-Amount Authority::target(std::size_t budget, const Party& party, Amount shared, const Present& present,
-                         Time now) const {
-    if (!takes_grants(party)) return {};
+// Returns the holder's share of `shared` as if all allocations of the others could be revoked at once.
+Amount Authority::fair_share(std::size_t budget, const HolderState& holder, Amount shared,
+                             const ActiveHolders& active, Time now) const {
+    if (!accepts_grants(holder)) return {};
     std::vector<Claim> claims;
     std::size_t own = 0;
-    for (const Party* const its : present.claiming) {
-        if (its == &party) own = claims.size();
+    for (const HolderState* const claimant : active.claiming) {
+        if (claimant == &holder) own = claims.size();
         Claim claim;
-        claim.wants = positive(its->wants[budget] - its->reserves[budget]);
-        if (its->wants[budget].size > 0) claim.wants.size = std::max<std::int64_t>(claim.wants.size, 1);
-        if (its->without[budget] > Time{}) {
-            claim.without = static_cast<std::uint64_t>((now - its->without[budget]) / terms_.term);
+        claim.wants = positive(claimant->wants[budget] - claimant->reserves[budget]);
+        if (claimant->wants[budget].size > 0) claim.wants.size = std::max<std::int64_t>(claim.wants.size, 1);
+        if (claimant->without_permit_since[budget] > Time{}) {
+            claim.terms_without_permit =
+                static_cast<std::uint64_t>((now - claimant->without_permit_since[budget]) / terms_.term);
         }
         claims.push_back(claim);
     }
     const Amount wanted = divide(shared, budgets_[budget].counts, claims)[own];
-    if (party.given.empty()) return wanted;
-    // A little too much is left alone, or every change of anyone's need would move everyone's share.
-    const Amount now_has = party.given.back().shares[budget];
-    const auto kept = [](std::int64_t target, std::int64_t has) {
-        return target < has && target >= has - has / kept_part ? has : target;
+    if (holder.allocations.empty()) return wanted;
+    const Amount current = holder.allocations.back().shares[budget];
+    const auto kept = [](std::int64_t computed, std::int64_t has) {
+        return computed < has && computed >= has - has / share_tolerance_divisor ? has : computed;
     };
-    return {kept(wanted.rate, now_has.rate), kept(wanted.size, now_has.size)};
+    return {kept(wanted.rate, current.rate), kept(wanted.size, current.size)};
 }
 
-// In the order of fences. Of many that are not known to be superseded, two become one that counts for both.
-void Authority::add(Party& party, Given given) const {
-    const auto after = std::find_if(party.given.begin(), party.given.end(),
-                                    [&](const Given& g) { return given.fence < g.fence; });
-    party.given.insert(after, std::move(given));
-    if (party.given.size() <= grants_most) return;
-    const Given first = std::move(party.given.front());
-    party.given.erase(party.given.begin());
-    Given& both = party.given.front();
-    both.until = std::max(both.until, first.until);
-    for (std::size_t i = 0; i < both.shares.size(); ++i)
-        both.shares[i] = most(both.shares[i], first.shares[i]);
+// Inserts an allocation in the order of fencing tokens. If there are too many that are not known to be superseded, the first
+// two are merged into one that counts for both.
+void Authority::add(HolderState& holder, Allocation allocation) const {
+    const auto after = std::find_if(holder.allocations.begin(), holder.allocations.end(),
+                                    [&](const Allocation& g) { return allocation.fence < g.fence; });
+    holder.allocations.insert(after, std::move(allocation));
+    if (holder.allocations.size() <= max_open_grants) return;
+    const Allocation first = std::move(holder.allocations.front());
+    holder.allocations.erase(holder.allocations.begin());
+    Allocation& merged = holder.allocations.front();
+    merged.until = std::max(merged.until, first.until);
+    for (std::size_t i = 0; i < merged.shares.size(); ++i)
+        merged.shares[i] = most(merged.shares[i], first.shares[i]);
 }
 
-void Authority::forget_old(Time now, std::vector<Change>& changes) {
-    if (now - swept_ < terms_.term / 4) return;
-    swept_ = now;
+void Authority::expire_holders(Time now, std::vector<Change>& changes) {
+    if (now - last_expiry_at_ < terms_.term / 4) return;
+    last_expiry_at_ = now;
     const Micros longest = at_authority(terms_.longest, terms_.drift);
-    for (auto at = parties_.begin(); at != parties_.end();) {
-        auto& [key, party] = *at;
-        std::erase_if(party.given, [&](const Given& g) { return g.until + longest <= now; });
-        const bool over = party.given.empty() && now - party.heard > longest + 2 * longest_term_;
-        if (!over) {
-            ++at;
+    for (auto entry = holders_.begin(); entry != holders_.end();) {
+        auto& [key, holder] = *entry;
+        std::erase_if(holder.allocations, [&](const Allocation& g) { return g.until + longest <= now; });
+        const bool expired =
+            holder.allocations.empty() && now - holder.last_request_at > longest + 2 * longest_term_;
+        if (!expired) {
+            ++entry;
             continue;
         }
         changes.push_back({key.first, key.second, std::nullopt});
-        const auto its = current_.find(key.first);
-        if (its != current_.end() && its->second == key.second) current_.erase(its);
-        at = parties_.erase(at);
+        const auto current = current_instance_.find(key.first);
+        if (current != current_instance_.end() && current->second == key.second)
+            current_instance_.erase(current);
+        entry = holders_.erase(entry);
     }
 }
 
-Record Authority::record_of(const Key& key, const Party& party) const {
-    Record record{key.first, key.second, party.number, party.heard, {}, {}, {}};
-    for (const Given& given : party.given) {
-        Record::Given kept{given.fence, given.until, {}};
+Record Authority::record_of(const Key& key, const HolderState& holder) const {
+    Record record{key.first, key.second, holder.number, holder.last_request_at, {}, {}, {}};
+    for (const Allocation& allocation : holder.allocations) {
+        Record::Allocation recorded{allocation.fence, allocation.until, {}};
         for (std::size_t i = 0; i < budgets_.size(); ++i) {
-            if (!nothing(given.shares[i])) kept.shares.emplace_back(budgets_[i].name, given.shares[i]);
+            if (!is_zero(allocation.shares[i]))
+                recorded.shares.emplace_back(budgets_[i].name, allocation.shares[i]);
         }
-        record.given.push_back(std::move(kept));
+        record.allocations.push_back(std::move(recorded));
     }
     for (std::size_t i = 0; i < budgets_.size(); ++i) {
-        if (party.in_use[i] > 0) record.in_use.emplace_back(budgets_[i].name, party.in_use[i]);
-        if (!nothing(party.reserves[i])) record.reserves.emplace_back(budgets_[i].name, party.reserves[i]);
+        if (holder.in_use[i] > 0) record.in_use.emplace_back(budgets_[i].name, holder.in_use[i]);
+        if (!is_zero(holder.reserves[i])) record.reserves.emplace_back(budgets_[i].name, holder.reserves[i]);
     }
     return record;
 }
 
 Authority::View Authority::view(Time now) const {
     View view;
-    const Present all = present(now);
+    const ActiveHolders active = active_holders(now);
     for (std::size_t i = 0; i < budgets_.size(); ++i) {
         const Budget& budget = budgets_[i];
-        Sum sum{budget.name, budget.counts, budget.whole, reserved(i, all), {}};
-        for (const auto& [key, party] : parties_) {
-            Held held{budget.name,     key.first, key.second, counted(party, i, now), {}, party.wants[i],
-                      party.in_use[i], {},        {}};
-            if (!party.given.empty()) {
-                held.share = party.given.back().shares[i];
-                held.until = party.given.back().until;
+        Sum sum{budget.name, budget.counts, budget.whole, reserved(i, active), {}};
+        for (const auto& [key, holder] : holders_) {
+            Held held{budget.name,      key.first, key.second, counted(holder, i, now), {}, holder.wants[i],
+                      holder.in_use[i], {},        {}};
+            if (!holder.allocations.empty()) {
+                held.share = holder.allocations.back().shares[i];
+                held.until = holder.allocations.back().until;
             }
             if (!held.counted.within(held.share)) {
-                held.why = party.in_use[i] - party.reserves[i].size >= held.counted.size
+                held.why = holder.in_use[i] - holder.reserves[i].size >= held.counted.size
                                ? "in use"
-                               : "not yet let go of";
-            } else if (held.until <= now && !nothing(held.counted)) {
-                held.why = "its attempts may still run";
+                               : "not yet released";
+            } else if (held.until <= now && !is_zero(held.counted)) {
+                held.why = "attempts may still be running";
             }
             sum.counted = sum.counted + held.counted;
-            if (!nothing(held.counted) || !nothing(held.wants)) view.held.push_back(std::move(held));
+            if (!is_zero(held.counted) || !is_zero(held.wants)) view.held.push_back(std::move(held));
         }
-        if (budget.whole != Amount{} || !nothing(sum.counted)) view.sums.push_back(std::move(sum));
+        if (budget.whole != Amount{} || !is_zero(sum.counted)) view.sums.push_back(std::move(sum));
     }
     return view;
 }
--- a/src/budget/authority.h
+++ b/src/budget/authority.h
@@ -1,19 +1,21 @@
-// The one place that divides budgets. It never lets the shares that may be in force sum to more than the whole.
+// The coordinator's decision logic: divides the budgets among the lease holders. The shares that may be in force never sum
+// to more than the whole.
 //
-// What counts as in force for a holder is the most of all grants that it may still take or have: those not known to be
-// superseded (it tells the highest fence that it has taken, and never takes a lower one) and not ended; places
-// count until attempts that began under them must have ended; and what it says it uses. A share grows only out of
-// what is left of the whole after the reserves and what counts for everyone else. So a share shrinks at its
-// holder before it grows anywhere.
+// The amount counted for a holder is the largest of all grants that it may have accepted or may still accept, and of the
+// use that it reports. A grant counts until it is known to be superseded or has ended: a holder reports the highest
+// fencing token that it has accepted, and never accepts a lower one. A grant of concurrency permits counts until the
+// attempts that began under it must have ended. A share grows only out of what is left of the whole after the reserves and
+// after the amounts counted for all other holders. Therefore a share shrinks at its holder before it grows elsewhere.
 //
-// Durability: what on_request() puts into `changes` must outlast the process before its reply goes out. If that fails, the reply
-//             must not: what was granted stays counted until its end.
-// After a start: with `current` the records are all that was granted; else grants of an earlier authority may be in
-//             force that nobody here knows, and nothing is granted until the longest term has passed.
-// Time:       handed in; one clock that goes on over a restart of the process (CLOCK_BOOTTIME), by which records have
-//             their ends. Threading: one thread. Errors: none thrown but for terms that contradict themselves
-//             (std::invalid_argument, naming the budget).
-// Bounds:     Terms::holders_most processes, `grants_most` grants of each that are not known to be superseded.
+// Durability: what on_request() puts into `changes` must be stored before its reply is sent. If storing fails, the reply must
+//             not be sent; the grant counts until it ends.
+// Restart:    with `current`, the records hold everything that was granted. Otherwise grants of an earlier authority that
+//             this one does not know may be in force, and nothing is granted until the longest lease term has passed.
+// Time:       passed in; one clock that continues over a restart of the process (CLOCK_BOOTTIME). Ends in records are
+//             times of that clock.
+// Threading:  single-threaded.
+// Errors:     std::invalid_argument, naming the budget, for inconsistent terms; nothing else is thrown.
+// Bounds:     Terms::holders_most processes, `max_open_grants` grants of each that are not known to be superseded.
 #pragma once
 
 #include <cstddef>
@@ -28,61 +30,62 @@
 
 namespace flaxdoor::budget {
 
-// What must last of one process that may hold something. Budgets by name, since files change.
+// Durable state of one process that may hold an allocation. Budgets are stored by name, since the configuration changes.
 struct Record {
-    struct Given {
+    struct Allocation {
         Fence fence;
         Time until{};  // by the authority's clock
         std::vector<std::pair<std::string, Amount>> shares;
     };
     std::string holder, instance;
-    std::uint64_t number = 0;  // of its last request
-    Time heard{};
-    std::vector<Given> given;
+    std::uint64_t number = 0;  // of the last request
+    Time last_request_at{};
+    std::vector<Allocation> allocations;
     std::vector<std::pair<std::string, std::int64_t>> in_use;
     std::vector<std::pair<std::string, Amount>> reserves;
 };
 
-// Of one record: to be written, or to be removed where `record` is empty.
+// A record to be written, or to be removed if `record` is empty.
 struct Change {
     std::string holder, instance;
     std::optional<Record> record;
 };
 
-// Throws std::invalid_argument.
+// Throws std::invalid_argument if the terms are inconsistent.
 void check(const Terms& terms);
 
 class Authority {
 public:
-    static constexpr std::size_t grants_most = 16;
+    static constexpr std::size_t max_open_grants = 16;
 
     struct Start {
-        std::uint64_t epoch = 1;  // higher than any before it
-        bool current = false;     // the records are all that there is
+        std::uint64_t epoch = 1;  // higher than any earlier one
+        bool current = false;     // the records hold every grant that may be in force
         std::vector<Record> records;
-        Micros longest_term{};  // of any lease that was granted before
+        Micros longest_term{};  // of any lease granted before
     };
     Authority(Terms terms, Start start, Time now);
 
     [[nodiscard]] LeaseReply on_request(const LeaseRequest& request, Time now, std::vector<Change>& changes);
-    // Nothing is taken back: what is in force ends or shrinks as its holders ask. Throws as the constructor; then
-    // nothing has changed.
+    // Applies new terms without revoking anything: allocations in force end or shrink as their holders send requests. Throws
+    // as the constructor does; then nothing has changed.
     void change(Terms terms, Time now);
 
-    std::uint64_t epoch() const { return epoch_; }  // may rise while it waits
+    std::uint64_t epoch() const { return epoch_; }  // may rise while the authority waits after a start
     Time waits_until() const { return waits_until_; }
     bool stepped_down() const { return stepped_down_; }
     const Terms& terms() const { return terms_; }
 
-    // Who holds what, and why what is not granted is not.
+    // The allocation of one budget to one process, and why more than its share is counted.
     struct Held {
         std::string budget, holder, instance;
         Amount counted;  // of the whole
         Amount share;    // of the last grant
         Amount wants;
         std::int64_t in_use = 0;
-        Time until{};          // of the last grant
-        std::string_view why;  // counted beyond the share: not yet told, ended but may run, in use
+        Time until{};  // of the last grant
+        std::string_view
+            why;  // reason for counting beyond the share: not yet released, attempts may be running, in use
     };
     struct Sum {
         std::string budget;
@@ -96,68 +99,70 @@
     [[nodiscard]] View view(Time now) const;
 
 private:
-    struct Given {
+    struct Allocation {
         Fence fence;
         Time until{};
-        std::vector<Amount> shares;  // by place in budgets_
+        std::vector<Amount> shares;  // by index in budgets_
     };
-    struct Party {
+    // State of one process. Vectors are indexed like budgets_.
+    struct HolderState {
         std::uint64_t number = 0;
-        Time heard{};
+        Time last_request_at{};
         bool leaving = false;
-        int untaken = 0;  // requests in a row that told of no grant since the last one
-        std::vector<Given> given;
+        int unaccepted_grants =
+            0;  // consecutive requests that reported an older fencing token than the last grant's
+        std::vector<Allocation> allocations;
         std::vector<Amount> wants, reserves;
         std::vector<std::int64_t> in_use;
         std::vector<Time>
-            without;  // since then it has wanted a permit and had none; zero: it has one or wants none
-        // Of its clock and of this one, at a request some terms ago.
-        Time its_clock{}, our_clock{};
+            without_permit_since;  // when it began to want a permit without having one; zero: it has one or wants none
+        // Readings of both clocks at the start of the interval over which the holder's clock is compared.
+        Time holder_clock{}, authority_clock{};
         bool clock_off = false;
     };
     using Key = std::pair<std::string, std::string>;  // holder, instance
 
-    // Who counts for what, at one moment.
-    struct Present {
+    // The processes that count at one moment.
+    struct ActiveHolders {
         struct Reserving {
-            const Party* party = nullptr;
-            bool beyond = false;  // it has another one's name, or is one more than expected
+            const HolderState* holder = nullptr;
+            bool extra = false;  // its name is used by another process too, or it exceeds the expected number
         };
         std::vector<Reserving> reserving;
-        std::vector<const Party*> claiming;
+        std::vector<const HolderState*> claiming;
     };
-    Present present(Time now) const;
-
-    Amount counted(const Party& party, std::size_t budget, Time now) const;
-    Amount reserved(std::size_t budget, const Present& present) const;
-    bool heard_lately(const Party& party, Time now) const;
-    static bool takes_grants(const Party& party);
-    std::optional<std::string> clock_fault(Party& party, Time its, Time now) const;
-    std::optional<std::string> at_odds(const LeaseRequest& request) const;
-    void note(Party& party, const LeaseRequest& request, Time now);
-    LeaseReply grant(Party& party, Time now);
-    Amount target(std::size_t budget, const Party& party, Amount shared, const Present& present,
-                  Time now) const;
-    void add(Party& party, Given given) const;
-    void forget_old(Time now, std::vector<Change>& changes);
-    Record record_of(const Key& key, const Party& party) const;
-    std::size_t place_of(const std::string& budget);
+    ActiveHolders active_holders(Time now) const;
+
+    Amount counted(const HolderState& holder, std::size_t budget, Time now) const;
+    Amount reserved(std::size_t budget, const ActiveHolders& active) const;
+    bool is_active(const HolderState& holder, Time now) const;
+    static bool accepts_grants(const HolderState& holder);
+    std::optional<std::string> clock_fault(HolderState& holder, Time holder_now, Time now) const;
+    std::optional<std::string> configuration_mismatch(const LeaseRequest& request) const;
+    void record_request(HolderState& holder, const LeaseRequest& request, Time now);
+    LeaseReply grant(HolderState& holder, Time now);
+    Amount fair_share(std::size_t budget, const HolderState& holder, Amount shared,
+                      const ActiveHolders& active, Time now) const;
+    void add(HolderState& holder, Allocation allocation) const;
+    void expire_holders(Time now, std::vector<Change>& changes);
+    Record record_of(const Key& key, const HolderState& holder) const;
+    std::size_t find_or_add(const std::string& budget);
     std::size_t find(const std::string& budget) const;
-    void widen();
-    void wait(Time now);
+    void resize_holders();
+    void begin_waiting(Time now);
 
     Terms terms_;
     std::vector<Budget>
-        budgets_;  // those of the terms, and those that are gone while something of them may be in force
+        budgets_;  // configured budgets, and removed ones of which an allocation may still be in force
     std::uint64_t epoch_;
     std::uint64_t seq_ = 0;
     Time waits_until_{};
-    Time places_from_{};  // the same for budgets that count places
+    Time concurrency_waits_until_{};  // nothing of a concurrency budget is granted before
     Micros longest_term_{};
     bool stepped_down_ = false;
-    std::map<Key, Party> parties_;
-    std::map<std::string, std::string> current_;  // which instance has a name
-    Time swept_{};
+    std::map<Key, HolderState> holders_;
+    std::map<std::string, std::string> current_instance_;  // by holder name
+    Time last_expiry_at_{};
 };
 
 }  // namespace flaxdoor::budget
--- a/src/budget/division.h
+++ b/src/budget/division.h
@@ -1,9 +1,9 @@
-// Weighted max-min fairness in integers: who wants less than an equal part gets what it wants, the others share what
-// is left. Nothing of the whole is left over: what nobody wants is divided evenly, so that a burst anywhere finds
-// something there, and the remainder of a division goes to the last in order of (want a weight, place).
+// Weighted max-min fair division in integers. A claim below an equal part gets what it wants; the other claims share the
+// rest. The parts always sum to the whole: what no claim wants is divided evenly, so that every holder has something for a
+// burst. The remainder of an integer division goes to the last claims in order of (demand per weight, index).
 //
 // Source:    D. Bertsekas, R. Gallager, Data Networks, 6.5.2 (max-min flow control); progressive filling.
-// Threading: plain functions.   Cost: n log n.
+// Threading: pure functions.   Cost: n log n.
 #pragma once
 
 #include <cstdint>
@@ -16,16 +16,17 @@
 struct Claim {
     Amount wants;
     std::int64_t weight = 1;
-    std::uint64_t without =
-        0;  // how long it has had no permit at all: the longest goes first where few go round
+    std::uint64_t terms_without_permit =
+        0;  // lease terms since the claimant last had a permit; the longest wait goes first when permits are scarce
 };
 
-// Of one kind of unit. The parts sum to `whole`, unless there is no claim.
+// Divides one component of an amount. The parts sum to `whole` unless there are no claims.
 [[nodiscard]] std::vector<std::int64_t> max_min(std::int64_t whole, const std::vector<std::int64_t>& wants,
                                                 const std::vector<std::int64_t>& weights);
 
-// Of a budget: sizes first, one each to those who want any before anyone has two; a rate goes only to who has a bucket
-// to fill. What nobody wants is spread over all. `counts` concurrency has no rates.
+// Divides a budget. Sizes are divided first: each claim that wants a permit gets one before any claim gets two. Only claims
+// with a size get a rate, since a rate needs a bucket to fill. What no claim wants is spread over all. Concurrency budgets
+// have no rate.
 [[nodiscard]] std::vector<Amount> divide(Amount whole, Counts counts, const std::vector<Claim>& claims);
 
 }  // namespace flaxdoor::budget
--- a/src/budget/holder.h
+++ b/src/budget/holder.h
@@ -1,14 +1,15 @@
-// A balancer's side of the budgets: what it asks the authority for, which replies it takes, and what it may use.
+// The lease holder: a balancer's side of the budgets. Decides what to request from the authority, which replies to accept,
+// and what may be used.
 //
-// A lease counts from when its request was *sent*, by this process's own clock. A reply is taken only when its
-// request is one of the last few, its fence is the highest seen, and its term has not passed. All grants of a
-// reply are taken together.
+// A lease counts from when its request was sent, by this process's own clock. A reply is accepted only if its request is
+// one of the last few, its fencing token is the highest so far, and its term has not passed. All grants of a reply are
+// applied together.
 //
-// Time:      handed in, from one clock that counts while the process is paused (CLOCK_BOOTTIME). Every look at an
-//            allowance checks its lease first, so nothing is let through on one that ended during a pause.
-// Threading: one thread.   Ownership: its own.   Chance: the seed spreads the requests of a fleet.
-// Errors:    none; a reply that can't be used changes nothing but when to ask next.
-// Bounds:    `sent_most` requests are remembered.
+// Time:      passed in, from one clock that advances while the process is suspended (CLOCK_BOOTTIME). Every access to an
+//            allowance checks its lease first, so nothing is admitted on a lease that ended during a suspension.
+// Threading: single-threaded.   Randomness: the seed spreads the requests of a fleet over time.
+// Errors:    none; a reply that can't be used changes only the time of the next request.
+// Bounds:    the last `max_sent` requests are remembered.
 #pragma once
 
 #include <cstddef>
@@ -29,73 +30,73 @@
         std::string name, instance;
         std::uint64_t seed = 0;
     };
-    // Reserves that count places come into force `longest` from now: attempts of a process that had this name before
-    // may still run.
+    // Concurrency reserves come into force `longest` from now: attempts of an earlier process with this name may still be
+    // running.
     Holder(Options options, Time now);
 
-    // ------------------------------------------------------------------------------------------- asking
-    // When the next request is to go out; it may become earlier with every call of this class.
-    Time next_request() const { return next_; }
+    // ------------------------------------------------------------------------------------- lease requests
+    // Returns when to send the next request. Any call of this class may make it earlier.
+    Time next_request() const { return next_request_at_; }
     [[nodiscard]] LeaseRequest request(Time now);
     void on_reply(const LeaseReply& reply, Time now);
-    void on_no_reply(Time now);  // the last request failed, or has been given up
-    // Lets go of all leases and of the reserve, for good; the request tells it.
+    void on_no_reply(Time now);  // the last request failed or was abandoned
+    // Releases all leases and the reserve for good. The returned request reports it.
     [[nodiscard]] LeaseRequest leave(Time now);
 
     // ----------------------------------------------------------------------------------------- admission
     std::size_t size() const { return allowances_.size(); }
     const Terms& terms() const { return terms_; }
-    // Something was refused for want of a share: asks sooner, where that tells the authority something. What it has been
-    // told already it divides by, and says itself when there may be more.
+    // To be called when a permit was refused. Makes the next request earlier if it would tell the authority something new.
+    // The authority already divides by the demand that was reported to it, and its replies say when there may be more.
     void on_want(std::size_t budget, Time now);
     Allowance& at(std::size_t budget) { return allowances_[budget]; }
 
-    // --------------------------------------------------------------------------------------------- looks
-    Verdict last_verdict() const { return verdict_; }
+    // -------------------------------------------------------------------------------------------- state
+    Verdict last_verdict() const { return last_verdict_; }
     const std::string& why() const { return why_; }
-    Fence taken() const { return taken_; }
-    bool supervised(Time now);  // a lease is in force
+    Fence accepted_fence() const { return accepted_fence_; }
+    bool has_lease(Time now);
 
 private:
     struct Sent {
         std::uint64_t number = 0;
         Time at{};
     };
-    // Places wanted at once, the most of this term and of the one before it.
+    // Peaks of concurrency permits wanted at once, in the current lease term and in the previous one.
     struct Peak {
         std::int64_t before = 0, now = 0;
         Time since{};
     };
-    static constexpr std::size_t sent_most = 8;
+    static constexpr std::size_t max_sent = 8;
 
-    void bring_reserves(Time now);
-    bool is_news(std::size_t budget, Time now);
-    // Of permits: more than chance can have brought.
-    bool burst(std::size_t budget, std::int64_t wanted, double span) const;
-    void ask_again(Time now, Micros after);
-    Micros spread(Micros span);
+    void activate_reserves(Time now);
+    bool demand_is_news(std::size_t budget, Time now);
+    // Returns true if more permits were wanted than random variation of the demand explains.
+    bool is_burst(std::size_t budget, std::int64_t wanted, double span) const;
+    void request_sooner(Time now, Micros after);
+    Micros with_jitter(Micros span);
 
     Terms terms_;
     const std::string name_, instance_;
-    std::uint64_t chance_;
+    std::uint64_t random_state_;
     std::vector<Allowance> allowances_;
-    std::vector<double> rates_;  // wanted, permits a second, smoothed
-    std::vector<Peak> peaks_;    // of places
-    std::vector<Amount> told_;   // wanted, with the last request
-    Time reserves_from_{};       // of those that count places
-    bool reserves_lost_ = false;
+    std::vector<double> demand_rates_;    // permits wanted a second, smoothed
+    std::vector<Peak> peaks_;             // of concurrency permits
+    std::vector<Amount> reported_wants_;  // in the last request
+    Time concurrency_reserves_from_{};
+    bool reserves_withdrawn_ = false;
     bool left_ = false;
 
     std::vector<Sent> sent_;
     std::uint64_t last_number_ = 0;
-    Time asked_at_{};
-    Time next_{};
-    Micros gap_{};  // between two requests, unless one is due
+    Time last_request_at_{};
+    Time next_request_at_{};
+    Micros min_interval_{};  // between two requests, except for scheduled ones
     Micros back_off_{};
-    Fence taken_;
-    std::uint64_t epoch_ = 0;  // highest heard of
+    Fence accepted_fence_;
+    std::uint64_t highest_epoch_ = 0;
     Time leased_until_{};
-    Verdict verdict_ = Verdict::waiting;
+    Verdict last_verdict_ = Verdict::waiting;
     std::string why_;
 };
 
--- a/src/budget/messages.h
+++ b/src/budget/messages.h
@@ -1,8 +1,8 @@
-// What a holder and the authority say to each other, as plain values; src/coordinator has their form on the wire.
+// Messages between a lease holder and the authority, as plain values. src/coordinator defines their encoding.
 //
-// A holder's request is numbered; the authority heeds none that is older than the last one it has heard, so what is
-// late or doubled changes nothing. A reply's grants go together under one fencing number, (epoch, seq), which only
-// rises: a holder takes none that is not higher than what it has taken.
+// A holder numbers its requests. The authority ignores a request that is not newer than the last one it received, so late
+// and duplicated requests change nothing. The grants of a reply share one fencing token, (epoch, seq), which only rises:
+// a holder rejects a reply whose token is not higher than the one it accepted last.
 #pragma once
 
 #include <cstdint>
@@ -14,41 +14,42 @@
 
 namespace flaxdoor::budget {
 
+// Fencing token of a reply. Orders grants over all authorities.
 struct Fence {
     std::uint64_t epoch = 0;  // of the authority's start
-    std::uint64_t seq = 0;    // within it
+    std::uint64_t seq = 0;    // within the epoch
     friend auto operator<=>(const Fence&, const Fence&) = default;
 };
 
-// What a request tells of one budget.
+// A holder's demand and state for one budget.
 struct Need {
     std::string budget;
     Counts counts = Counts::requests;
-    Amount wants;             // could be used now, its reserve included
+    Amount wants;             // what the holder could use now, including its reserve
     Amount leased;            // in force by a lease
-    Amount reserve;           // in force, or would be with no lease
-    std::int64_t in_use = 0;  // places taken, also by attempts whose end is not known yet
+    Amount reserve;           // in force, or would be without a lease
+    std::int64_t in_use = 0;  // concurrency permits, including those of attempts whose end is not known yet
 };
 
 struct LeaseRequest {
-    std::string holder;    // a balancer's name
-    std::string instance;  // of this start of it, drawn at random
+    std::string holder;    // name of the balancer
+    std::string instance;  // identifies this start of the balancer; drawn at random
     std::uint64_t number = 0;
-    Fence taken;              // the highest that it has taken, in force or not
-    std::uint64_t epoch = 0;  // the highest that it has heard of
-    Time clock{};             // its own
-    bool leaving = false;     // it has let go of all leases and will use no reserve
+    Fence taken;              // highest fencing token accepted by the holder, in force or not
+    std::uint64_t epoch = 0;  // highest epoch that the holder has received
+    Time clock{};             // the holder's clock
+    bool leaving = false;     // the holder has released all leases and will not use its reserve
     std::vector<Need> needs;
 };
 
 enum class Verdict : std::uint8_t {
     granted,
-    waiting,       // leases of an earlier authority may be in force, unknown to this one
-    name_taken,    // another process has this name
-    stepped_down,  // another authority with a higher epoch has been heard of
-    too_many,      // Terms::holders_most
-    clock_off,     // the holder's clock runs at another rate than the terms allow
-    at_odds,       // a budget is not what the authority's file says it is
+    waiting,       // leases of an earlier authority that this one does not know may be in force
+    name_taken,    // another process uses this name
+    stepped_down,  // another authority has a higher epoch
+    too_many,      // Terms::holders_most is reached
+    clock_off,     // the rate of the holder's clock is outside the configured drift
+    at_odds,       // a budget differs from the authority's configuration
 };
 [[nodiscard]] std::string_view text_of(Verdict verdict);
 
@@ -59,14 +60,16 @@
 
 struct LeaseReply {
     Verdict verdict = Verdict::granted;
-    std::string why;           // not granted
+    std::string why;           // reason for a verdict other than granted
     std::uint64_t number = 0;  // of the request
     std::uint64_t epoch = 0;
     std::uint64_t seq = 0;
     Micros term{};
-    Micros again{};  // ask again so soon: more is wanted than could be granted yet; zero: as usual
     Micros
-        gap{};  // between two requests, unless one is due: so that the fleet's requests out of turn stay few
+        again{};  // delay until the next request, if more was wanted than could be granted yet; zero: the default
+    Micros
+        gap{};  // least interval between two requests, except for scheduled ones; bounds the rate of the fleet's
+                // unscheduled requests
     std::vector<Grant> grants;
 };
 
--- a/src/budget/terms.h
+++ b/src/budget/terms.h
@@ -1,8 +1,9 @@
-// What a fleet-wide budget is, as the operator sets it, and the amounts that it is divided into. Plain values.
+// Configuration of fleet-wide budgets, and the amounts into which they are divided. Plain values.
 //
-// Units: a permit lets one request, attempt or retry through; rates in thousandths of a permit a second, so that
-//        a small whole can be divided among many; sizes in whole permits (a bucket's depth, or places). All are integers:
-//        the same demands give the same shares on every machine.
+// Units: a permit admits one request, attempt or retry. Rates are in thousandths of a permit a second, so that a small
+//        whole can be divided among many balancers. Sizes are in whole permits: the depth of a token bucket, or the
+//        number of attempts in flight (concurrency permits). All amounts are integers, so the same demands give the
+//        same shares on every machine.
 #pragma once
 
 #include <algorithm>
@@ -16,16 +17,16 @@
 
 // What takes a permit of a budget.
 enum class Counts : std::uint8_t {
-    requests,     // each call's first attempt
+    requests,     // the first attempt of each call
     attempts,     // every attempt
-    retries,      // every attempt after a call's first
+    retries,      // every attempt after the first one of its call
     concurrency,  // every attempt, from its first byte until it has ended
 };
 
-// A part of a budget, or all of it. Parts add up in each of the two.
+// A part of a budget, or all of it. Amounts are added component by component.
 struct Amount {
-    std::int64_t rate = 0;  // thousandths of a permit a second; zero where places are counted
-    std::int64_t size = 0;  // depth of the token bucket, or places
+    std::int64_t rate = 0;  // thousandths of a permit a second; zero for concurrency budgets
+    std::int64_t size = 0;  // depth of the token bucket, or concurrency permits
 
     friend bool operator==(const Amount&, const Amount&) = default;
     friend Amount operator+(Amount a, Amount b) { return {a.rate + b.rate, a.size + b.size}; }
@@ -38,23 +39,26 @@
 struct Budget {
     std::string name;
     Counts counts = Counts::requests;
-    std::string tenant, of_class, pool;  // only what belongs to all that are named; empty: any
+    std::string tenant, of_class,
+        pool;  // the budget applies to calls that match all of these; empty matches any
     Amount whole;
-    Amount reserve;  // of each expected balancer, set aside out of the whole: its own with no lease
+    Amount reserve;  // of each expected balancer, taken out of the whole; usable without a lease
 };
 
-// What holds for all budgets of a fleet, at the authority and at the holders alike.
+// Configuration that all budgets of a fleet share. The authority and the holders use the same values.
 struct Terms {
     std::vector<Budget> budgets;
-    int expected = 1;                           // balancers that have a reserve
-    Micros term = std::chrono::seconds(3);      // of a lease
-    double drift = 0.001;                       // clocks' rates are right within this share
-    Micros longest = std::chrono::seconds(30);  // deadline of an attempt that takes a place
-    std::size_t holders_most = 1024;            // known at once, those of the past included
+    int expected = 1;                       // number of balancers that have a reserve
+    Micros term = std::chrono::seconds(3);  // duration of a lease
+    double drift = 0.001;                   // largest relative error of a clock's rate
+    Micros longest =
+        std::chrono::seconds(30);     // longest duration of an attempt that holds a concurrency permit
+    std::size_t holders_most = 1024;  // processes known at once, including former ones
 };
 
-// How long a lease counts. The holder counts from when it sent its request, the authority from when it granted,
-// which is later; a clock that runs slow by `drift` at the one and fast by it at the other do not make them meet.
+// Duration of a lease at its holder and at the authority. The holder counts from when it sent its request, the authority
+// from when it granted the lease, which is later. The holder's lease ends first even if the holder's clock is slow by
+// `drift` and the authority's is fast by it.
 inline Micros at_holder(Micros term, double drift) {
     return Micros(static_cast<std::int64_t>(static_cast<double>(term.count()) * (1 - drift)));
 }
--- a/src/coordinator/agent.h
+++ b/src/coordinator/agent.h
@@ -1,10 +1,10 @@
-// A balancer's agent: asks the coordinator for leases when its holder wants to, over one kept connection, and hands the
-// replies to the holder. It tells the log when leases come and go, and why.
+// A balancer's agent: sends the holder's lease requests to the coordinator over one persistent connection and passes the
+// replies to the holder. Logs when leases are gained and lost, and why.
 //
-// Threading: the executor's one thread at a time.   Ownership: executor, clock, log and holder are borrowed and outlive it.
-// Time:      the holder's clock says when to ask; what waits here is timed by the loop's steady clock.
-// Errors:    none. What fails costs time: the holder asks again, and its leases and reserve count on meanwhile.
-// Bounds:    one connection, one request under way, which is given up after a third of the term; replies of
+// Threading: the executor, one thread at a time.   Ownership: executor, clock, log and holder are borrowed and outlive the agent.
+// Time:      the holder's clock determines when to send a request; timers use the event loop's steady clock.
+// Errors:    none. After a failure the holder sends another request later; its leases and its reserve stay in force meanwhile.
+// Bounds:    one connection and one request in flight, which times out after a third of the lease term; replies of at most
 //            `message_most` bytes.
 #pragma once
 
@@ -30,23 +30,23 @@
     Agent& operator=(const Agent&) = delete;
 
     void start();
-    // The holder may want to ask sooner than it did.
+    // To be called when the holder may want to send a request earlier than scheduled.
     void on_want();
-    // Lets go of everything, for good, and tells the coordinator where the connection is free to carry it: nothing
-    // is waited for. What could not be told ends with its lease.
+    // Releases all leases and the reserve for good. Reports it to the coordinator if the connection is idle, and does not wait for
+    // a reply. An unreported lease counts at the coordinator until it ends.
     void leave();
 
 private:
-    class Link;
-    friend class Link;
+    class Connection;
+    friend class Connection;
 
-    void wake_at(Time at);
-    void on_wake();
-    void ask();
-    void on_link_up();
+    void schedule(Time at);
+    void on_timer();
+    void send_request();
+    void on_connected();
     void on_reply(const budget::LeaseReply& reply);
     void on_no_reply(const std::string& why);
-    void tell(const std::string& why);
+    void log_changes(const std::string& why);
 
     const loop::Executor executor_;
     const core::Clock& clock_;
@@ -54,13 +54,13 @@
     budget::Holder& holder_;
     const boost::asio::ip::tcp::endpoint coordinator_;
 
-    std::shared_ptr<Link> link_;
-    boost::asio::steady_timer wake_;
-    std::optional<Time> wakes_at_;  // of the holder's clock
-    bool asking_ = false;
-    bool over_ = false;
-    std::optional<bool> leased_;  // as it was told last; empty: nothing was
-    budget::Verdict told_ = budget::Verdict::granted;
+    std::shared_ptr<Connection> connection_;
+    boost::asio::steady_timer timer_;
+    std::optional<Time> scheduled_at_;  // by the holder's clock
+    bool request_pending_ = false;
+    bool left_ = false;
+    std::optional<bool> logged_lease_;  // as logged last; empty if nothing was logged
+    budget::Verdict logged_verdict_ = budget::Verdict::granted;
     loop::Alive alive_;
 };
 
--- a/src/coordinator/fields.h
+++ b/src/coordinator/fields.h
@@ -1,7 +1,6 @@
-// JSON texts of this folder, field by field: a value or the first fault, which names the field. Used inside the sources
-// only.
+// Reads JSON objects field by field and reports the first error with the path of its field. Internal to this folder's sources.
 //
-// Threading: plain functions.   Errors: as wire.h.   Bounds: each reader's arguments, and wire.h's.
+// Threading: pure functions.   Errors: as in wire.h.   Bounds: the arguments of each reader, and wire.h's.
 #pragma once
 
 #include <array>
@@ -17,67 +16,69 @@
 
 using Json = nlohmann::json;
 
-// One object. The first fault of the whole text stays, and what is read after it is of no account.
+// Reads the fields of one object. The first error of the whole text is kept in `fault`; values read after it are meaningless.
 class Fields {
 public:
     Fields(std::string& fault, const Json* object, std::string where)
         : fault_(fault), object_(object), where_(std::move(where)) {
-        if (object_ && !object_->is_object()) fail(where_, "no object");
+        if (object_ && !object_->is_object()) fail(where_, "not an object");
     }
 
-    std::uint64_t number(const char* name) const { return unsigned_of(find(name), path(name), number_most); }
-    std::int64_t integer(const char* name, std::int64_t least, std::int64_t most) const {
-        return integer_of(find(name), path(name), least, most);
+    std::uint64_t number(const char* name) const { return unsigned_of(find(name), path(name), max_number); }
+    std::int64_t integer(const char* name, std::int64_t min_value, std::int64_t max_value) const {
+        return integer_of(find(name), path(name), min_value, max_value);
     }
-    Time time(const char* name) const { return Time(integer(name, 0, time_most)); }
-    Micros span(const char* name) const { return Micros(integer(name, 0, span_most.count())); }
+    Time time(const char* name) const { return Time(integer(name, 0, max_time)); }
+    Micros span(const char* name) const { return Micros(integer(name, 0, max_span.count())); }
     bool flag(const char* name) const {
         const Json* const value = find(name);
         if (value && !value->is_boolean()) fail(path(name), "neither true nor false");
         return value && value->is_boolean() && value->get<bool>();
     }
     std::string name(const char* name) const {
-        std::string text = text_at(name);
+        std::string text = string_at(name);
         if (fault_.empty() && !valid_name(text)) {
             fail(path(name),
-                 "no name of 1 to " + std::to_string(name_most) + " bytes without control characters");
+                 "not a name of 1 to " + std::to_string(max_name_size) + " bytes without control characters");
         }
         return text;
     }
     std::string why(const char* name) const {
-        std::string text = text_at(name);
-        if (text.size() > why_most) fail(path(name), "longer than " + std::to_string(why_most) + " bytes");
+        std::string text = string_at(name);
+        if (text.size() > max_reason_size)
+            fail(path(name), "longer than " + std::to_string(max_reason_size) + " bytes");
         return text;
     }
     template <typename Value, std::size_t n>
     Value one_of(const char* name, const std::array<Value, n>& all) const {
-        const std::string text = text_at(name);
-        for (const Value each : all) {
-            if (text_of(each) == text) return each;
+        const std::string text = string_at(name);
+        for (const Value candidate : all) {
+            if (text_of(candidate) == text) return candidate;
         }
-        fail(path(name), "not a word that is known here");
+        fail(path(name), "not a known value");
         return all.front();
     }
     budget::Fence fence(const char* name) const {
         const Json* const pair = pair_at(name);
         if (!pair) return {};
-        return {unsigned_of(&(*pair)[0], path(name) + "[0]", number_most),
-                unsigned_of(&(*pair)[1], path(name) + "[1]", number_most)};
+        return {unsigned_of(&(*pair)[0], path(name) + "[0]", max_number),
+                unsigned_of(&(*pair)[1], path(name) + "[1]", max_number)};
     }
-    // Of many holders up to `many` times as much.
-    budget::Amount amount(const char* name, std::int64_t many = 1) const {
+    // Reads an amount. A sum over several holders may be up to `factor` times the bound of one.
+    budget::Amount amount(const char* name, std::int64_t factor = 1) const {
         const Json* const pair = pair_at(name);
         if (!pair) return {};
-        return {integer_of(&(*pair)[0], path(name) + "[0]", 0, rate_most * many),
-                integer_of(&(*pair)[1], path(name) + "[1]", 0, size_most * many)};
+        return {integer_of(&(*pair)[0], path(name) + "[0]", 0, max_rate * factor),
+                integer_of(&(*pair)[1], path(name) + "[1]", 0, max_size * factor)};
     }
     // Calls `read(Fields)` for each object of a list.
     template <typename Read>
-    void each(const char* name, std::size_t most, Read read) const {
+    void for_each(const char* name, std::size_t max_entries, Read read) const {
         const Json* const list = find(name);
         if (!list) return;
-        if (!list->is_array()) return fail(path(name), "no list");
-        if (list->size() > most) return fail(path(name), "more than " + std::to_string(most) + " entries");
+        if (!list->is_array()) return fail(path(name), "not a list");
+        if (list->size() > max_entries)
+            return fail(path(name), "more than " + std::to_string(max_entries) + " entries");
         for (std::size_t i = 0; i < list->size() && fault_.empty(); ++i) {
             read(Fields(fault_, &(*list)[i], path(name) + "[" + std::to_string(i) + "]"));
         }
@@ -95,39 +96,40 @@
         fail(path(name), "missing");
         return nullptr;
     }
-    std::string text_at(const char* name) const {
+    std::string string_at(const char* name) const {
         const Json* const value = find(name);
         if (!value) return {};
         if (value->is_string()) return value->get<std::string>();
-        fail(path(name), "no text");
+        fail(path(name), "not a string");
         return {};
     }
     const Json* pair_at(const char* name) const {
         const Json* const value = find(name);
         if (value && value->is_array() && value->size() == 2) return value;
-        fail(path(name), "no list of two numbers");
+        fail(path(name), "not a list of two numbers");
         return nullptr;
     }
-    std::uint64_t unsigned_of(const Json* value, const std::string& where, std::uint64_t most) const {
+    std::uint64_t unsigned_of(const Json* value, const std::string& where, std::uint64_t max_value) const {
         if (!value) return 0;
         if (!value->is_number_unsigned()) {
-            fail(where, "no whole number from 0");
-        } else if (value->get<std::uint64_t>() > most) {
-            fail(where, "above " + std::to_string(most));
+            fail(where, "not an integer of at least 0");
+        } else if (value->get<std::uint64_t>() > max_value) {
+            fail(where, "above " + std::to_string(max_value));
         } else {
             return value->get<std::uint64_t>();
         }
         return 0;
     }
-    std::int64_t integer_of(const Json* value, const std::string& where, std::int64_t least,
-                            std::int64_t most) const {
+    std::int64_t integer_of(const Json* value, const std::string& where, std::int64_t min_value,
+                            std::int64_t max_value) const {
         if (!value) return 0;
-        // Text without a sign is unsigned to the parser, and may be beyond what the signed kind holds.
-        if (value->is_number_unsigned() || least >= 0) {
-            return static_cast<std::int64_t>(unsigned_of(value, where, static_cast<std::uint64_t>(most)));
+        // The parser yields an unsigned value for a number without a sign; it may exceed the range of the signed type.
+        if (value->is_number_unsigned() || min_value >= 0) {
+            return static_cast<std::int64_t>(
+                unsigned_of(value, where, static_cast<std::uint64_t>(max_value)));
         }
-        if (!value->is_number_integer() || value->get<std::int64_t>() < least) {
-            fail(where, "no whole number from " + std::to_string(least));
+        if (!value->is_number_integer() || value->get<std::int64_t>() < min_value) {
+            fail(where, "not an integer of at least " + std::to_string(min_value));
             return 0;
         }
         return value->get<std::int64_t>();
@@ -138,12 +140,12 @@
     std::string where_;
 };
 
-// `read(Fields, Value&)` reads the whole.
+// Decodes a text of at most `max_bytes` bytes; `read(Fields, Value&)` reads the outermost object.
 template <typename Value, typename Read>
-std::variant<Value, Malformed> decode(std::string_view text, std::size_t most, Read read) {
-    if (text.size() > most) return Malformed{"longer than " + std::to_string(most) + " bytes"};
+std::variant<Value, Malformed> decode(std::string_view text, std::size_t max_bytes, Read read) {
+    if (text.size() > max_bytes) return Malformed{"longer than " + std::to_string(max_bytes) + " bytes"};
     const Json json = Json::parse(text, nullptr, false);
-    if (json.is_discarded()) return Malformed{"no JSON"};
+    if (json.is_discarded()) return Malformed{"not JSON"};
     std::string fault;
     Value value;
     read(Fields(fault, &json, {}), value);
@@ -151,7 +153,7 @@
     return value;
 }
 
-// What is no UTF-8 is written as what stands for it: nothing is thrown.
+// Encodes JSON. Replaces bytes that are not UTF-8 by the replacement character instead of throwing.
 inline std::string text_of_json(const Json& json) {
     return json.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
--- a/src/coordinator/grants_log.cpp
+++ b/src/coordinator/grants_log.cpp
@@ -36,10 +36,10 @@
     if (lines.empty()) return 0;
     struct stat before {};
     if (::fstat(fd_, &before) != 0) return errno;
-    const auto wrote = ::write(fd_, lines.data(), lines.size());
-    if (wrote == static_cast<ssize_t>(lines.size())) return 0;
-    const int error = wrote < 0 ? errno : ENOSPC;
-    if (wrote > 0 && ::ftruncate(fd_, before.st_size) != 0) return errno;
+    const auto written = ::write(fd_, lines.data(), lines.size());
+    if (written == static_cast<ssize_t>(lines.size())) return 0;
+    const int error = written < 0 ? errno : ENOSPC;
+    if (written > 0 && ::ftruncate(fd_, before.st_size) != 0) return errno;
     return error;
 }
 
--- a/src/coordinator/grants_log.h
+++ b/src/coordinator/grants_log.h
@@ -1,8 +1,8 @@
-// Every grant as a line of JSON, for whoever judges a run by them: {"time_us", "holder", "instance", "epoch", "seq",
-// "until_us", "budget", "share"}, times of the authority's clock. Written before the reply leaves.
+// Logs every grant as a line of JSON, so that a test can verify a run: {"time_us", "holder", "instance", "epoch", "seq",
+// "until_us", "budget", "share"}, with times of the authority's clock. A grant is logged before its reply is sent.
 //
-// Threading: one thread.   Ownership: the descriptor is its own.   Errors: an errno; 0: done.
-// Bounds:    the file grows without one: it is for tests and trials.
+// Threading: single-threaded.   Ownership: owns its file descriptor.   Errors: functions return an errno, or 0 on success.
+// Bounds:    none; the file grows without limit, as it is meant for tests.
 #pragma once
 
 #include <string>
@@ -18,9 +18,9 @@
     GrantsLog(const GrantsLog&) = delete;
     GrantsLog& operator=(const GrantsLog&) = delete;
 
-    // Appends to what is there.
+    // Opens the file for appending.
     [[nodiscard]] int open(const std::string& path);
-    // All of a reply, or nothing: what a full disk took of it is cut off again.
+    // Writes all grants of a reply or none: a partial write on a full disk is truncated.
     [[nodiscard]] int write(const budget::LeaseRequest& request, const budget::LeaseReply& reply, Time now,
                             Time until);
 
--- a/src/coordinator/journal.h
+++ b/src/coordinator/journal.h
@@ -1,21 +1,21 @@
-// What an authority must know after its next start, in the embedded store: its epoch, what each process may hold, and
-// whether that is all that may be in force.
+// The authority's durable state in the embedded store: its epoch, what each process may hold, and from when on the records
+// are complete, that is, hold every grant that may be in force.
 //
-// Nothing in a store tells whether it is the latest copy of itself. So a start counts as current only when the witness
-// shows it: a small file in another place, written after each commit and before its reply, with the store's identity, the
-// opening (drawn at random at each start, so that two copies that went on apart differ), the number of commits and the
-// machine's boot. A store that has fewer commits than the witness tells of is an older copy. Where a witness can't be
-// written it is removed; where it can't be removed either, the commit has failed: an old one would vouch for an old copy.
+// A store can't tell whether it is the latest copy of itself. A start is therefore current only if the witness confirms it:
+// a small file in another place, written after each commit and before the reply. It holds the store's identity, the opening
+// (a random number drawn at each start, which differs between copies that were used separately), the number of commits and
+// the machine's boot id. A store with fewer commits than the witness is an older copy. A witness that can't be written is
+// removed. If it can't be removed either, the commit fails, since an outdated witness would confirm an outdated store.
 //
-// Durability: commit() has returned ok: its changes outlast this process. Otherwise nothing may go out that depends on them.
-//             Records are not synced: after a power cut they are times of another boot's clock, and the start waits as
-//             with none; where only the disk forgets (one at another machine), the store has fewer commits than the
-//             witness tells of. What counts over a boot (Standing) is synced with its commit.
-// Waits:      open(), and a commit with another standing, wait for the disk. Threading: one thread.
-// Ownership:  its own files and witness.
-// Errors:     store/status.h. retry: nothing is known to have changed, again later (the next commit opens the store anew
-//             where that is needed). Nothing is thrown but std::bad_alloc.
-// Bounds:     a commit of `commit_most` records; what is to be removed beyond that goes with a later one. A record of one
+// Durability: if commit() returns ok, its changes survive the process. Otherwise nothing that depends on them may be sent.
+//             Records are not synced to the disk. After a power failure, they hold times of an earlier boot's clock, and
+//             the start waits as if there were none. If only the disk loses writes (a remote disk), the store has fewer
+//             commits than the witness. The state that must survive a reboot (Standing) is synced with its commit.
+// Blocking:   open(), and a commit that changes Standing, wait for the disk.   Threading: single-threaded.
+// Ownership:  owns its files and its witness.
+// Errors:     store/status.h. retry: nothing is known to have changed, and the commit may be tried again later (the next
+//             commit reopens the store if necessary). Only std::bad_alloc is thrown.
+// Bounds:     a commit erases at most `max_commit_records` records; a later commit erases the rest. A record has at most one
 //             MiB (store::value_most).
 #pragma once
 
@@ -31,16 +31,16 @@
 
 namespace flaxdoor::coordinator {
 
-// An errno each; 0: done.
+// Functions return an errno, or 0 on success.
 class Witness {
 public:
     virtual ~Witness() = default;
-    [[nodiscard]] virtual int read(std::string& text) = 0;  // ENOENT: there is none
+    [[nodiscard]] virtual int read(std::string& text) = 0;  // ENOENT if there is none
     [[nodiscard]] virtual int write(const std::string& text) = 0;
-    [[nodiscard]] virtual int remove() = 0;  // 0 also when there was none
+    [[nodiscard]] virtual int remove() = 0;  // 0 also if there was none
 };
 
-// A file that is replaced as a whole, by a rename. It need not outlive a power cut: after one the boot is another.
+// A file that is replaced atomically by a rename. It need not survive a power failure, since the boot id differs afterwards.
 class WitnessFile final : public Witness {
 public:
     explicit WitnessFile(std::string path) : path_(std::move(path)) {}
@@ -54,39 +54,41 @@
 
 class Journal {
 public:
-    static constexpr std::size_t commit_most = 1000;
+    static constexpr std::size_t max_commit_records = 1000;
 
     struct World {
-        std::unique_ptr<store::Files> files;  // the store's folder
+        std::unique_ptr<store::Files> files;  // of the store's directory
         store::Engine::Chance chance;
-        std::unique_ptr<Witness> witness;  // may be null: no start is current
-        std::string boot;                  // of the machine, by which times of the authority's clock count
-        Time now{};                        // by that clock
+        std::unique_ptr<Witness> witness;  // may be null; then no start is current
+        std::string
+            boot;  // the machine's boot id; times of the authority's clock are only comparable within one boot
+        Time now{};  // by the authority's clock
         Time unix_now{};
     };
     struct Opened {
         std::unique_ptr<Journal> journal;  // null unless the result is ok
         store::Result result;
         budget::Authority::Start start;
-        std::string why;  // it is not current
+        std::string why;  // why the start is not current; empty if it is
     };
-    // refused: what is there is of a newer version, in use, or no authority's. The opening is a commit of its own.
+    // Opens the store, which takes a commit of its own. Fails with `refused` if the store is of a newer version, in use, or does
+    // not belong to an authority.
     [[nodiscard]] static Opened open(World world);
 
-    // Of the authority, as it is behind the change.
+    // State of the authority after a change.
     struct Standing {
         std::uint64_t epoch = 0;
-        // From then on all that is in force is known. A start before that is not current.
+        // From this time on the records hold every grant in force. A start before it is not current.
         Time known_from{};
         Micros longest_term{};
     };
     [[nodiscard]] store::Result commit(const Standing& standing, std::span<const budget::Change> changes);
-    // Whether a commit would change more than the count of commits.
+    // Returns true if a commit would change more of the head than the number of commits.
     bool differs(const Standing& standing) const;
 
-    // Background work of the store: one bounded step; false: there is none.
+    // Performs one bounded step of the store's background work. Returns false if none is left.
     bool tidy();
-    // What keeps the witness from being written; empty: nothing does.
+    // Returns why the witness can't be written; empty if it can.
     const std::string& witness_trouble() const { return witness_trouble_; }
     std::uint64_t commits() const { return head_.commits; }
 
@@ -100,21 +102,21 @@
     explicit Journal(World world) : world_(std::move(world)) {}
 
     static std::string encode(const Head& head);
-    // Empty where there is none.
+    // Leaves `head` empty if the store has none.
     store::Result read_head(std::optional<Head>& head);
     store::Result open_engine();
-    store::Result open_again();
+    store::Result reopen();
     store::Result read_records(std::vector<budget::Record>& records);
-    store::Result forget_records();
-    store::Result put(Head head, store::Batch& batch, bool durable);
-    store::Result show();
-    std::string not_current(const Head& head) const;
+    store::Result erase_records();
+    store::Result write_head(Head head, store::Batch& batch, bool durable);
+    store::Result update_witness();
+    std::string incomplete_reason(const Head& head) const;
 
     World world_;
     std::unique_ptr<store::Engine> engine_;  // borrows the files
     store::SpaceId space_ = 0;
     Head head_;
-    std::set<std::string> to_erase_;  // keys of records that are gone
+    std::set<std::string> pending_erasures_;  // keys of removed records
     std::string witness_trouble_;
 };
 
--- a/src/coordinator/service.cpp
+++ b/src/coordinator/service.cpp
@@ -29,9 +29,9 @@
       journal_(std::move(opened.journal)),
       authority_(std::move(terms), std::move(opened.start), clock.now()),
       longest_term_(std::max(authority_.terms().term, opened.start.longest_term)) {
-    const Micros waits = authority_.waits_until() - clock_.now();
-    if (waits > Micros{0}) {
-        log_.tell(events::coordinator_waiting, waits.count() / 1000, opened.why);
+    const Micros wait_remaining = authority_.waits_until() - clock_.now();
+    if (wait_remaining > Micros{0}) {
+        log_.tell(events::coordinator_waiting, wait_remaining.count() / 1000, opened.why);
     } else {
         log_.tell(events::coordinator_current);
     }
@@ -63,18 +63,19 @@
 
 http::Response Service::lease(const std::string& body) {
     const auto decoded = decode_request(body);
-    if (const auto* bad = std::get_if<Malformed>(&decoded)) return http::plain_answer(400, bad->why);
+    if (const auto* malformed = std::get_if<Malformed>(&decoded))
+        return http::plain_answer(400, malformed->why);
     const auto& request = std::get<budget::LeaseRequest>(decoded);
     const Time now = clock_.now();
     std::vector<budget::Change> changes;
     const budget::LeaseReply reply = authority_.on_request(request, now, changes);
     const bool committed = commit(changes);
-    note(request, reply, now);
+    update_refused(request, reply, now);
     if (!committed) return http::plain_answer(503, trouble_);
     if (grants_) {
         const Time until = now + budget::at_authority(reply.term, authority_.terms().drift);
         if (const int error = grants_->write(request, reply, now, until); error != 0) {
-            set_trouble(std::string("the grants' log: ") + std::strerror(error));
+            set_trouble(std::string("the grants log: ") + std::strerror(error));
             return http::plain_answer(503, trouble_);
         }
     }
@@ -82,23 +83,23 @@
     return json_answer(encode(reply));
 }
 
-// One that has stepped down does not know what the later one grants; nor does its next start.
+// An authority that has stepped down does not know the grants of its successor; nor does its next start.
 Journal::Standing Service::standing() const {
-    const Time waits = authority_.waits_until();
-    Time known_from = waits;
+    const Time waits_until = authority_.waits_until();
+    Time known_from = waits_until;
     if (authority_.stepped_down()) {
-        known_from = Time(time_most);
-    } else if (waits > Time{}) {
+        known_from = Time(max_time);
+    } else if (waits_until > Time{}) {
         const budget::Terms& terms = authority_.terms();
-        known_from = waits + budget::at_authority(terms.longest, terms.drift);
+        known_from = waits_until + budget::at_authority(terms.longest, terms.drift);
     }
     return {authority_.epoch(), known_from, longest_term_};
 }
 
 bool Service::commit(const std::vector<budget::Change>& changes) {
-    const Journal::Standing now = standing();
-    if (changes.empty() && !journal_->differs(now)) return true;
-    const store::Result result = journal_->commit(now, changes);
+    const Journal::Standing current = standing();
+    if (changes.empty() && !journal_->differs(current)) return true;
+    const store::Result result = journal_->commit(current, changes);
     if (!result) {
         set_trouble("the store: " + result.why);
         return false;
@@ -120,11 +121,11 @@
     }
 }
 
-// Each refusal is told once, and again when it changes: a process asks some times a term.
-void Service::note(const budget::LeaseRequest& request, const budget::LeaseReply& reply, Time now) {
+// Logs each refusal once, and again when its reason changes, since a process sends several requests a term.
+void Service::update_refused(const budget::LeaseRequest& request, const budget::LeaseReply& reply, Time now) {
     if (authority_.stepped_down()) {
-        if (!told_stepped_down_) log_.tell(events::coordinator_stepped_down, request.holder);
-        told_stepped_down_ = true;
+        if (!logged_stepped_down_) log_.tell(events::coordinator_stepped_down, request.holder);
+        logged_stepped_down_ = true;
         return;
     }
     const Key key{request.holder, request.instance};
@@ -132,18 +133,18 @@
         refused_.erase(key);
         return;
     }
-    if (reply.verdict == Verdict::waiting) return;  // all alike, or a doubled request
-    std::erase_if(refused_, [&](const auto& each) { return now - each.second.at > refused_kept; });
+    if (reply.verdict == Verdict::waiting) return;  // all holders wait alike, or the request is a duplicate
+    std::erase_if(refused_, [&](const auto& each) { return now - each.second.at > refused_retention; });
     const auto found = refused_.find(key);
-    const bool fresh = found == refused_.end();
-    if (fresh && refused_.size() >= refused_most) return;
-    const bool told = !fresh && found->second.verdict == reply.verdict;
+    const bool is_new = found == refused_.end();
+    if (is_new && refused_.size() >= max_refused) return;
+    const bool logged = !is_new && found->second.verdict == reply.verdict;
     Refused& refused = refused_[key];
     refused = {reply.verdict, reply.why, now};
-    if (!told) tell_refused(key, refused);
+    if (!logged) log_refused(key, refused);
 }
 
-void Service::tell_refused(const Key& key, const Refused& refused) {
+void Service::log_refused(const Key& key, const Refused& refused) {
     const auto& [holder, instance] = key;
     switch (refused.verdict) {
         case Verdict::name_taken:
@@ -158,15 +159,15 @@
     }
 }
 
-void Service::change(const budget::Terms& fresh) {
+void Service::change(const budget::Terms& updated) {
     budget::Terms terms = authority_.terms();
     std::vector<budget::Budget> budgets;
-    for (budget::Budget each : fresh.budgets) {
-        const auto had = std::find_if(terms.budgets.begin(), terms.budgets.end(),
-                                      [&](const budget::Budget& b) { return b.name == each.name; });
-        if (had != terms.budgets.end()) {
-            each.counts = had->counts;
-            each.reserve = had->reserve;
+    for (budget::Budget each : updated.budgets) {
+        const auto existing = std::find_if(terms.budgets.begin(), terms.budgets.end(),
+                                           [&](const budget::Budget& b) { return b.name == each.name; });
+        if (existing != terms.budgets.end()) {
+            each.counts = existing->counts;
+            each.reserve = existing->reserve;
         }
         budgets.push_back(std::move(each));
     }
@@ -185,12 +186,12 @@
     view.waits = std::max(authority_.waits_until() - now, Micros{0});
     view.stepped_down = authority_.stepped_down();
     view.trouble = trouble_;
-    budget::Authority::View its = authority_.view(now);
-    for (auto& sum : its.sums) {
+    budget::Authority::View authority = authority_.view(now);
+    for (auto& sum : authority.sums) {
         view.sums.push_back({std::move(sum.budget), sum.counts, sum.whole, sum.reserved, sum.counted});
     }
-    for (auto& held : its.held) {
-        if (view.held.size() == rows_most) {
+    for (auto& held : authority.held) {
+        if (view.held.size() == max_rows) {
             ++view.left_out;
             continue;
         }
@@ -199,7 +200,7 @@
                              held.until > Time{} ? held.until - now : Micros{0}, std::string(held.why)});
     }
     for (const auto& [key, refused] : refused_) {
-        if (now - refused.at > refused_kept) continue;
+        if (now - refused.at > refused_retention) continue;
         view.refused.push_back({key.first, key.second, refused.verdict, refused.why, now - refused.at});
     }
     return view;
--- a/src/coordinator/service.h
+++ b/src/coordinator/service.h
@@ -1,13 +1,13 @@
 // The authority as an HTTP service: POST /v1/leases, GET /v1/budgets, GET /ready (docs/design/budget.md, "On the wire").
 //
-// A request is answered in the call: decided, committed (journal.h), shown by the witness, then worded. So a commit holds up
-// the loop for as long as it takes, and one comes after the other; the process does nothing else. What could not be
-// committed is answered with 503: what was granted stays counted until its end.
+// A request is answered synchronously: the authority decides, the journal commits and updates the witness (journal.h), then
+// the reply is encoded. A commit blocks the event loop and commits are serialized; the process has no other work. A request
+// that could not be committed is answered with 503; its grant counts until it ends.
 //
-// Threading: the loop's one thread.   Ownership: clock, log and grants' log are borrowed and outlive it.
-// Time:      the clock must go on over a restart of the process and count while it is paused (CLOCK_BOOTTIME).
-// Errors:    the constructor and change() throw std::invalid_argument for terms that contradict themselves.
-// Bounds:    `refused_most` refused processes are remembered, for a minute.
+// Threading: the event loop's thread.   Ownership: the clock, the log and the grants log are borrowed and outlive the service.
+// Time:      the clock must continue over a restart of the process and advance while it is suspended (CLOCK_BOOTTIME).
+// Errors:    the constructor and change() throw std::invalid_argument for inconsistent terms.
+// Bounds:    at most `max_refused` refused processes are remembered, each for a minute.
 #pragma once
 
 #include <map>
@@ -25,26 +25,27 @@
 
 class Service final : public http::Handler {
 public:
-    static constexpr std::size_t refused_most = 256;
-    static constexpr Micros refused_kept = std::chrono::minutes(1);
+    static constexpr std::size_t max_refused = 256;
+    static constexpr Micros refused_retention = std::chrono::minutes(1);
 
-    // `opened` has a journal. `grants` may be null.
+    // Requires that `opened` holds a journal. `grants` may be null.
     Service(budget::Terms terms, Journal::Opened opened, const core::Clock& clock, core::Log& log,
             GrantsLog* grants);
 
     std::variant<Answer, Ask> on_request(http::Request message, const From& from) override;
-    // Nothing is handed to the core.
+    // Not called, since no request is passed to the core.
     http::Response on_final(core::Final final, http::Asked* asked) override;
     Answer on_not_taken(core::Taken taken, http::Asked* asked) override;
 
-    // New wholes, and budgets that come and go. Balancers have the rest from their own start: term, drift, number of
-    // balancers, deadline, reserves and what a budget counts stay as they are. Then nothing has changed if it throws.
+    // Applies changed wholes and added or removed budgets. Balancers read all other settings at their own start: lease term,
+    // clock drift, number of balancers, attempt duration, reserves and what a budget counts stay unchanged. If it throws, nothing
+    // has changed.
     void change(const budget::Terms& fresh);
     const budget::Terms& terms() const { return authority_.terms(); }
 
     [[nodiscard]] View view() const;
     [[nodiscard]] bool ready() const;
-    // Background work of the store, a bounded step; false: there is none.
+    // Performs one bounded step of the store's background work. Returns false if none is left.
     bool tidy() { return journal_->tidy(); }
 
 private:
@@ -57,10 +58,10 @@
 
     http::Response lease(const std::string& body);
     Journal::Standing standing() const;
-    // False: nothing may go out.
+    // Returns false if the reply must not be sent.
     bool commit(const std::vector<budget::Change>& changes);
-    void note(const budget::LeaseRequest& request, const budget::LeaseReply& reply, Time now);
-    void tell_refused(const Key& key, const Refused& refused);
+    void update_refused(const budget::LeaseRequest& request, const budget::LeaseReply& reply, Time now);
+    void log_refused(const Key& key, const Refused& refused);
     void set_trouble(std::string trouble);
 
     const core::Clock& clock_;
@@ -69,9 +70,9 @@
     const std::unique_ptr<Journal> journal_;
     budget::Authority authority_;
     Micros longest_term_;
-    std::string trouble_;  // why what was granted can't be committed
+    std::string trouble_;  // why grants can't be committed; empty if they can
     std::string witness_trouble_;
-    bool told_stepped_down_ = false;
+    bool logged_stepped_down_ = false;
     std::map<Key, Refused> refused_;
 };
 
--- a/src/coordinator/terms.h
+++ b/src/coordinator/terms.h
@@ -1,7 +1,7 @@
-// The operator's file as the terms of its budgets: the same for the coordinator and for balancers.
+// Converts the operator's settings into the budgets' configuration. The coordinator and the balancers use the same one.
 //
-// Pure function; any thread.   Errors: none; the file has been checked (settings/tables/budget.h). Without [budget] asking
-//                              is a fault of the program: std::logic_error.
+// Threading: pure function.   Errors: none from the settings, which have been checked (settings/tables/budget.h). Requires a
+//            [budget] table; std::logic_error otherwise.
 #pragma once
 
 #include "budget/terms.h"
@@ -9,6 +9,6 @@
 
 namespace flaxdoor::coordinator {
 
-[[nodiscard]] budget::Terms terms_of(const settings::Values& operators);
+[[nodiscard]] budget::Terms terms_of(const settings::Values& values);
 
 }  // namespace flaxdoor::coordinator
--- a/src/coordinator/wire.cpp
+++ b/src/coordinator/wire.cpp
@@ -19,9 +19,9 @@
                                   Verdict::stepped_down, Verdict::too_many, Verdict::clock_off,
                                   Verdict::at_odds};
 
-// Cut between characters.
-std::string short_why(std::string_view why) {
-    std::size_t size = std::min(why.size(), why_most);
+// Truncates a reason at a character boundary.
+std::string truncated_reason(std::string_view why) {
+    std::size_t size = std::min(why.size(), max_reason_size);
     while (size > 0 && size < why.size() && (static_cast<unsigned char>(why[size]) & 0xC0) == 0x80) --size;
     return std::string(why.substr(0, size));
 }
@@ -29,9 +29,9 @@
 }  // namespace
 
 bool valid_name(std::string_view name) {
-    return !name.empty() && name.size() <= name_most && std::none_of(name.begin(), name.end(), [](char c) {
-        return static_cast<unsigned char>(c) < 0x20 || c == 0x7F;
-    });
+    return !name.empty() && name.size() <= max_name_size &&
+           std::none_of(name.begin(), name.end(),
+                        [](char c) { return static_cast<unsigned char>(c) < 0x20 || c == 0x7F; });
 }
 
 std::string_view text_of(Counts counts) {
@@ -74,14 +74,14 @@
                                             request.epoch = in.number("epoch");
                                             request.clock = in.time("clock_us");
                                             request.leaving = in.flag("leaving");
-                                            in.each("needs", needs_most, [&](const Fields& each) {
+                                            in.for_each("needs", max_needs, [&](const Fields& each) {
                                                 budget::Need need;
                                                 need.budget = each.name("budget");
                                                 need.counts = each.one_of("counts", all_counts);
                                                 need.wants = each.amount("wants");
                                                 need.leased = each.amount("leased");
                                                 need.reserve = each.amount("reserve");
-                                                need.in_use = each.integer("in_use", 0, size_most);
+                                                need.in_use = each.integer("in_use", 0, max_size);
                                                 request.needs.push_back(std::move(need));
                                             });
                                         });
@@ -93,7 +93,7 @@
         grants.push_back({{"budget", grant.budget}, {"share", json_of(grant.share)}});
     }
     return text_of_json({{"verdict", text_of(reply.verdict)},
-                         {"why", short_why(reply.why)},
+                         {"why", truncated_reason(reply.why)},
                          {"number", reply.number},
                          {"epoch", reply.epoch},
                          {"seq", reply.seq},
@@ -113,7 +113,7 @@
         reply.term = in.span("term_us");
         reply.again = in.span("again_us");
         reply.gap = in.span("gap_us");
-        in.each("grants", needs_most, [&](const Fields& each) {
+        in.for_each("grants", max_needs, [&](const Fields& each) {
             reply.grants.push_back({each.name("budget"), each.amount("share")});
         });
     });
@@ -137,19 +137,19 @@
                         {"wants", json_of(each.wants)},
                         {"in_use", each.in_use},
                         {"left_us", each.left.count()},
-                        {"why", short_why(each.why)}});
+                        {"why", truncated_reason(each.why)}});
     }
     for (const View::Refused& each : view.refused) {
         refused.push_back({{"holder", each.holder},
                            {"instance", each.instance},
                            {"verdict", text_of(each.verdict)},
-                           {"why", short_why(each.why)},
+                           {"why", truncated_reason(each.why)},
                            {"ago_us", each.ago.count()}});
     }
     return text_of_json({{"epoch", view.epoch},
                          {"waits_us", view.waits.count()},
                          {"stepped_down", view.stepped_down},
-                         {"trouble", short_why(view.trouble)},
+                         {"trouble", truncated_reason(view.trouble)},
                          {"budgets", std::move(sums)},
                          {"held", std::move(held)},
                          {"refused", std::move(refused)},
@@ -159,23 +159,23 @@
 std::variant<View, Malformed> decode_view(std::string_view text) {
     return decode<View>(text, view_most, [](const Fields& in, View& view) {
         view.epoch = in.number("epoch");
-        view.waits = Micros(in.integer("waits_us", 0, time_most));
+        view.waits = Micros(in.integer("waits_us", 0, max_time));
         view.stepped_down = in.flag("stepped_down");
         view.trouble = in.why("trouble");
-        in.each("budgets", rows_most, [&](const Fields& each) {
+        in.for_each("budgets", max_rows, [&](const Fields& each) {
             view.sums.push_back({each.name("budget"), each.one_of("counts", all_counts), each.amount("whole"),
-                                 each.amount("reserved", rows_most), each.amount("counted", rows_most)});
+                                 each.amount("reserved", max_rows), each.amount("counted", max_rows)});
         });
-        in.each("held", rows_most, [&](const Fields& each) {
+        in.for_each("held", max_rows, [&](const Fields& each) {
             view.held.push_back({each.name("budget"), each.name("holder"), each.name("instance"),
                                  each.amount("counted"), each.amount("share"), each.amount("wants"),
-                                 each.integer("in_use", 0, size_most),
-                                 Micros(each.integer("left_us", -time_most, time_most)), each.why("why")});
+                                 each.integer("in_use", 0, max_size),
+                                 Micros(each.integer("left_us", -max_time, max_time)), each.why("why")});
         });
-        in.each("refused", rows_most, [&](const Fields& each) {
+        in.for_each("refused", max_rows, [&](const Fields& each) {
             view.refused.push_back({each.name("holder"), each.name("instance"),
                                     each.one_of("verdict", all_verdicts), each.why("why"),
-                                    Micros(each.integer("ago_us", 0, time_most))});
+                                    Micros(each.integer("ago_us", 0, max_time))});
         });
         view.left_out = in.number("left_out");
     });
--- a/src/coordinator/wire.h
+++ b/src/coordinator/wire.h
@@ -1,9 +1,9 @@
-// What holders and the authority say to each other, as JSON text (docs/design/budget.md, "On the wire"). Texts come from
-// anywhere: whatever they are, they give a value or a reason.
+// JSON encoding of the messages between lease holders and the authority (docs/design/budget.md, "On the wire"). Input is
+// untrusted: any text decodes to a value or to a reason.
 //
-// Threading: plain functions.   Errors: a reason names the field; nothing is thrown but std::bad_alloc.
-// Units:     amounts as budget/terms.h; times and spans in microseconds (`..._us`).
-// Bounds:    below. What is beyond them is malformed; unknown fields are passed over, missing ones are malformed.
+// Threading: pure functions.   Errors: a reason names the field; only std::bad_alloc is thrown.
+// Units:     amounts as in budget/terms.h; times and time spans in microseconds (`..._us`).
+// Bounds:    below. A message that exceeds one is malformed. Unknown fields are ignored; missing fields are malformed.
 #pragma once
 
 #include <cstddef>
@@ -20,22 +20,25 @@
 
 inline constexpr std::size_t message_most = 64 * 1024;  // bytes of a request or a reply
 inline constexpr std::size_t view_most = 16 * 1024 * 1024;
-inline constexpr std::size_t name_most = 64;  // bytes of a holder's, an instance's or a budget's name
-inline constexpr std::size_t why_most = 256;  // bytes of a reason; what is longer is cut where it is written
-inline constexpr std::size_t needs_most = 256;
-inline constexpr std::size_t rows_most = 20'000;                      // of a view's holders
-inline constexpr std::int64_t rate_most = 1'000'000'000;              // thousandths of a permit a second
-inline constexpr std::int64_t size_most = 1'000'000;                  // permits, places
-inline constexpr std::uint64_t number_most = std::uint64_t{1} << 62;  // numbers, epochs, sequences
-inline constexpr std::int64_t time_most = std::int64_t{1} << 62;      // microseconds
-inline constexpr Micros span_most = std::chrono::hours(24);
+inline constexpr std::size_t max_name_size = 64;  // bytes of a holder's, an instance's or a budget's name
+inline constexpr std::size_t max_reason_size =
+    256;  // bytes of a reason; a longer one is truncated when encoded
+inline constexpr std::size_t max_needs = 256;
+inline constexpr std::size_t max_rows = 20'000;          // of a view's lists
+inline constexpr std::int64_t max_rate = 1'000'000'000;  // thousandths of a permit a second
+inline constexpr std::int64_t max_size = 1'000'000;      // permits
+inline constexpr std::uint64_t max_number = std::uint64_t{1}
+                                            << 62;               // request numbers, epochs, sequence numbers
+inline constexpr std::int64_t max_time = std::int64_t{1} << 62;  // microseconds
+inline constexpr Micros max_span = std::chrono::hours(24);
 
-// What is wrong, in words for whoever sent it: "needs[2].wants[0]: above 1000000000".
+// Why a message was rejected, for its sender: "needs[2].wants[0]: above 1000000000".
 struct Malformed {
     std::string why;
 };
 
-// Of a name: not empty, within name_most, UTF-8, and no control characters, since names go into lines of logs.
+// Returns true if the name is not empty, has at most max_name_size bytes and no control characters, since names are written to
+// log lines. Names are UTF-8; decoding JSON rejects other text.
 [[nodiscard]] bool valid_name(std::string_view name);
 
 [[nodiscard]] std::string_view text_of(budget::Counts counts);
@@ -45,7 +48,7 @@
 [[nodiscard]] std::string encode(const budget::LeaseReply& reply);
 [[nodiscard]] std::variant<budget::LeaseReply, Malformed> decode_reply(std::string_view text);
 
-// The authority's view, as GET /v1/budgets tells it. Spans count from when it was made.
+// The authority's state as GET /v1/budgets returns it. Time spans are relative to when the view was made.
 struct View {
     struct Sum {
         std::string budget;
@@ -56,10 +59,10 @@
         std::string budget, holder, instance;
         budget::Amount counted, share, wants;
         std::int64_t in_use = 0;
-        Micros left{};    // of the last grant; negative: it has ended; zero: there was none
-        std::string why;  // counted beyond the share
+        Micros left{};  // remaining time of the last grant; negative if it has ended, zero if there was none
+        std::string why;  // why more than the share is counted
     };
-    // Processes that were told no, and have not been granted anything since.
+    // Processes that were refused and have not been granted a lease since.
     struct Refused {
         std::string holder, instance;
         budget::Verdict verdict = budget::Verdict::waiting;
@@ -67,13 +70,13 @@
         Micros ago{};
     };
     std::uint64_t epoch = 0;
-    Micros waits{};  // until it may grant; zero: it may
+    Micros waits{};  // remaining time until the authority may grant leases; zero if it may
     bool stepped_down = false;
-    std::string trouble;  // the journal's, while it can't be written
+    std::string trouble;  // why the journal can't be written; empty if it can
     std::vector<Sum> sums;
     std::vector<Held> held;
     std::vector<Refused> refused;
-    std::uint64_t left_out = 0;  // rows of `held` beyond rows_most
+    std::uint64_t left_out = 0;  // rows of `held` that exceed max_rows
 };
 [[nodiscard]] std::string encode(const View& view);
 [[nodiscard]] std::variant<View, Malformed> decode_view(std::string_view text);
--- a/tests/budget/admission_test.cpp
+++ b/tests/budget/admission_test.cpp
@@ -1,5 +1,5 @@
-// Budgets at a real core, with a back made by hand, under virtual time: who gets a permit, when it is used, and what becomes
-// of a call that has none. In all of them nothing may be set aside or in use once every call is over.
+// Tests of the budgets at a real core with a fake back, in virtual time: which calls get a permit, when it is committed, and how
+// a call without one ends. After every test, no permit may be reserved or in use once all calls have ended.
 #include "budget/admission.h"
 
 #include <gtest/gtest.h>
@@ -18,8 +18,8 @@
 using core::Taken;
 using core::Verdict;
 
-// The machine's own clock: the core's, which a pause moves while the core's alarm is not served.
-struct Follows final : core::Clock {
+// The holder's clock: reads the core's clock, which a simulated suspension advances without serving the core's alarm.
+struct CoreClockView final : core::Clock {
     Time now() const override { return of ? of->now() : FakeClock().at; }
     const core::Clock* of = nullptr;
 };
@@ -34,15 +34,15 @@
 constexpr Amount per_second(std::int64_t rate, std::int64_t size) { return {rate * 1000, size}; }
 constexpr Amount places(std::int64_t size) { return {0, size}; }
 
-// Made ahead of the core.
+// Base class of World, so that it is constructed before the core.
 struct Fleet {
     explicit Fleet(Terms terms)
         : holder({std::move(terms), "n1", "1", 1}, clock.now()),
-          admission(holder, clock, [this] { ++wanted; }) {}
-    Follows clock;
+          admission(holder, clock, [this] { ++refusals; }) {}
+    CoreClockView clock;
     Holder holder;
     Admission admission;
-    int wanted = 0;
+    int refusals = 0;
 };
 
 core::Options options_with(core::Admission& admission) {
@@ -57,26 +57,25 @@
     return terms;
 }
 
-Settings platform() {
+Settings platform_settings() {
     Settings s = plain_settings();
     s.tenants = {{"a", 0, 0}, {"b", 0, 0}};
     s.retry_after = true;
     s.max_retry_after = std::chrono::seconds(30);
-    s.report_fields = {ReportField::in_flight};  // where answers tell the load there are copies
+    s.report_fields = {ReportField::in_flight};  // the module hedges only if answers report the load
     s.reports = ReportSource::answers;
     return s;
 }
 
-// One pool "pool" of four upstreams, and this holder alone in the fleet.
+// One pool named "pool" of four upstreams, and a single holder in the fleet.
 struct World : Fleet, Stage {
-    explicit World(std::vector<Budget> budgets, Settings settings = platform())
+    explicit World(std::vector<Budget> budgets, Settings settings = platform_settings())
         : Fleet(terms_of(std::move(budgets))), Stage(options_with(admission)), back(make_back()) {
         Fleet::clock.of = &(Stage::clock);
         pool = add(*back, std::move(settings));
         fleet(pool, 4);
         lease();
-        // A share begins empty.
-        // A share begins empty, and fills by as much slower as this clock may be too fast.
+        // A share starts empty, and fills more slowly by the drift bound of the clock.
         pass(ms(1100));
     }
     ~World() override {
@@ -85,12 +84,12 @@
         back->gone = true;
         EXPECT_EQ(core->figures().open, 0u);
         EXPECT_EQ(core->figures().faults, 0u);
-        const Time later = now() + at_authority(holder.terms().longest, holder.terms().drift);
-        for (std::size_t i = 0; i < holder.size(); ++i) EXPECT_EQ(holder.at(i).in_use(later), 0) << i;
+        const Time all_ended = now() + at_authority(holder.terms().longest, holder.terms().drift);
+        for (std::size_t i = 0; i < holder.size(); ++i) EXPECT_EQ(holder.at(i).in_use(all_ended), 0) << i;
     }
 
     Time now() const { return Stage::clock.at; }
-    // All of every budget, for so long.
+    // Leases the whole of every budget for `term`.
     void lease(Micros term = std::chrono::hours(1)) {
         std::vector<Amount> shares;
         for (const Budget& each : holder.terms().budgets) shares.push_back(each.whole);
@@ -106,35 +105,35 @@
             reply.grants.push_back({holder.terms().budgets[i].name, shares[i]});
         holder.on_reply(reply, now());
     }
-    // Taken, and either sent or answered at once.
-    void come(std::uint64_t token, int class_index = safe, int tenant = 0) {
+    // Submits a call, which the core accepts and either sends or answers at once.
+    void submit(std::uint64_t token, int class_index = safe, int tenant = 0) {
         core::Call c = call(pool, class_index);
         c.tenant = {core::Tenant::Kind::known, tenant};
         EXPECT_EQ(take(std::move(c), token), Taken::yes);
     }
-    // A call that is late by what the module has seen.
-    core::AttemptKey late(std::uint64_t token) {
+    // Starts a call after enough fast ones that the module regards it as late. Returns its attempt.
+    core::AttemptKey start_late_call(std::uint64_t token) {
         for (std::uint64_t other = 100; other < 140; ++other) {
-            come(other);
+            submit(other);
             pass(ms(5));
-            back->answer(last());
+            back->answer(last_attempt());
         }
-        come(token);
-        return last();
+        submit(token);
+        return last_attempt();
     }
-    // The copy that the module sends meanwhile, while something is heard of the other upstreams.
-    std::optional<core::AttemptKey> copy_of(core::AttemptKey first) {
+    // Waits for the hedged attempt that the module starts, while other calls yield reports of the other upstreams.
+    std::optional<core::AttemptKey> wait_for_hedge(core::AttemptKey first) {
         for (std::uint64_t other = 200; other < 300; ++other) {
             pass(ms(2));
             for (const auto& key : back->out) {
                 if (key.call == first.call && key.number > 0) return key;
             }
-            come(other);
-            back->answer(last());
+            submit(other);
+            back->answer(last_attempt());
         }
         return std::nullopt;
     }
-    core::AttemptKey last() const { return back->sent.back().key; }
+    core::AttemptKey last_attempt() const { return back->sent.back().key; }
     std::int64_t in_use(std::size_t budget = 0) { return holder.at(budget).in_use(now()); }
     void expect_final(std::uint64_t token, Verdict verdict, Cause cause) {
         EXPECT_EQ(front.finals(token), 1u) << token;
@@ -147,16 +146,16 @@
     std::uint64_t seq = 0;
 };
 
-// --------------------------------------------------------------------------------------------- what counts
+// ------------------------------------------------------------------------------------------- what is counted
 
-// A call whose first attempt is turned away and whose second is answered, until there is no permit. Which call is denied, and
-// whether at its first attempt or at its second.
+// Four calls whose first attempt is rejected and whose second one is answered, until no permit is left. Shows which call is
+// refused, and whether at its first or its second attempt.
 TEST(BudgetAdmission, WhatTakesAPermit) {
     struct Case {
         Counts counts;
         Amount whole;
         std::size_t served;  // calls
-        std::size_t sent;    // attempts, in all
+        std::size_t sent;    // attempts in total
     };
     const Case cases[] = {
         {Counts::requests, per_second(0, 3), 3, 6},
@@ -167,14 +166,14 @@
     for (const Case& each : cases) {
         SCOPED_TRACE(static_cast<int>(each.counts));
         World world({budget_of("a", each.counts, each.whole)});
-        // Tokens as many as fit, and then no rate.
+        // Fills the bucket, then sets the rate to zero.
         if (each.counts != Counts::concurrency) {
             world.lease({per_second(1000, each.whole.size)}, std::chrono::hours(1));
             world.pass(std::chrono::seconds(1));
             world.lease({each.whole}, std::chrono::hours(1));
         }
         for (std::uint64_t token = 1; token <= 4; ++token) {
-            world.come(token);
+            world.submit(token);
             while (world.front.finals(token) == 0) {
                 ASSERT_FALSE(world.back->out.empty());
                 const auto key = *world.back->out.begin();
@@ -189,7 +188,7 @@
     }
 }
 
-TEST(BudgetAdmission, OnlyWhatFallsUnderIt) {
+TEST(BudgetAdmission, AppliesOnlyToMatchingCalls) {
     struct Case {
         const char *tenant, *of_class, *pool;
         std::set<std::uint64_t> refused;  // of four calls: tenant 0 and 1, each safe and unsafe
@@ -208,29 +207,29 @@
         world.holder.at(0).end_lease(world.now());
         std::set<std::uint64_t> refused;
         for (std::uint64_t token = 1; token <= 4; ++token) {
-            world.come(token, token % 2 ? safe : unsafe, token > 2);
+            world.submit(token, token % 2 ? safe : unsafe, token > 2);
             if (world.front.finals(token)) refused.insert(token);
         }
         EXPECT_EQ(refused, each.refused) << each.tenant << "/" << each.of_class << "/" << each.pool;
         EXPECT_EQ(world.admission.figures()[0].refused, each.refused.size());
-        EXPECT_EQ(world.wanted, static_cast<int>(each.refused.size()));
+        EXPECT_EQ(world.refusals, static_cast<int>(each.refused.size()));
     }
 }
 
-TEST(BudgetAdmission, OfTwoBudgetsTheSecondLacks) {
+TEST(BudgetAdmission, RefusalByOneBudgetReleasesTheOthers) {
     World world({budget_of("a", Counts::requests, per_second(1, 2)),
                  budget_of("b", Counts::concurrency, places(1)),
                  budget_of("c", Counts::requests, per_second(1, 1))});
     world.pass(std::chrono::seconds(2));
-    world.come(1);
-    world.back->begin(world.last());
-    world.come(2);
+    world.submit(1);
+    world.back->begin(world.last_attempt());
+    world.submit(2);
     world.expect_final(2, Verdict::refused, Cause::over_budget);
-    EXPECT_EQ(world.in_use(0), 0) << "given back";
-    world.back->answer(world.last());
+    EXPECT_EQ(world.in_use(0), 0) << "released";
+    world.back->answer(world.last_attempt());
     world.expect_final(1, Verdict::served, Cause::none);
-    // The third has none; the first has had its permit back, the second its place.
-    world.come(3);
+    // The third budget has no permit left; the first and the second have theirs back.
+    world.submit(3);
     world.expect_final(3, Verdict::refused, Cause::over_budget);
     EXPECT_GT(world.front.of(3)->answer.retry_after, Micros{0});
     EXPECT_EQ(world.in_use(1), 0);
@@ -238,17 +237,17 @@
     EXPECT_EQ(world.admission.figures()[2].refused, 1u);
 }
 
-// -------------------------------------------------------------------------------- between admission and first byte
+// ------------------------------------------------------------------------- between admission and the first byte
 
-// Its connection comes up after the lease has ended, be it by a pause or by waiting: nothing goes out.
-TEST(BudgetAdmission, APermitThatEndsBeforeTheFirstByte) {
+// The connection is established after the lease has ended, by a suspension or by waiting: nothing is sent.
+TEST(BudgetAdmission, PermitRevokedBeforeTheFirstByte) {
     for (const Counts counts : {Counts::requests, Counts::attempts, Counts::concurrency}) {
         for (const bool paused : {false, true}) {
             World world(
                 {budget_of("a", counts, counts == Counts::concurrency ? places(1) : per_second(1, 1))});
             world.lease(ms(300));
-            world.come(1, unsafe);
-            const auto key = world.last();
+            world.submit(1, unsafe);
+            const auto key = world.last_attempt();
             if (paused) {
                 world.Stage::clock.at += ms(301);
             } else {
@@ -264,67 +263,68 @@
     }
 }
 
-// One of two has lapsed: what was used of the other stays used, its place does not.
-TEST(BudgetAdmission, APlaceIsFreeWhereAnotherPermitHasLapsed) {
-    for (const bool place_lapses : {false, true}) {
+// One of two permits has been revoked: the other one stays committed, but a concurrency permit is freed.
+TEST(BudgetAdmission, ConcurrencyPermitIsFreedIfAnotherPermitWasRevoked) {
+    for (const bool concurrency_revoked : {false, true}) {
         World world({budget_of("a", Counts::concurrency, places(2)),
                      budget_of("b", Counts::attempts, per_second(9, 9))});
-        world.come(1);
-        const auto first = world.last();
+        world.submit(1);
+        const auto first = world.last_attempt();
         world.back->begin(first);
-        world.come(2);
-        const auto key = world.last();
-        world.lease(place_lapses ? std::vector{places(1), per_second(9, 9)}
-                                 : std::vector{places(2), per_second(9, 0)},
+        world.submit(2);
+        const auto key = world.last_attempt();
+        world.lease(concurrency_revoked ? std::vector{places(1), per_second(9, 9)}
+                                        : std::vector{places(2), per_second(9, 0)},
                     std::chrono::hours(1));
         EXPECT_FALSE(world.core->on_attempt_sending(key));
         world.back->end(key, Outcome::moot);
         world.expect_final(2, Verdict::refused, Cause::over_budget);
-        EXPECT_EQ(world.in_use(0), 1) << "the first one's";
+        EXPECT_EQ(world.in_use(0), 1) << "the first call's";
         world.back->answer(first);
         EXPECT_EQ(world.in_use(0), 0);
     }
 }
 
-// An attempt that never began leaves its permit to the next.
-TEST(BudgetAdmission, WhatNeverBeganNeedsNoOther) {
+// An attempt that never began leaves its permit to the next attempt.
+TEST(BudgetAdmission, FailedConnectLeavesThePermitToTheRetry) {
     World world({budget_of("a", Counts::requests, per_second(0, 1)),
                  budget_of("b", Counts::attempts, per_second(0, 1))});
     world.lease({per_second(1000, 1), per_second(1000, 1)}, std::chrono::hours(1));
     world.pass(ms(10));
     world.lease({per_second(0, 1), per_second(0, 1)}, std::chrono::hours(1));
-    world.come(1);
-    world.back->end(world.last(), Outcome::connect_failed);
+    world.submit(1);
+    world.back->end(world.last_attempt(), Outcome::connect_failed);
     world.pass(ms(20));
     ASSERT_EQ(world.back->sent.size(), 2u);
-    world.back->answer(world.last());
+    world.back->answer(world.last_attempt());
     world.expect_final(1, Verdict::served, Cause::none);
-    world.come(2);
+    world.submit(2);
     world.expect_final(2, Verdict::refused, Cause::over_budget);
 }
 
-TEST(BudgetAdmission, AFrontThatDoesNotWantItAnyMore) {
-    struct Unwilling final : core::Front {
+TEST(BudgetAdmission, FrontThatDeclinesToSend) {
+    struct DecliningFront final : core::Front {
         bool on_sending(std::uint64_t) override { return false; }
         void on_started(std::uint64_t, std::unique_ptr<core::Payload>) override {}
         void on_final(std::uint64_t, core::Final) override {}
-    } unwilling;
+    } declining;
     World world({budget_of("a", Counts::concurrency, places(1))});
     core::CallId id = 0;
     core::Call c = world.call(world.pool, safe);
     c.payload = std::make_shared<core::test::Ticket>(1);
-    ASSERT_EQ(world.core->take(std::move(c), unwilling, 1, &id), Taken::yes);
+    ASSERT_EQ(world.core->take(std::move(c), declining, 1, &id), Taken::yes);
     EXPECT_EQ(world.in_use(), 1);
-    EXPECT_FALSE(world.core->on_attempt_sending(world.last()));
+    EXPECT_FALSE(world.core->on_attempt_sending(world.last_attempt()));
     EXPECT_EQ(world.in_use(), 0);
     world.core->leave(id);
-    world.back->end(world.last(), Outcome::moot);
+    world.back->end(world.last_attempt(), Outcome::moot);
 }
 
-// ------------------------------------------------------------------------------------------ a further attempt
+// ------------------------------------------------------------------------------------------- later attempts
 
-// With no permit left, by what the first attempt came to: what may have run is not called refused.
-TEST(BudgetAdmission, AFurtherAttemptThatIsDenied) {
+// No permit is left for a later attempt. The call's end depends on the first attempt: a call that may have executed does not
+// end as refused.
+TEST(BudgetAdmission, RefusedRetry) {
     struct Case {
         int class_index;
         Outcome first;
@@ -342,14 +342,14 @@
         SCOPED_TRACE(static_cast<int>(each.first) * 10 + each.class_index);
         World world({budget_of("a", Counts::retries, per_second(1, 1))});
         world.holder.at(0).end_lease(world.now());
-        world.come(1, each.class_index);
-        world.back->answer(world.last(), each.first);
+        world.submit(1, each.class_index);
+        world.back->answer(world.last_attempt(), each.first);
         for (int i = 0; i < 50 && world.front.finals(1) == 0; ++i) world.pass(ms(10));
         EXPECT_EQ(world.back->sent.size(), 1u);
         EXPECT_EQ(world.front.finals(1), 1u);
         EXPECT_EQ(world.front.of(1)->answer.verdict, each.verdict);
         EXPECT_EQ(world.front.of(1)->answer.may_have_run, each.verdict == Verdict::failed);
-        // The module itself ends an unsafe one that may have run.
+        // The module itself ends an unsafe call that may have executed.
         if (each.class_index == safe) {
             EXPECT_STREQ(core::text_of(world.front.of(1)->answer.cause), core::text_of(each.cause));
             EXPECT_GT(world.admission.figures()[0].refused, 0u);
@@ -360,21 +360,21 @@
     }
 }
 
-// Guards against a copy that has no permit and takes the call with it, whose first attempt would be answered.
-TEST(BudgetAdmission, ACopyThatIsDeniedLeavesTheOtherToGoOn) {
-    for (const bool lapses : {false, true}) {
+// Guards against a hedged attempt without a permit that ends its call although the first attempt would be answered.
+TEST(BudgetAdmission, RefusedHedgeLeavesTheFirstAttemptRunning) {
+    for (const bool revoked : {false, true}) {
         World world({budget_of("a", Counts::retries, per_second(1000, 100))});
-        const auto first = world.late(1);
+        const auto first = world.start_late_call(1);
         world.back->begin(first);
-        if (!lapses) world.holder.at(0).end_lease(world.now());
-        const auto copy = world.copy_of(first);
-        EXPECT_EQ(copy.has_value(), lapses);
-        if (copy) {
+        if (!revoked) world.holder.at(0).end_lease(world.now());
+        const auto hedge = world.wait_for_hedge(first);
+        EXPECT_EQ(hedge.has_value(), revoked);
+        if (hedge) {
             world.holder.at(0).end_lease(world.now());
-            EXPECT_FALSE(world.core->on_attempt_sending(*copy));
-            world.back->end(*copy, Outcome::moot);
+            EXPECT_FALSE(world.core->on_attempt_sending(*hedge));
+            world.back->end(*hedge, Outcome::moot);
         } else {
-            EXPECT_GT(world.admission.figures()[0].refused, 0u) << "a copy was wanted";
+            EXPECT_GT(world.admission.figures()[0].refused, 0u) << "a hedge was wanted";
         }
         ASSERT_EQ(world.front.finals(1), 0u);
         world.back->answer(first);
@@ -382,23 +382,23 @@
     }
 }
 
-// Guards against two attempts that wait for their connections and have one permit between them.
-TEST(BudgetAdmission, ACopyNeedsAPermitOfItsOwn) {
+// Guards against two attempts that wait for connections and share one permit.
+TEST(BudgetAdmission, HedgeNeedsItsOwnPermit) {
     World world({budget_of("a", Counts::attempts, per_second(100'000, 10'000))});
-    const auto first = world.late(1);
-    const auto copy = world.copy_of(first);
-    ASSERT_TRUE(copy);
+    const auto first = world.start_late_call(1);
+    const auto hedge = world.wait_for_hedge(first);
+    ASSERT_TRUE(hedge);
     EXPECT_EQ(world.in_use(), 2);
-    EXPECT_TRUE(world.core->on_attempt_sending(*copy)) << "whichever begins first";
+    EXPECT_TRUE(world.core->on_attempt_sending(*hedge)) << "whichever attempt begins first";
     EXPECT_TRUE(world.core->on_attempt_sending(first));
-    world.back->answer(*copy);
+    world.back->answer(*hedge);
     world.expect_final(1, Verdict::served, Cause::none);
 }
 
-// -------------------------------------------------------------------------------------------------- places
+// --------------------------------------------------------------------------------------------- concurrency
 
-// A place is free with the attempt's end, unless that is not known at its server.
-TEST(BudgetAdmission, AnEndThatIsNotKnownKeepsItsPlace) {
+// A concurrency permit is freed when its attempt ends, unless the upstream may still be working on it.
+TEST(BudgetAdmission, UnknownEndKeepsTheConcurrencyPermit) {
     struct Case {
         const char* what;
         std::function<void(World&, core::AttemptKey)> end;
@@ -407,36 +407,37 @@
     const Case cases[] = {
         {"answered", [](World& w, auto key) { w.back->answer(key); }, false},
         {"an error", [](World& w, auto key) { w.back->answer(key, Outcome::error); }, false},
-        {"turned away", [](World& w, auto key) { w.back->answer(key, Outcome::full); }, false},
-        {"broken", [](World& w, auto key) { w.back->answer(key, Outcome::reset); }, true},
+        {"rejected", [](World& w, auto key) { w.back->answer(key, Outcome::full); }, false},
+        {"connection reset", [](World& w, auto key) { w.back->answer(key, Outcome::reset); }, true},
         {"timed out", [](World& w, auto key) { w.back->begin(key), w.pass(std::chrono::seconds(2)); }, true},
-        {"left before its first byte", [](World& w, auto) { w.core->leave(w.last_id); }, false},
-        {"left with a part sent", [](World& w, auto key) { w.back->begin(key), w.core->leave(w.last_id); },
-         false},
-        {"left with all sent",
+        {"client left before the first byte", [](World& w, auto) { w.core->leave(w.last_id); }, false},
+        {"client left with a part sent",
+         [](World& w, auto key) { w.back->begin(key), w.core->leave(w.last_id); }, false},
+        {"client left with all sent",
          [](World& w, auto key) { w.back->begin(key), w.back->whole.insert(key), w.core->leave(w.last_id); },
          true},
     };
     for (const Case& each : cases) {
-        Settings one_attempt = platform();
+        Settings one_attempt = platform_settings();
         one_attempt.max_attempts = 1;
         World world({budget_of("a", Counts::concurrency, places(1))}, one_attempt);
-        world.come(1, unsafe);
+        world.submit(1, unsafe);
         const Time began = world.now();
         EXPECT_EQ(world.in_use(), 1) << each.what;
-        each.end(world, world.last());
+        each.end(world, world.last_attempt());
         EXPECT_EQ(world.in_use(), each.kept ? 1 : 0) << each.what;
         const auto& terms = world.holder.terms();
-        const Time longest = began + at_authority(terms.longest, terms.drift);
-        EXPECT_EQ(world.holder.at(0).in_use(longest - Micros(1)), each.kept ? 1 : 0) << each.what;
-        EXPECT_EQ(world.holder.at(0).in_use(longest), 0) << each.what;
+        const Time latest_end = began + at_authority(terms.longest, terms.drift);
+        EXPECT_EQ(world.holder.at(0).in_use(latest_end - Micros(1)), each.kept ? 1 : 0) << each.what;
+        EXPECT_EQ(world.holder.at(0).in_use(latest_end), 0) << each.what;
     }
 }
 
-// ---------------------------------------------------------------------------------------------------- at random
+// --------------------------------------------------------------------------------------------- random events
 
-// Whatever calls, attempts and leases do, permits that go out stay within each budget, and none is left over.
-TEST(BudgetAdmission, NothingLeaks) {
+// Under random events of calls, attempts and leases, the permits in use stay within each budget, and none remains in use at
+// the end.
+TEST(BudgetAdmission, NoPermitLeaks) {
     const int seeds = share_of(400, 40);
     for (int seed = 1; seed <= seeds; ++seed) {
         SCOPED_TRACE("seed " + std::to_string(seed));
@@ -449,7 +450,7 @@
         std::vector<core::CallId> ids;
         std::uint64_t token = 0;
         for (int step = 0; step < 400; ++step) {
-            const auto any_out = [&]() -> std::optional<core::AttemptKey> {
+            const auto random_attempt = [&]() -> std::optional<core::AttemptKey> {
                 if (world.back->out.empty()) return std::nullopt;
                 auto at = world.back->out.begin();
                 std::advance(at, below(static_cast<std::uint32_t>(world.back->out.size())));
@@ -458,12 +459,12 @@
             switch (below(9)) {
                 case 0:
                 case 1:
-                    world.come(++token, static_cast<int>(below(3)), static_cast<int>(below(2)));
+                    world.submit(++token, static_cast<int>(below(3)), static_cast<int>(below(2)));
                     ids.push_back(world.last_id);
                     break;
                 case 2:
                 case 3:
-                    if (const auto key = any_out()) {
+                    if (const auto key = random_attempt()) {
                         if (!world.back->sending.contains(*key) && world.core->on_attempt_sending(*key)) {
                             world.back->sending.insert(*key);
                             if (below(4)) world.back->whole.insert(*key);
@@ -474,7 +475,7 @@
                     break;
                 case 4:
                 case 5:
-                    if (const auto key = any_out()) {
+                    if (const auto key = random_attempt()) {
                         static constexpr std::array begun{Outcome::ok, Outcome::ok, Outcome::error,
                                                           Outcome::reset, Outcome::full};
                         const bool sending = world.back->sending.contains(*key);
@@ -492,7 +493,7 @@
                     break;
                 default:
                     if (below(10) == 0) {
-                        world.Stage::clock.at += ms(below(3000));  // paused
+                        world.Stage::clock.at += ms(below(3000));  // suspended
                     } else {
                         world.pass(ms(below(50)));
                     }
--- a/tests/budget/agent_test.cpp
+++ b/tests/budget/agent_test.cpp
@@ -1,5 +1,5 @@
-// A balancer's agent before a coordinator made by hand, on loopback: whatever it answers, or does not, the agent asks again,
-// tells why there is no lease, and takes the first that is granted.
+// Tests of a balancer's agent against a scripted coordinator on the loopback interface: whatever the coordinator answers, the
+// agent sends another request, logs why there is no lease, and accepts the first lease that is granted.
 #include "coordinator/agent.h"
 
 #include <gtest/gtest.h>
@@ -25,47 +25,47 @@
            "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-// Answers each request with what `answers` says: bytes, or nothing at all. "close" ends the connection.
-struct Scripted {
+// Answers each request with the bytes that `answers` returns, possibly none. "close" closes the connection.
+struct ScriptedCoordinator {
     using Answers = std::function<std::string(const budget::LeaseRequest&)>;
-    Scripted(asio::io_context& its_loop, Answers its_answers)
-        : loop(its_loop),
-          answers(std::move(its_answers)),
+    ScriptedCoordinator(asio::io_context& event_loop, Answers script)
+        : loop(event_loop),
+          answers(std::move(script)),
           acceptor(loop, {asio::ip::address_v4::loopback(), 0}) {
         accept();
     }
 
     struct Connection : std::enable_shared_from_this<Connection> {
-        Connection(Scripted& its_owner, tcp::socket its_socket)
-            : owner(its_owner), socket(std::move(its_socket)) {}
+        Connection(ScriptedCoordinator& coordinator, tcp::socket client_socket)
+            : owner(coordinator), socket(std::move(client_socket)) {}
         void read() {
-            socket.async_read_some(asio::buffer(room),
+            socket.async_read_some(asio::buffer(buffer),
                                    [self = shared_from_this()](error_code error, std::size_t n) {
                                        if (error) return;
-                                       self->in.append(self->room.data(), n);
-                                       self->take();
+                                       self->input.append(self->buffer.data(), n);
+                                       self->on_bytes();
                                    });
         }
-        void take() {
-            const auto body = in.find("\r\n\r\n");
-            const auto length = in.find("Content-Length: ");
+        void on_bytes() {
+            const auto body = input.find("\r\n\r\n");
+            const auto length = input.find("Content-Length: ");
             if (body == std::string::npos || length == std::string::npos) return read();
-            const std::size_t size = std::stoul(in.substr(length + 16));
-            if (in.size() < body + 4 + size) return read();
-            const auto request = decode_request(in.substr(body + 4, size));
-            in.erase(0, body + 4 + size);
+            const std::size_t size = std::stoul(input.substr(length + 16));
+            if (input.size() < body + 4 + size) return read();
+            const auto request = decode_request(input.substr(body + 4, size));
+            input.erase(0, body + 4 + size);
             ASSERT_TRUE(std::holds_alternative<budget::LeaseRequest>(request));
             owner.requests.push_back(std::get<budget::LeaseRequest>(request));
-            out = owner.answers(owner.requests.back());
-            if (out == "close") return socket.close();
-            asio::async_write(socket, asio::buffer(out),
+            output = owner.answers(owner.requests.back());
+            if (output == "close") return socket.close();
+            asio::async_write(socket, asio::buffer(output),
                               [self = shared_from_this()](error_code, std::size_t) {});
             read();
         }
-        Scripted& owner;
+        ScriptedCoordinator& owner;
         tcp::socket socket;
-        std::array<char, 4096> room{};
-        std::string in, out;
+        std::array<char, 4096> buffer{};
+        std::string input, output;
     };
     void accept() {
         acceptor.async_accept([this](error_code error, tcp::socket socket) {
@@ -107,14 +107,14 @@
 }
 
 struct World {
-    explicit World(Scripted::Answers answers)
+    explicit World(ScriptedCoordinator::Answers answers)
         : coordinator(loop, std::move(answers)),
           agent(loop.get_executor(), clock, log, holder, coordinator.acceptor.local_endpoint()) {}
-    // Until it holds; a minute is for a machine that stands still.
-    void until(const std::function<bool()>& holds) {
+    // Runs the loop until the condition holds. The limit of a minute allows for an overloaded machine.
+    void run_until(const std::function<bool()>& holds) {
         const auto end = std::chrono::steady_clock::now() + std::chrono::minutes(1);
         while (!holds()) {
-            ASSERT_TRUE(loop.run_one_until(end)) << "it never came";
+            ASSERT_TRUE(loop.run_one_until(end)) << "timed out";
             if (loop.stopped()) loop.restart();
         }
     }
@@ -123,12 +123,12 @@
     loop::BootClock clock;
     flaxdoor::test::Lines log;
     budget::Holder holder{{terms(), "n1", "i1", 1}, clock.now()};
-    Scripted coordinator;
+    ScriptedCoordinator coordinator;
     Agent agent;
 };
 
-// The first request meets this; all others are granted.
-TEST(BudgetAgent, AsksAgainWhateverTheFirstAnswer) {
+// The first request gets the answer of the case; all later ones are granted.
+TEST(BudgetAgent, SendsAnotherRequestAfterAnyAnswer) {
     struct Case {
         const char* what;
         std::function<std::string(const budget::LeaseRequest&)> first;
@@ -138,38 +138,40 @@
     using R = const budget::LeaseRequest&;
     using budget::Verdict;
     const Case cases[] = {
-        {"nothing", [](R) { return ""; }, "budgets: no lease, only the reserve: no answer in time", false},
-        {"an end", [](R) { return "close"; }, "budgets: no lease, only the reserve: the connection broke",
+        {"no response", [](R) { return ""; }, "budgets: no lease, only the reserve: no response in time",
          false},
-        {"no HTTP", [](R) { return "gibberish\r\n\r\n"; },
-         "budgets: no lease, only the reserve: no answer: ", false},
-        {"no JSON", [](R) { return http(200, "{"); },
-         "budgets: no lease, only the reserve: no reply: ", true},
-        {"no disk", [](R) { return http(503, "no room on the disk"); },
+        {"connection closed", [](R) { return "close"; },
+         "budgets: no lease, only the reserve: connection lost", false},
+        {"not HTTP", [](R) { return "gibberish\r\n\r\n"; },
+         "budgets: no lease, only the reserve: malformed response: ", false},
+        {"not JSON", [](R) { return http(200, "{"); },
+         "budgets: no lease, only the reserve: malformed reply: ", true},
+        {"disk full", [](R) { return http(503, "no room on the disk"); },
          "budgets: no lease, only the reserve: status 503: no room on the disk", true},
-        {"a name taken", [](R r) { return http(200, reply(r, Verdict::name_taken)); },
+        {"name taken", [](R r) { return http(200, reply(r, Verdict::name_taken)); },
          "budgets: no lease and no reserve, the name is taken: so it is", true},
-        {"a clock off", [](R r) { return http(200, reply(r, Verdict::clock_off)); },
+        {"clock off", [](R r) { return http(200, reply(r, Verdict::clock_off)); },
          "budgets: the clocks do not agree: so it is", true},
         {"stepped down", [](R r) { return http(200, reply(r, Verdict::stepped_down)); },
          "budgets: the coordinator has stepped down: so it is", true},
-        {"other terms", [](R r) { return http(200, reply(r, Verdict::at_odds)); },
+        {"other configuration", [](R r) { return http(200, reply(r, Verdict::at_odds)); },
          "budgets: the coordinator has other terms: so it is", true},
-        {"a wait", [](R r) { return http(200, reply(r, Verdict::waiting)); },
+        {"waiting", [](R r) { return http(200, reply(r, Verdict::waiting)); },
          "budgets: no lease, only the reserve: so it is", true},
-        {"a connection for one answer", [](R r) { return http(200, reply(r), "Connection: close\r\n"); },
+        {"connection for one response", [](R r) { return http(200, reply(r), "Connection: close\r\n"); },
          "budgets: leased by the coordinator at ", false},
     };
     for (const Case& each : cases) {
         SCOPED_TRACE(each.what);
-        World* its = nullptr;
+        World* self_world = nullptr;
         World world([&](R request) {
-            return its->coordinator.requests.size() == 1 ? each.first(request) : http(200, reply(request));
+            return self_world->coordinator.requests.size() == 1 ? each.first(request)
+                                                                : http(200, reply(request));
         });
-        its = &world;
+        self_world = &world;
         world.agent.start();
-        world.until([&] {
-            return world.coordinator.requests.size() > 1 && world.holder.supervised(world.clock.now());
+        world.run_until([&] {
+            return world.coordinator.requests.size() > 1 && world.holder.has_lease(world.clock.now());
         });
         EXPECT_EQ(world.log.count(each.line), 1u) << ::testing::PrintToString(world.log.all);
         EXPECT_EQ(world.log.count("budgets: leased by the coordinator at "), 1u);
@@ -178,29 +180,30 @@
     }
 }
 
-TEST(BudgetAgent, TellsThatItLeavesAndAsksNoMore) {
-    World* its = nullptr;
+TEST(BudgetAgent, ReportsLeavingAndSendsNoMoreRequests) {
+    World* self_world = nullptr;
     World world([&](const auto& request) { return http(200, reply(request)); });
-    its = &world;
+    self_world = &world;
     world.agent.start();
-    world.until([&] { return its->holder.supervised(its->clock.now()); });
+    world.run_until([&] { return self_world->holder.has_lease(self_world->clock.now()); });
     world.agent.leave();
     EXPECT_EQ(world.holder.at(0).in_force(world.clock.now()), budget::Amount{});
-    world.until([&] { return its->coordinator.requests.back().leaving; });
+    world.run_until([&] { return self_world->coordinator.requests.back().leaving; });
     world.agent.on_want();
-    // Its end has nothing more to wait for: only the stand-in's accept is left.
+    // The agent waits for nothing more; only the fake coordinator's accept is left in the loop.
     world.coordinator.acceptor.close();
     world.loop.run();
     EXPECT_TRUE(world.coordinator.requests.back().leaving);
-    EXPECT_FALSE(world.holder.supervised(world.clock.now()));
+    EXPECT_FALSE(world.holder.has_lease(world.clock.now()));
 }
 
-TEST(BudgetAgent, NobodyIsThere) {
+TEST(BudgetAgent, CoordinatorIsUnreachable) {
     World world([](const auto&) { return ""; });
     world.coordinator.acceptor.close();
     world.agent.start();
-    world.until([&] { return world.log.count("budgets: no lease, only the reserve: no connection") == 1; });
-    // Gone with a connection under way, and a wake-up due.
+    world.run_until(
+        [&] { return world.log.count("budgets: no lease, only the reserve: could not connect") == 1; });
+    // The agent is destroyed while a connection is being established and a timer is pending.
 }
 
 }  // namespace
--- a/tests/budget/allowance_test.cpp
+++ b/tests/budget/allowance_test.cpp
@@ -1,4 +1,4 @@
-// What one process may use: leases that end, shares that shrink, permits that are set aside.
+// Tests of the allowance of one process: leases that end, shares that shrink, reserved permits.
 #include "budget/allowance.h"
 
 #include <gtest/gtest.h>
@@ -12,61 +12,62 @@
 
 constexpr Micros longest = 2s;
 
-int take_all(Allowance& allowance, Time now) {
-    int taken = 0;
+// Reserves and commits permits until none is left. Returns their number.
+int commit_all(Allowance& allowance, Time now) {
+    int committed = 0;
     while (allowance.set_aside(now)) {
         if (!allowance.use(now)) break;
-        ++taken;
+        ++committed;
     }
-    return taken;
+    return committed;
 }
 
-TEST(Bucket, ANewShareBeginsEmpty) {
+TEST(Bucket, NewShareStartsEmpty) {
     Allowance allowance(Counts::requests, {}, longest, 0s);
-    EXPECT_FALSE(allowance.set_aside(1s)) << "without a lease there is nothing";
+    EXPECT_FALSE(allowance.set_aside(1s)) << "no permit without a lease";
     EXPECT_FALSE(allowance.next(1s).has_value());
     allowance.lease({5000, 3}, 10s, 1s);
     EXPECT_FALSE(allowance.set_aside(1s));
     EXPECT_EQ(allowance.next(1s), Micros(200ms));
-    EXPECT_EQ(take_all(allowance, 1200ms), 1);
-    EXPECT_EQ(take_all(allowance, 5s), 3) << "no more than its size";
+    EXPECT_EQ(commit_all(allowance, 1200ms), 1);
+    EXPECT_EQ(commit_all(allowance, 5s), 3) << "at most the size";
 }
 
-TEST(Bucket, WhatALeaseBroughtEndsWithIt) {
+TEST(Bucket, TokensOfALeaseEndWithIt) {
     Allowance allowance(Counts::attempts, {1000, 1}, longest, 0s);
     allowance.lease({10000, 10}, 5s, 0s);
     ASSERT_TRUE(allowance.set_aside(4900ms));
     ASSERT_TRUE(allowance.set_aside(4900ms));
     ASSERT_TRUE(allowance.set_aside(4900ms));
-    // Woken after a pause past the end: the reserve's one permit is left of what was set aside.
+    // The process resumes after the lease has ended: of the three reserved permits, only the reserve's one is left.
     EXPECT_FALSE(allowance.use(9s));
     EXPECT_FALSE(allowance.use(9s));
     EXPECT_TRUE(allowance.use(9s));
-    EXPECT_EQ(take_all(allowance, 9s), 0) << "the place in the bucket was held until now";
-    EXPECT_EQ(take_all(allowance, 20s), 1) << "the reserve has one permit";
+    EXPECT_EQ(commit_all(allowance, 9s), 0) << "the reserved permit counted against the depth until now";
+    EXPECT_EQ(commit_all(allowance, 20s), 1) << "the reserve has one permit";
     EXPECT_EQ(allowance.in_force(20s), (Amount{1000, 1}));
 }
 
-TEST(Bucket, WhatWasSetAsideIsNotBroughtBackByALaterShare) {
+TEST(Bucket, RevokedPermitsAreNotRestoredByALaterShare) {
     Allowance allowance(Counts::attempts, {}, longest, 0s);
     allowance.lease({10000, 5}, 100s, 0s);
     for (int i = 0; i < 5; ++i) ASSERT_TRUE(allowance.set_aside(5s));
     allowance.lease({0, 2}, 100s, 5s);
     allowance.lease({0, 5}, 100s, 6s);
-    int used = 0;
-    for (int i = 0; i < 5; ++i) used += allowance.use(6s);
-    EXPECT_EQ(used, 2) << "others may have used the three meanwhile";
+    int committed = 0;
+    for (int i = 0; i < 5; ++i) committed += allowance.use(6s);
+    EXPECT_EQ(committed, 2) << "other holders may have used the other three meanwhile";
 }
 
-TEST(Bucket, AShareThatShrinksTakesItsTokensAlong) {
+TEST(Bucket, ShrinkingShareLosesTokens) {
     Allowance allowance(Counts::requests, {}, longest, 0s);
     allowance.lease({10000, 10}, 100s, 0s);
     allowance.lease({10000, 4}, 100s, 10s);
     allowance.lease({0, 10}, 100s, 10s);
-    EXPECT_EQ(take_all(allowance, 10s), 4);
+    EXPECT_EQ(commit_all(allowance, 10s), 4);
 }
 
-TEST(Bucket, WhatIsGivenBackIsThereAgain) {
+TEST(Bucket, ReleasedPermitIsAvailableAgain) {
     Allowance allowance(Counts::requests, {}, longest, 0s);
     allowance.lease({1000, 1}, 100s, 0s);
     ASSERT_TRUE(allowance.set_aside(2s));
@@ -75,24 +76,25 @@
     EXPECT_TRUE(allowance.set_aside(2s));
 }
 
-TEST(Bucket, AClockThatGoesBackStandsStill) {
+TEST(Bucket, ClockThatGoesBackIsTreatedAsStopped) {
     Allowance allowance(Counts::requests, {}, longest, 10s);
     allowance.lease({1000, 5}, 15s, 10s);
-    EXPECT_EQ(take_all(allowance, 12s), 2);
-    EXPECT_EQ(take_all(allowance, 1s), 0);
-    EXPECT_EQ(take_all(allowance, 13s), 1);
+    EXPECT_EQ(commit_all(allowance, 12s), 2);
+    EXPECT_EQ(commit_all(allowance, 1s), 0);
+    EXPECT_EQ(commit_all(allowance, 13s), 1);
 }
 
-// In any window: rate * W + size, whatever leases come, end, shrink and grow, for the most that was in force meanwhile.
-TEST(Bucket, NoWindowHoldsMoreThanItsRateAndItsSize) {
+// In any window W, at most rate * W + size permits are committed, with the largest amount that was in force, however leases
+// start, end, shrink and grow.
+TEST(Bucket, NoWindowExceedsRateAndSize) {
     for (std::uint64_t seed = 1; seed <= 200; ++seed) {
         SCOPED_TRACE("seed " + std::to_string(seed));
         test::Drawn random(seed);
         Allowance allowance(Counts::attempts, {}, longest, 0s);
         const Amount whole{20000, 8};
         Time now{};
-        std::vector<Time> used;
-        int aside = 0;
+        std::vector<Time> committed;
+        int reserved = 0;
         for (int step = 0; step < 400; ++step) {
             now += Micros(random.below(60'000));
             switch (random.below(6)) {
@@ -102,53 +104,54 @@
                                     now + Micros(random.below(400'000)), now);
                     break;
                 case 1:
-                    if (aside > 0) allowance.give_back(now), --aside;
+                    if (reserved > 0) allowance.give_back(now), --reserved;
                     break;
                 case 2:
-                case 3: aside += allowance.set_aside(now); break;
+                case 3: reserved += allowance.set_aside(now); break;
                 default:
-                    if (aside > 0 && allowance.use(now)) used.push_back(now);
-                    aside = std::max(0, aside - 1);
+                    if (reserved > 0 && allowance.use(now)) committed.push_back(now);
+                    reserved = std::max(0, reserved - 1);
             }
         }
-        for (std::size_t from = 0; from < used.size(); ++from) {
-            for (std::size_t to = from; to < used.size(); ++to) {
-                const double span = static_cast<double>((used[to] - used[from]).count()) / 1e6;
-                const double most =
+        for (std::size_t from = 0; from < committed.size(); ++from) {
+            for (std::size_t to = from; to < committed.size(); ++to) {
+                const double span = static_cast<double>((committed[to] - committed[from]).count()) / 1e6;
+                const double limit =
                     span * static_cast<double>(whole.rate) / 1000 + static_cast<double>(whole.size);
-                ASSERT_LE(static_cast<double>(to - from + 1), most + 1e-6);
+                ASSERT_LE(static_cast<double>(to - from + 1), limit + 1e-6);
             }
         }
     }
 }
 
-// By a clock that is as fast as it may be, true seconds are 1.01 of its own.
-TEST(Bucket, AFastClockBringsNoMoreThanTheRate) {
+// With the largest allowed drift, one real second is 1.01 seconds of this clock.
+TEST(Bucket, FastClockDoesNotExceedTheRate) {
     Allowance allowance(Counts::requests, {}, longest, 0s, 0.01);
     allowance.lease({1'000'000, 2000}, 1000s, 0s);
-    EXPECT_LE(take_all(allowance, 1010ms), 1000);
-    EXPECT_GE(take_all(allowance, 2020ms), 998) << "and hardly less";
-    EXPECT_EQ(allowance.next(2020ms), Micros(203)) << "0.8 are left of twice 999.9; 0.2 come at 990 a second";
+    EXPECT_LE(commit_all(allowance, 1010ms), 1000);
+    EXPECT_GE(commit_all(allowance, 2020ms), 998) << "and not much less";
+    EXPECT_EQ(allowance.next(2020ms), Micros(203))
+        << "0.8 of a token are left of twice 999.9; the missing 0.2 accrue at 990 a second";
 }
 
-TEST(Places, AFastClockFreesNoneBeforeItsAttemptMustHaveEnded) {
+TEST(Places, FastClockFreesNoPermitBeforeItsAttemptMustHaveEnded) {
     Allowance allowance(Counts::concurrency, {0, 1}, longest, 0s, 0.01);
-    ASSERT_EQ(take_all(allowance, 1s), 1);
+    ASSERT_EQ(commit_all(allowance, 1s), 1);
     allowance.free_place(false, 1s, 2s);
     EXPECT_EQ(allowance.in_use(1s + longest * 1010 / 1000), 1);
     EXPECT_EQ(allowance.in_use(1s + longest * 1010 / 1000 + 1us), 0);
 }
 
-TEST(Places, AreFreeWhenTheirAttemptsHaveEnded) {
+TEST(Places, PermitIsFreeOnceItsAttemptHasEnded) {
     struct Row {
         const char* what;
         bool known;
         Time began, ends, free;
     };
     const Row rows[] = {
-        {"an end that is known", true, 1s, 2s, 2s},
-        {"one that is not", false, 1s, 2s, 3s},
-        {"one that comes later than it can have run", false, 1s, 9s, 9s},
+        {"known end", true, 1s, 2s, 2s},
+        {"unknown end", false, 1s, 2s, 3s},
+        {"unknown end, reported after the longest duration", false, 1s, 9s, 9s},
     };
     for (const Row& row : rows) {
         Allowance allowance(Counts::concurrency, {}, longest, 0s);
@@ -164,24 +167,24 @@
     }
 }
 
-TEST(Places, AShareThatShrinksLetsNothingMoreBegin) {
+TEST(Places, ShrinkingShareRevokesReservedPermits) {
     Allowance allowance(Counts::concurrency, {}, longest, 0s);
     allowance.lease({0, 3}, 10s, 0s);
     for (int i = 0; i < 3; ++i) ASSERT_TRUE(allowance.set_aside(1s));
     ASSERT_TRUE(allowance.use(1s));
     allowance.lease({0, 1}, 10s, 2s);
-    EXPECT_EQ(allowance.in_use(2s), 3) << "told, so that nobody else gets them yet";
+    EXPECT_EQ(allowance.in_use(2s), 3) << "reported, so that no other holder gets them yet";
     EXPECT_FALSE(allowance.use(2s));
     EXPECT_FALSE(allowance.use(2s));
     EXPECT_EQ(allowance.in_use(2s), 1);
 }
 
-TEST(Places, WhatBeganOutlivesItsLeaseAndIsTold) {
+TEST(Places, RunningAttemptOutlivesItsLeaseAndIsReported) {
     Allowance allowance(Counts::concurrency, {}, longest, 0s);
     allowance.lease({0, 2}, 5s, 0s);
     ASSERT_TRUE(allowance.set_aside(4s) && allowance.use(4s));
     ASSERT_TRUE(allowance.set_aside(4s));
-    EXPECT_FALSE(allowance.use(6s)) << "set aside, and the lease has ended";
+    EXPECT_FALSE(allowance.use(6s)) << "reserved, but the lease has ended";
     EXPECT_EQ(allowance.in_use(6s), 1);
     EXPECT_EQ(allowance.leased(6s), Amount{});
 }
