--- a/tests/budget/fleet.cpp
+++ b/tests/budget/fleet.cpp
@@ -19,24 +19,26 @@
 
 namespace {
 
-using judge::Us;
+using judge::Microseconds;
 using standins::Program;
 using standins::peers::text_of;
 
-constexpr auto tick_every = milliseconds(2);
-// From a balancer's permit to its first byte at a server, beside what this loop was late by: the balancer's own turn
-// of the loop, on a machine that others use as well.
-constexpr Us way_of_a_turn = 50'000;
-constexpr std::uint64_t seeds_of_clients = 1'000;  // a fleet's
+constexpr auto delay_measure_interval = milliseconds(2);
+// Allowed time from a balancer's permit to the first byte at a server, in addition to the delay of this loop: one iteration of
+// the balancer's event loop on a shared machine.
+constexpr Microseconds permit_to_first_byte_base = 50'000;
+constexpr std::uint64_t client_seeds_per_fleet = 1'000;
 
-Us us(std::chrono::steady_clock::duration time) {
+Microseconds to_micros(std::chrono::steady_clock::duration time) {
     return std::chrono::duration_cast<std::chrono::microseconds>(time).count();
 }
 
-// The two clocks differ by how long the machine has slept.
-Us boot_time(standins::Time steady) { return boot_now() - us(std::chrono::steady_clock::now() - steady); }
+// Converts a steady time. The two clocks differ by the time for which the machine was suspended.
+Microseconds boot_time(standins::Time steady) {
+    return boot_now() - to_micros(std::chrono::steady_clock::now() - steady);
+}
 
-std::uint16_t port_told(const Program& program) {
+std::uint16_t logged_port(const Program& program) {
     for (const auto& line : program.log()) {
         const auto at = line.find("listening on 127.0.0.1:");
         if (at != std::string::npos)
@@ -45,13 +47,13 @@
     return 0;
 }
 
-// Another build's program may be judged in place of this one's.
+// An environment variable may select the program of another build.
 std::string program(const char* variable, const char* built) {
     const char* const chosen = std::getenv(variable);
     return chosen ? chosen : built;
 }
 
-std::string word_of(judge::Counts counts) {
+std::string counts_text(judge::Counts counts) {
     switch (counts) {
         case judge::Counts::requests: return "requests";
         case judge::Counts::attempts: return "attempts";
@@ -69,13 +71,13 @@
 
 }  // namespace
 
-Us boot_now() {
+Microseconds boot_now() {
     timespec time{};
     ::clock_gettime(CLOCK_BOOTTIME, &time);
-    return static_cast<Us>(time.tv_sec) * 1'000'000 + time.tv_nsec / 1000;
+    return static_cast<Microseconds>(time.tv_sec) * 1'000'000 + time.tv_nsec / 1000;
 }
 
-Fleet::Fleet(Options options) : options_(std::move(options)), ticker_(loop) {
+Fleet::Fleet(Options options) : options_(std::move(options)), delay_timer_(loop) {
     std::cout << "seed " << options_.seed << '\n';
     for (const Limit& each : options_.limits) wholes_.push_back({{0, each.whole}});
     roster_ = std::make_unique<standins::Roster>(loop);
@@ -87,7 +89,7 @@
         settings.workers = 4096;
         for (const Limit& each : options_.limits)
             settings.work_by_class[each.of_class] = {each.work, standins::Work::Shape::fixed};
-        settings.on_event = [this, i](const standins::NodeEvent& event) { on_event(i, event); };
+        settings.on_event = [this, i](const standins::NodeEvent& event) { on_server_event(i, event); };
         servers_.push_back(std::make_unique<standins::BookingNode>(loop, std::move(settings)));
         standins::RosterEntry entry;
         entry.host = "s-" + std::to_string(i);
@@ -98,7 +100,7 @@
     }
     roster_->set(entries);
     for (int i = 0; i < options_.balancers; ++i) add();
-    tick();
+    measure_loop_delay();
 }
 
 Fleet::~Fleet() {
@@ -120,16 +122,16 @@
 
 // ----------------------------------------------------------------------------------------------- coordinator
 
-std::string Fleet::operators(const std::string& coordinator, bool coordinates) const {
+std::string Fleet::operator_settings(const std::string& coordinator, bool for_coordinator) const {
     std::ostringstream text;
     text << "[budget]\ncoordinator = \"" << coordinator << "\"\nbalancers = " << options_.balancers
          << "\nterm = \"" << options_.term.count() << "ms\"\nlongest_deadline = \""
          << options_.longest.count() << "ms\"\n";
     for (std::size_t i = 0; i < options_.limits.size(); ++i) {
         const Limit& limit = options_.limits[i];
-        const judge::Amount whole = coordinates ? wholes_[i].back().amount : limit.whole;
-        text << "\n[[budget_limit]]\nname = \"" << limit.name << "\"\ncounts = \"" << word_of(limit.counts)
-             << "\"\n";
+        const judge::Amount whole = for_coordinator ? wholes_[i].back().amount : limit.whole;
+        text << "\n[[budget_limit]]\nname = \"" << limit.name << "\"\ncounts = \""
+             << counts_text(limit.counts) << "\"\n";
         if (!limit.of_class.empty()) text << "class = \"" << limit.of_class << "\"\n";
         if (limit.counts == judge::Counts::concurrency) {
             text << "places = " << whole.size << "\nreserve_places = " << limit.reserve.size << "\n";
@@ -141,36 +143,36 @@
             }
         }
     }
-    // Balancers leave it alone.
+    // Balancers ignore this table.
     text << "\n[coordinator]\nlisten = \"127.0.0.1:0\"\nstore = \"" << folder_.path() << "/store\"\n";
     if (options_.witness) text << "witness = \"" << folder_.path() << "/witness\"\n";
     return text.str();
 }
 
 void Fleet::start_coordinator() {
-    const std::string file = folder_.write("coordinator.toml", operators("127.0.0.1:1", true));
+    const std::string file = folder_.write("coordinator.toml", operator_settings("127.0.0.1:1", true));
     std::filesystem::create_directories(folder_.path() + "/store");
     coordinator_ = std::make_unique<Program>(loop);
     coordinator_->start({program("FLAXDOOR_BUDGET_COMMAND", BUDGET_COMMAND), "coordinator", file, "--grants",
                          folder_.path() + "/grants-" + std::to_string(++coordinator_starts_)},
                         {});
-    until([&] { return port_told(*coordinator_) != 0 || coordinator_->ended(); });
-    if (coordinator_->ended()) throw std::runtime_error("the coordinator ended instead of listening");
-    const asio::ip::tcp::endpoint address(asio::ip::address_v4::loopback(), port_told(*coordinator_));
+    wait_until([&] { return logged_port(*coordinator_) != 0 || coordinator_->ended(); });
+    if (coordinator_->ended()) throw std::runtime_error("the coordinator exited before it listened");
+    const asio::ip::tcp::endpoint address(asio::ip::address_v4::loopback(), logged_port(*coordinator_));
     for (const auto& each : balancers_) each->relay->to(address);
 }
 
 void Fleet::kill_coordinator() {
     coordinator_->signal(SIGKILL);
-    until([&] { return coordinator_->ended(); });
-    killed_.push_back(std::move(coordinator_));
+    wait_until([&] { return coordinator_->ended(); });
+    ended_programs_.push_back(std::move(coordinator_));
 }
 
 bool Fleet::granted() const {
-    std::error_code none;
-    const auto bytes =
-        std::filesystem::file_size(folder_.path() + "/grants-" + std::to_string(coordinator_starts_), none);
-    return !none && bytes > 0;
+    std::error_code ignored;
+    const auto bytes = std::filesystem::file_size(
+        folder_.path() + "/grants-" + std::to_string(coordinator_starts_), ignored);
+    return !ignored && bytes > 0;
 }
 
 void Fleet::copy_store() {
@@ -189,19 +191,19 @@
 
 void Fleet::set_whole(std::size_t limit, judge::Amount whole) {
     wholes_[limit].push_back({boot_now(), whole});
-    std::filesystem::rename(folder_.write("coordinator.new", operators("127.0.0.1:1", true)),
+    std::filesystem::rename(folder_.write("coordinator.new", operator_settings("127.0.0.1:1", true)),
                             folder_.path() + "/coordinator.toml");
-    const auto taken = [&] {
+    const auto logged_changes = [&] {
         const auto& lines = coordinator_->log();
         return std::count_if(lines.begin(), lines.end(), [&](const auto& line) {
             return line.find(options_.limits[limit].name) != std::string::npos &&
                    line.find(".rate") != std::string::npos;
         });
     };
-    const auto before = taken();
+    const auto before = logged_changes();
     coordinator_->signal(SIGHUP);
-    until([&] { return taken() > before; });
-    wholes_[limit].back().from = boot_now();  // it granted by the old one until about now
+    wait_until([&] { return logged_changes() > before; });
+    wholes_[limit].back().from = boot_now();  // until about now it granted by the old whole
 }
 
 // ------------------------------------------------------------------------------------------------- balancers
@@ -212,8 +214,8 @@
     balancer->name = name.empty() ? "n" + std::to_string(at) : std::move(name);
     balancer->relay = std::make_unique<standins::Relay>(
         loop, standins::Relay::Settings{options_.seed * 100 + at,
-                                        [this](std::string_view body) { on_request(body); }});
-    if (coordinator_) balancer->relay->to({asio::ip::address_v4::loopback(), port_told(*coordinator_)});
+                                        [this](std::string_view body) { on_lease_request(body); }});
+    if (coordinator_) balancer->relay->to({asio::ip::address_v4::loopback(), logged_port(*coordinator_)});
     balancers_.push_back(std::move(balancer));
     return at;
 }
@@ -246,7 +248,7 @@
         Balancer& balancer = *balancers_[i];
         const std::string at = std::to_string(i);
         const std::string file =
-            folder_.write("operators-" + at, operators(text_of(balancer.relay->address()), false));
+            folder_.write("operators-" + at, operator_settings(text_of(balancer.relay->address()), false));
         const std::string config = folder_.write("config-" + at, configuration(balancer));
         balancer.program = std::make_unique<Program>(loop);
         balancer.program->start({program("FLAXDOOR_BUDGET_BALANCER", BUDGET_BALANCER), "--operator", file},
@@ -254,9 +256,9 @@
     }
     for (const std::size_t i : which) {
         Program& program = *balancers_[i]->program;
-        until([&] { return port_told(program) != 0 || program.ended(); });
-        if (program.ended()) throw std::runtime_error(balancers_[i]->name + " ended instead of listening");
-        balancers_[i]->port = port_told(program);
+        wait_until([&] { return logged_port(program) != 0 || program.ended(); });
+        if (program.ended()) throw std::runtime_error(balancers_[i]->name + " exited before it listened");
+        balancers_[i]->port = logged_port(program);
     }
 }
 
@@ -271,21 +273,21 @@
     for (const std::size_t i : which) {
         demand(i, 0);
         Balancer& balancer = *balancers_[i];
-        until([&] { return balancer.program->ended(); });
-        killed_.push_back(std::move(balancer.program));
+        wait_until([&] { return balancer.program->ended(); });
+        ended_programs_.push_back(std::move(balancer.program));
     }
 }
 
 void Fleet::pause(std::size_t i) { balancers_[i]->program->stop(); }
-void Fleet::wake(std::size_t i) { balancers_[i]->program->signal(SIGCONT); }
+void Fleet::resume(std::size_t i) { balancers_[i]->program->signal(SIGCONT); }
 
 void Fleet::leave(std::size_t i) {
     demand(i, 0);
     Balancer& balancer = *balancers_[i];
     balancer.program->signal(SIGTERM);
-    until([&] { return balancer.program->ended(); });
+    wait_until([&] { return balancer.program->ended(); });
     EXPECT_EQ(balancer.program->status(), 0) << balancer.name;
-    killed_.push_back(std::move(balancer.program));
+    ended_programs_.push_back(std::move(balancer.program));
 }
 
 // --------------------------------------------------------------------------------------------------- clients
@@ -308,7 +310,7 @@
         plan.budget_ms = static_cast<int>(patience.count());
         settings.classes.push_back(plan);
     }
-    settings.seed = options_.seed * seeds_of_clients + ++clients_made_;
+    settings.seed = options_.seed * client_seeds_per_fleet + ++clients_made_;
     settings.rate = rate;
     settings.connections = 400;
     settings.duration = std::chrono::seconds(120);
@@ -327,42 +329,42 @@
     }
 }
 
-// ----------------------------------------------------------------------------------------------- what is seen
+// -------------------------------------------------------------------------------------------------- recording
 
-void Fleet::on_event(std::size_t server, const standins::NodeEvent& event) {
+void Fleet::on_server_event(std::size_t server, const standins::NodeEvent& event) {
     using Kind = standins::NodeEvent::Kind;
     const auto key = std::pair(server, event.request);
     if (event.kind == Kind::first_byte) {
         running_[key] = {0, boot_time(event.at)};
     } else if (event.kind == Kind::last_byte) {
-        Running& its = running_[key];
-        its.attempt = attempts_.size();
-        attempts_.push_back({0, its.first_byte, 0, event.call_id, {}, {}, event.cls});
+        Running& running = running_[key];
+        running.attempt = attempts_.size();
+        attempts_.push_back({0, running.first_byte, 0, event.call_id, {}, {}, event.cls});
     } else if (event.kind == Kind::finished) {
-        const auto its = running_.find(key);
-        if (its == running_.end()) return;
-        attempts_[its->second.attempt].ended = boot_time(event.at);
-        running_.erase(its);
+        const auto running = running_.find(key);
+        if (running == running_.end()) return;
+        attempts_[running->second.attempt].ended = boot_time(event.at);
+        running_.erase(running);
     }
 }
 
-void Fleet::on_request(std::string_view body) {
+void Fleet::on_lease_request(std::string_view body) {
     const auto object = json::parse(body, nullptr, false);
     if (object.is_discarded() || !object.contains("taken")) return;
-    told_.push_back({boot_now(),
-                     object["holder"],
-                     object["instance"],
-                     {object["taken"][0], object["taken"][1]},
-                     object.value("leaving", false)});
+    holder_reports_.push_back({boot_now(),
+                               object["holder"],
+                               object["instance"],
+                               {object["taken"][0], object["taken"][1]},
+                               object.value("leaving", false)});
 }
 
-// How late this loop is: so long an attempt may have waited unseen.
-void Fleet::tick() {
-    ticker_.expires_after(tick_every);
-    ticker_.async_wait([this](boost::system::error_code error) {
+// Measures the delay of this loop, by which an attempt's first byte may be recorded late.
+void Fleet::measure_loop_delay() {
+    delay_timer_.expires_after(delay_measure_interval);
+    delay_timer_.async_wait([this](boost::system::error_code error) {
         if (error) return;
-        late_most_ = std::max(late_most_, std::chrono::steady_clock::now() - ticker_.expiry());
-        tick();
+        max_loop_delay_ = std::max(max_loop_delay_, std::chrono::steady_clock::now() - delay_timer_.expiry());
+        measure_loop_delay();
     });
 }
 
@@ -371,53 +373,56 @@
 void Fleet::check_alive() {
     for (const auto& each : balancers_) {
         if (each->program && each->program->ended())
-            throw std::runtime_error(each->name + " ended by itself");
+            throw std::runtime_error(each->name + " exited unexpectedly");
     }
 }
 
-void Fleet::until(const std::function<bool()>& holds, int where) {
+void Fleet::wait_until(const std::function<bool()>& holds, int where) {
     if (!standins::run_until(loop, holds))
-        throw std::runtime_error("waited in vain in line " + std::to_string(where));
+        throw std::runtime_error("timed out in line " + std::to_string(where));
 }
 
 void Fleet::run_for(milliseconds time) {
     bool over = false;
     asio::steady_timer timer(loop, time);
     timer.async_wait([&](boost::system::error_code) { over = true; });
-    until([&] { return over; });
+    wait_until([&] { return over; });
     check_alive();
 }
 
-Us Fleet::until_full(std::size_t limit, Us from, double share, int where) {
-    std::optional<Us> took;
-    Us looked = 0;
-    until(
+Microseconds Fleet::wait_until_full(std::size_t limit, Microseconds from, double share, int where) {
+    std::optional<Microseconds> elapsed;
+    Microseconds last_checked = 0;
+    wait_until(
         [&] {
-            if (boot_now() - looked < 20'000) return false;
-            looked = boot_now();
-            judge::Log seen;
-            seen.attempts = attempts_;
-            took = judge::until_use(budget_of(limit), seen, from, options_.term.count() * 1000, share);
-            return took.has_value();
+            if (boot_now() - last_checked < 20'000) return false;
+            last_checked = boot_now();
+            judge::Log observed;
+            observed.attempts = attempts_;
+            elapsed =
+                judge::time_until_used(budget_of(limit), observed, from, options_.term.count() * 1000, share);
+            return elapsed.has_value();
         },
         where);
     check_alive();
-    return *took;
+    return *elapsed;
 }
 
-// ---------------------------------------------------------------------------------------------------- judging
+// ------------------------------------------------------------------------------------------------- evaluation
 
 judge::Budget Fleet::budget_of(std::size_t i) const {
     const Limit& limit = options_.limits[i];
     return {limit.name, limit.counts, {}, limit.of_class, wholes_[i], limit.reserve, options_.balancers};
 }
 
-Us Fleet::way() const { return way_of_a_turn + us(late_most_); }
+Microseconds Fleet::max_permit_to_first_byte() const {
+    return permit_to_first_byte_base + to_micros(max_loop_delay_);
+}
 
 judge::Log Fleet::log() const {
     judge::Log all;
     all.attempts = attempts_;
-    all.told = told_;
+    all.holder_reports = holder_reports_;
     for (judge::Attempt& each : all.attempts) {
         const auto call = calls_.find(each.call);
         if (call == calls_.end()) throw std::runtime_error("no client sent " + each.call);
@@ -431,13 +436,13 @@
     return all;
 }
 
-double Fleet::use_over(std::size_t limit, double terms) {
-    const Us from = boot_now();
+double Fleet::usage_over(std::size_t limit, double terms) {
+    const Microseconds from = boot_now();
     run_terms(terms);
-    const Us to = boot_now();
-    judge::Log seen;
-    seen.attempts = attempts_;
-    const auto count = judge::used(budget_of(limit), seen, from, to);
+    const Microseconds to = boot_now();
+    judge::Log observed;
+    observed.attempts = attempts_;
+    const auto count = judge::count_permits(budget_of(limit), observed, from, to);
     return static_cast<double>(count) * 1e9 /
            (static_cast<double>(wholes_[limit].back().amount.rate) * static_cast<double>(to - from));
 }
@@ -448,35 +453,37 @@
     return static_cast<std::int64_t>(balancers_[balancer]->served - before);
 }
 
-std::int64_t Fleet::expect_holds() {
+std::int64_t Fleet::expect_budgets_kept() {
     for (std::size_t i = 0; i < balancers_.size(); ++i) demand(i, 0);
-    until([&] {
+    wait_until([&] {
         return std::all_of(former_clients_.begin(), former_clients_.end(),
                            [](const auto& each) { return each->done(); }) &&
                std::all_of(attempts_.begin(), attempts_.end(),
                            [](const auto& each) { return each.ended != 0; });
     });
     check_alive();
-    const judge::Log seen = log();
-    const judge::Terms terms{options_.term.count() * 1000, 0.001, options_.longest.count() * 1000, way()};
-    std::cout << seen.grants.size() << " grants, " << seen.told.size() << " requests for them, "
-              << seen.attempts.size() << " attempts; way allowed " << way() / 1000 << " ms\n";
-    EXPECT_FALSE(seen.grants.empty());
-    if (const char* const file = std::getenv("FLAXDOOR_BUDGET_DUMP")) {  // to look at by hand
+    const judge::Log observed = log();
+    const judge::Terms terms{options_.term.count() * 1000, 0.001, options_.longest.count() * 1000,
+                             max_permit_to_first_byte()};
+    std::cout << observed.grants.size() << " grants, " << observed.holder_reports.size()
+              << " lease requests, " << observed.attempts.size() << " attempts; allowed delay "
+              << max_permit_to_first_byte() / 1000 << " ms\n";
+    EXPECT_FALSE(observed.grants.empty());
+    if (const char* const file = std::getenv("FLAXDOOR_BUDGET_DUMP")) {  // for manual inspection
         std::ofstream out(file);
-        for (const auto& each : seen.attempts)
+        for (const auto& each : observed.attempts)
             out << each.begun << " attempt " << each.balancer << ' ' << each.of_class << '\n';
-        for (const auto& each : seen.grants) {
+        for (const auto& each : observed.grants) {
             out << each.at << " grant " << each.holder << ' ' << each.budget << ' ' << each.fence.seq << ' '
                 << each.share.rate << ' ' << each.share.size << ' ' << each.until << '\n';
         }
-        for (const auto& each : seen.told)
+        for (const auto& each : observed.holder_reports)
             out << each.at << " told " << each.holder << ' ' << each.taken.seq << '\n';
     }
     for (std::size_t i = 0; i < options_.limits.size(); ++i) {
-        for (const auto& each : judge::findings(terms, budget_of(i), seen)) ADD_FAILURE() << each.text;
+        for (const auto& each : judge::findings(terms, budget_of(i), observed)) ADD_FAILURE() << each.text;
     }
-    return judge::used(budget_of(0), seen, 0, boot_now());
+    return judge::count_permits(budget_of(0), observed, 0, boot_now());
 }
 
 }  // namespace flaxdoor::test
--- a/tests/budget/judge.h
+++ b/tests/budget/judge.h
@@ -1,19 +1,21 @@
-// Judges a fleet under one budget by what was seen from outside: the grants that the coordinator wrote down, what holders
-// told it on the way (as a relay saw it), and each attempt that came to a server. It shares no code with src/.
+// Judges a run of a fleet under one budget by external observations: the grants that the coordinator logged, the lease requests of
+// the holders as a relay saw them, and each attempt that arrived at a server. Shares no code with src/.
 //
-// Two questions. Do the shares in force ever sum to more than the whole? A grant counts from when it was written until
-// its end, and no longer than until its holder tells that it has taken a later one, or that it leaves; where nothing of
-// the holder was seen, until its second next grant, which answers a request that can have told. Places count for the
-// longest deadline beyond the end, since attempts that began under them may run. All reserves always count.
-// And does the work that servers saw stay within the whole? In every window of length W at most rate * W + size
-// permits; of places, never more attempts at once than there are.
+// Checks two properties. First, the shares in force never sum to more than the whole. A grant counts from when it was logged until
+// it ends, or until its holder reports that it has accepted a later grant or that it leaves. If no request of the holder was
+// observed, the grant counts until the holder's second next grant, which answers a request that can have reported it. Grants of
+// concurrency permits count for the longest attempt duration beyond their end, since attempts that began under them may still be
+// running. All reserves always count.
+// Second, the work at the servers stays within the whole: at most rate * W + size permits in every window of length W, and for a
+// concurrency budget never more attempts at once than permits.
 //
-// An attempt took its permit between when its client sent it and when its server saw it, and no longer than
-// Terms::way before that: this is the slack for the way between a balancer and a server, told by whoever judges.
+// An attempt took its permit after its client sent the call and before its server saw the first byte, at most
+// Terms::max_permit_to_first_byte before the latter. The caller chooses this allowance for the delay between a balancer and a
+// server.
 //
 // Units: microseconds of one machine's CLOCK_BOOTTIME; rates in thousandths of a permit a second.
-// Threading: plain functions.   Errors: read_grants() throws std::runtime_error naming the line.
-// Cost: quadratic in attempts of a budget; some thousands are judged in well under a second.
+// Threading: pure functions.   Errors: read_grants() throws std::runtime_error naming the line.
+// Cost: quadratic in the attempts of a budget; some thousands take well under a second.
 #pragma once
 
 #include <compare>
@@ -25,7 +27,7 @@
 
 namespace flaxdoor::judge {
 
-using Us = std::int64_t;
+using Microseconds = std::int64_t;
 
 struct Amount {
     std::int64_t rate = 0, size = 0;
@@ -35,71 +37,74 @@
     friend auto operator<=>(const Fence&, const Fence&) = default;
 };
 struct Grant {
-    Us at = 0, until = 0;
+    Microseconds at = 0, until = 0;
     std::string holder, instance;
     Fence fence;
     std::string budget;
     Amount share;
 };
-struct Told {  // by a holder's request
-    Us at = 0;
+// What a holder's lease request reported.
+struct HolderReport {
+    Microseconds at = 0;
     std::string holder, instance;
     Fence taken;
     bool leaving = false;
 };
 struct Attempt {
-    Us sent = 0;       // by its client, at the earliest
-    Us begun = 0;      // its first byte at the server
-    Us ended = 0;      // its work at the server
-    std::string call;  // the same for all attempts of a call
+    Microseconds sent = 0;   // earliest time at which the client sent the call
+    Microseconds begun = 0;  // the first byte arrived at the server
+    Microseconds ended = 0;  // the server finished its work
+    std::string call;        // id of the call, shared by its attempts
     std::string balancer, tenant, of_class;
 };
 
 struct Log {
     std::vector<Grant> grants;
-    std::vector<Told> told;
+    std::vector<HolderReport> holder_reports;
     std::vector<Attempt> attempts;
 };
 
 enum class Counts { requests, attempts, retries, concurrency };
 
 struct Whole {
-    Us from = 0;
+    Microseconds from = 0;
     Amount amount;
 };
 struct Budget {
     std::string name;
     Counts counts = Counts::requests;
-    std::string tenant, of_class;  // empty: any
-    std::vector<Whole> wholes;     // in order; one that is cut stays in force for a term
+    std::string tenant, of_class;  // empty matches any
+    std::vector<Whole> wholes;     // in order of time; a reduced whole stays in force for a term
     Amount reserve;                // of each balancer
-    int balancers = 1;             // that have a reserve
+    int balancers = 1;             // number of balancers that have a reserve
 };
 struct Terms {
-    Us term = 0;
+    Microseconds term = 0;
     double drift = 0;
-    Us longest = 0;
-    Us way = 0;
+    Microseconds longest = 0;
+    Microseconds max_permit_to_first_byte = 0;
 };
 
 struct Finding {
-    Us at = 0;
+    Microseconds at = 0;
     std::string text;
 };
 
-// The first of each kind, or none.
+// Returns the first violation of each kind.
 [[nodiscard]] std::vector<Finding> findings(const Terms& terms, const Budget& budget, const Log& log);
-// The same for the grants alone, and for the work alone.
+// Return the first violation by the grants, and by the work.
 [[nodiscard]] std::vector<Finding> grant_findings(const Terms& terms, const Budget& budget, const Log& log);
 [[nodiscard]] std::vector<Finding> work_findings(const Terms& terms, const Budget& budget, const Log& log);
 
-// Permits used from `from` on, before `to`.
-[[nodiscard]] std::int64_t used(const Budget& budget, const Log& log, Us from, Us to);
-// From `from` until the end of the first window behind it in which `share` of the rate was used.
-[[nodiscard]] std::optional<Us> until_use(const Budget& budget, const Log& log, Us from, Us window,
-                                          double share = 0.95);
+// Returns the number of permits used in [from, to).
+[[nodiscard]] std::int64_t count_permits(const Budget& budget, const Log& log, Microseconds from,
+                                         Microseconds to);
+// Returns the time from `from` to the end of the first window after it in which at least `share` of the rate was used.
+[[nodiscard]] std::optional<Microseconds> time_until_used(const Budget& budget, const Log& log,
+                                                          Microseconds from, Microseconds window,
+                                                          double share = 0.95);
 
-// A JSON object a line. A last line that is not whole is left out: its writer may have been killed.
+// Reads one JSON object a line. Ignores an incomplete last line, since its writer may have been killed.
 [[nodiscard]] std::vector<Grant> read_grants(std::istream& in);
 
 }  // namespace flaxdoor::judge
--- a/tests/budget/lab_test.cpp
+++ b/tests/budget/lab_test.cpp
@@ -1,5 +1,5 @@
-// The lab's worlds of budgets: that its judge sees what is broken, that drawn worlds keep the budgets, and every order of a
-// small one.
+// Tests of the lab's simulated budget worlds: the judge detects violations, random worlds keep the budgets, and so does every
+// order of events in a small world.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -30,13 +30,14 @@
 struct Case {
     const char* name;
     std::vector<Record> records;
-    const char* broken;  // the first rule; empty: none
+    const char* broken;  // the first violated rule; empty if none
 };
 
-// Budget 0: ten a second, two deep; budget 1: two places. A term is 100 ms, an attempt 50 ms.
+// Budget 0: ten permits a second and a depth of two. Budget 1: two concurrency permits. The lease term is 100 ms, the longest
+// attempt 50 ms.
 class JudgeCase : public testing::TestWithParam<Case> {};
 
-TEST_P(JudgeCase, IsSeen) {
+TEST_P(JudgeCase, IsDetected) {
     Judge judge({{{"rate", false, {}}, {"pool", true, {}}}, 100 * ms, 50 * ms});
     judge.put(whole(0, 0, {10'000, 2}));
     judge.put(whole(0, 1, {0, 2}));
@@ -52,37 +53,44 @@
     Judge, JudgeCase,
     testing::Values(
         Case{"SharesThatSumToTheWhole", {lease(1, 1, {5000, 1}, 9 * ms), lease(2, 2, {5000, 1}, 9 * ms)}, ""},
-        Case{"ARateBeyondIt", {lease(1, 1, {5000, 1}, 9 * ms), lease(2, 2, {5001, 1}, 9 * ms)}, "shares"},
-        Case{"ASizeBeyondIt", {lease(1, 1, {1, 2}, 9 * ms), lease(2, 2, {1, 1}, 9 * ms)}, "shares"},
+        Case{
+            "ARateAboveTheWhole", {lease(1, 1, {5000, 1}, 9 * ms), lease(2, 2, {5001, 1}, 9 * ms)}, "shares"},
+        Case{"ASizeAboveTheWhole", {lease(1, 1, {1, 2}, 9 * ms), lease(2, 2, {1, 1}, 9 * ms)}, "shares"},
         Case{"AReserveBesideALease", {reserve(1, 1, {0, 1}), lease(2, 2, {0, 2}, 9 * ms)}, "shares"},
         Case{"AfterALeasesEnd", {lease(1, 1, {0, 2}, 9 * ms), lease(9 * ms, 2, {0, 2}, 20 * ms)}, ""},
-        Case{"JustAheadOfIt", {lease(1, 1, {0, 2}, 9 * ms), lease(9 * ms - 1, 2, {0, 2}, 20 * ms)}, "shares"},
-        Case{"AfterAProcessIsGone",
+        Case{"JustBeforeALeasesEnd",
+             {lease(1, 1, {0, 2}, 9 * ms), lease(9 * ms - 1, 2, {0, 2}, 20 * ms)},
+             "shares"},
+        Case{"AfterAProcessHasEnded",
              {lease(1, 1, {0, 2}, 9 * ms), gone(2, 1), lease(3, 2, {0, 2}, 9 * ms)},
              ""},
-        Case{"WithinATermOfACut", {whole(0, 0, {1000, 1}), lease(99 * ms, 1, {0, 2}, 99 * ms + 1)}, ""},
-        Case{"BeyondATermOfACut", {whole(0, 0, {1000, 1}), lease(99 * ms, 1, {0, 2}, 101 * ms)}, "shares"},
+        Case{"WithinATermOfAReduction", {whole(0, 0, {1000, 1}), lease(99 * ms, 1, {0, 2}, 99 * ms + 1)}, ""},
+        Case{"MoreThanATermAfterAReduction",
+             {whole(0, 0, {1000, 1}), lease(99 * ms, 1, {0, 2}, 101 * ms)},
+             "shares"},
         Case{"ABurstOfTheSize", {begun(1, 0), begun(1, 0), begun(100 * ms + 1, 0)}, ""},
-        Case{"ABurstBeyondIt", {begun(1, 0), begun(1, 0), begun(100 * ms, 0)}, "work"},
-        Case{"ALongWindowBeyondIt",
+        Case{"ABurstAboveTheSize", {begun(1, 0), begun(1, 0), begun(100 * ms, 0)}, "work"},
+        Case{"ALongWindowAboveTheRate",
              {begun(1, 0), begun(90 * ms, 0), begun(180 * ms, 0), begun(270 * ms, 0), begun(299 * ms, 0)},
              "work"},
-        Case{"ABurstOfTheOldSizeAfterACut",
+        Case{"ABurstOfTheOldSizeAfterAReduction",
              {whole(0, 0, {10'000, 1}), begun(150 * ms, 0), begun(150 * ms, 0)},
              "work"},
-        Case{"PlacesThatAreFreedInTime", {begun(1, 1), begun(1, 1), ended(2, 1), begun(2, 1)}, ""},
-        Case{"AThirdAtOnce", {begun(1, 1), begun(1, 1), begun(2, 1)}, "places"},
-        Case{"OldPlacesOutliveACutByATermAndAnAttempt",
+        Case{"ConcurrencyPermitsFreedInTime", {begun(1, 1), begun(1, 1), ended(2, 1), begun(2, 1)}, ""},
+        Case{"AThirdConcurrentAttempt", {begun(1, 1), begun(1, 1), begun(2, 1)}, "places"},
+        Case{"OldConcurrencyOutlivesAReductionByATermAndAnAttempt",
              {whole(0, 1, {0, 1}), begun(149 * ms, 1), begun(149 * ms, 1)},
              ""},
-        Case{"AndNoLonger", {whole(0, 1, {0, 1}), begun(150 * ms, 1), begun(150 * ms, 1)}, "places"},
-        Case{"TimeThatGoesBack", {begun(2, 0), begun(1, 0)}, "trace"},
-        Case{"AnEndTooMany", {ended(2, 1)}, "trace"}),
+        Case{"OldConcurrencyBeyondATermAndAnAttempt",
+             {whole(0, 1, {0, 1}), begun(150 * ms, 1), begun(150 * ms, 1)},
+             "places"},
+        Case{"ATimeThatGoesBack", {begun(2, 0), begun(1, 0)}, "trace"},
+        Case{"AnEndWithoutABegin", {ended(2, 1)}, "trace"}),
     [](const auto& info) { return info.param.name; });
 
 class Worlds : public testing::TestWithParam<Kind> {};
 
-// Where the design says that a budget is not kept, that it isn't is seen.
+// Kinds of worlds that the design excludes from its guarantee must show a violation.
 TEST_P(Worlds, KeepTheirBudgets) {
     const Kind& kind = GetParam();
     const std::uint64_t worlds = kind.name == "mixed" ? 60 : 20;
@@ -97,7 +105,7 @@
         for (const std::string& each : played.broken.front().story) story += each + "\n";
         FAIL() << kind.name << " seed " << seed << ": " << played.broken.front().text << "\n" << story;
     }
-    EXPECT_GT(begun, 100 * worlds) << "worlds in which nothing happens show nothing";
+    EXPECT_GT(begun, 100 * worlds) << "worlds without attempts show nothing";
     if (!kind.holds) {
         EXPECT_GT(broken, 0U);
     }
@@ -114,8 +122,8 @@
     EXPECT_EQ(first, second);
 }
 
-// Twenty budgets of all kinds among thirty balancers, with uneven demand, and half of them die and come back.
-TEST(Budgets, TwentyAmongThirty) {
+// Twenty budgets of all kinds among thirty balancers with uneven demand; half of the balancers die and restart.
+TEST(Budgets, TwentyBudgetsAmongThirtyBalancers) {
     auto setup = typical(30, 1);
     setup.lasts = 12'000 * ms;
     setup.terms.budgets.clear();
@@ -130,8 +138,8 @@
                                        places ? budget::Amount{} : budget::Amount{100, 0}});
     }
     setup.troubles = {{1000 * ms, Trouble::Kind::demand_skewed, 0, 0, Trouble::Store::own}};
-    for (std::uint32_t who = 0; who < 30; who += 2) {
-        setup.troubles.push_back({4000 * ms, Trouble::Kind::kill, who, 1000 * ms, Trouble::Store::own});
+    for (std::uint32_t balancer = 0; balancer < 30; balancer += 2) {
+        setup.troubles.push_back({4000 * ms, Trouble::Kind::kill, balancer, 1000 * ms, Trouble::Store::own});
     }
     setup.troubles.push_back({7000 * ms, Trouble::Kind::authority_dies, 0, 500 * ms, Trouble::Store::own});
     const Played played = judged(setup);
@@ -152,7 +160,7 @@
     EXPECT_GT(orders.states, 100'000U);
 }
 
-TEST(Budgets, EveryOrderOfASmallWorldWhoseAuthorityStartsAnew) {
+TEST(Budgets, EveryOrderOfASmallWorldWithAnAuthorityRestart) {
     SmallWorld small;
     small.ticks = 3;
     small.under_way_most = 1;
@@ -166,9 +174,9 @@
     EXPECT_GT(orders.states, 50'000U);
 }
 
-// With no faults. Under the aim of 95% are skewed rates among many where the burst is small: a bucket that saves up
-// less than chance brings loses what it can't save (docs/measurements/budget_lab.md).
-TEST(Use, OfTheWholeWhereDemandIsThere) {
+// Without faults. Skewed rates among many balancers with a small burst stay below the aim of 95%: a bucket whose depth is smaller
+// than the random variation of the demand loses the tokens that it can't save (docs/measurements/budget_lab.md).
+TEST(Use, OfTheWholeUnderSufficientDemand) {
     struct Row {
         std::uint32_t names;
         Trouble::Kind demand;
@@ -190,9 +198,9 @@
     }
 }
 
-TEST(Use, SevenPlacesGoRoundAmongThirty) {
+TEST(Use, SevenConcurrencyPermitsRotateAmongThirty) {
     const double seconds = until_each_had_one(30, 1);
-    EXPECT_GT(seconds, 0) << "some had none in two minutes";
+    EXPECT_GT(seconds, 0) << "some holders had no permit within two minutes";
     EXPECT_LT(seconds, 30);
 }
 
--- a/tests/coordinator/journal_test.cpp
+++ b/tests/coordinator/journal_test.cpp
@@ -1,5 +1,5 @@
-// The journal over a disk in memory: at whatever point the process is killed, or the machine loses its power, the next
-// start knows every grant whose reply had left, or says that it does not know all.
+// Tests of the journal over an in-memory disk: if the process is killed or the machine loses power at any point, the next start
+// either knows every grant whose reply was sent, or reports that its records may be incomplete.
 #include "coordinator/journal.h"
 
 #include <gtest/gtest.h>
@@ -22,24 +22,25 @@
 using store::test::Fault;
 using store::test::Image;
 
-// What has been done, in order: operations on the store's files are told by their number.
+// A step of a run. Its position among the operations on the store's files is their number.
 struct Step {
-    std::size_t operations = 0;                // done by then
-    std::optional<std::string> witness{};      // written, or removed where it is empty
-    std::optional<budget::LeaseReply> left{};  // a reply left
+    std::size_t operations = 0;                 // number of file operations before this step
+    std::optional<std::string> witness{};       // new text of the witness; an empty text removes it
+    std::optional<budget::LeaseReply> reply{};  // a reply that was sent
     std::string holder{};
     Time until{};
 };
 
-struct Trail {  // of a run
+// Everything that a run of the service did.
+struct RunRecord {
     store::test::SimFiles files;
     std::vector<Step> steps;
     std::string witness;
 };
 
-class Told final : public Witness {
+class RecordedWitness final : public Witness {
 public:
-    explicit Told(Trail& run) : run_(run) {}
+    explicit RecordedWitness(RunRecord& run) : run_(run) {}
     int read(std::string& text) override {
         text = run_.witness;
         return text.empty() ? ENOENT : 0;
@@ -53,40 +54,40 @@
         run_.steps.push_back({run_.files.operations().size(), run_.witness, {}, {}, {}});
         return 0;
     }
-    Trail& run_;
+    RunRecord& run_;
 };
 
-// Names are two bytes as short as can be; of three processes one dies, one changes its need.
-void play(Trail& run, int requests) {
-    Parts parts;
-    parts.files = std::make_unique<Borrowed>(run.files);
-    parts.witness = std::make_unique<Told>(run);
+// Runs the service for `requests` requests of three processes, of which one stops and all change their demand.
+void play(RunRecord& run, int requests) {
+    ServiceParts parts;
+    parts.files = std::make_unique<BorrowedFiles>(run.files);
+    parts.witness = std::make_unique<RecordedWitness>(run);
     auto service = parts.service();
     ASSERT_TRUE(service);
-    std::map<std::string, budget::Fence> taken;
+    std::map<std::string, budget::Fence> accepted;
     for (int i = 0; i < requests; ++i) {
         parts.clock.at += Micros(400'000);
         const std::string holder = i % 3 == 2 && i > requests / 2 ? "n1" : "n" + std::to_string(i % 3);
         budget::LeaseRequest request =
             parts.request(holder, static_cast<std::uint64_t>(i + 1), 1000 * (i % 7));
-        request.taken = taken[holder];
+        request.taken = accepted[holder];
         const auto reply = parts.ask(*service, request);
         ASSERT_TRUE(reply);
         if (reply->verdict != budget::Verdict::granted) continue;
-        taken[holder] = {reply->epoch, reply->seq};
+        accepted[holder] = {reply->epoch, reply->seq};
         run.steps.push_back(
             {run.files.operations().size(), {}, reply, holder, parts.clock.at + Micros(1'000'000)});
     }
 }
 
 Journal::Opened open(const Image& image, const std::string& witness, Time now, const std::string& boot,
-                     Trail& fresh) {
-    fresh.files = store::test::SimFiles(image);
-    fresh.witness = witness;
+                     RunRecord& reopened) {
+    reopened.files = store::test::SimFiles(image);
+    reopened.witness = witness;
     Journal::World world;
-    world.files = std::make_unique<Borrowed>(fresh.files);
+    world.files = std::make_unique<BorrowedFiles>(reopened.files);
     world.chance = store::test::counting(77);
-    world.witness = std::make_unique<Told>(fresh);
+    world.witness = std::make_unique<RecordedWitness>(reopened);
     world.boot = boot;
     world.now = now;
     world.unix_now = Time(5);
@@ -95,97 +96,99 @@
 
 bool knows(const budget::Authority::Start& start, const Step& step) {
     for (const budget::Record& record : start.records) {
-        for (const auto& given : record.given) {
+        for (const auto& allocation : record.allocations) {
             if (record.holder == step.holder &&
-                given.fence == budget::Fence{step.left->epoch, step.left->seq})
+                allocation.fence == budget::Fence{step.reply->epoch, step.reply->seq})
                 return true;
         }
     }
     return false;
 }
 
-// `last_of`: the newest grant of a holder that had left by then; earlier ones are superseded once it told so.
-void check(const Trail& run, std::size_t operations, std::size_t steps, const Image& image,
+// Opens a copy of the store as of a point of the run, and checks that a current start knows the last grant that was sent to each
+// holder. Earlier grants are superseded once the holder has reported the last one.
+void check(const RunRecord& run, std::size_t operations, std::size_t steps, const Image& image,
            const std::string& boot) {
     std::string witness;
     std::map<std::string, const Step*> last_of;
-    Time now = Parts::start;
+    Time now = ServiceParts::start;
     std::uint64_t epoch = 0;
     for (std::size_t i = 0; i < steps; ++i) {
         const Step& step = run.steps[i];
         if (step.witness) witness = *step.witness;
-        if (!step.left) continue;
+        if (!step.reply) continue;
         last_of[step.holder] = &step;
         now = step.until - Micros(1'000'000);
-        epoch = step.left->epoch;
+        epoch = step.reply->epoch;
     }
-    Trail fresh;
-    const Journal::Opened opened = open(image, witness, now + Micros(1), boot, fresh);
+    RunRecord reopened;
+    const Journal::Opened opened = open(image, witness, now + Micros(1), boot, reopened);
     ASSERT_TRUE(opened.result) << operations << ": " << opened.result.why;
     EXPECT_GT(opened.start.epoch, epoch) << operations;
-    if (boot != Parts::boot_id) {
+    if (boot != ServiceParts::boot_id) {
         EXPECT_FALSE(opened.start.current);
         EXPECT_TRUE(opened.start.records.empty());
     }
     if (!opened.start.current) return;
     for (const auto& [holder, step] : last_of) {
-        if (step->until <= now) continue;  // it has ended, and may be forgotten
+        if (step->until <= now) continue;  // the lease has ended, so its record may be removed
         EXPECT_TRUE(knows(opened.start, *step))
             << "operation " << operations << ", step " << steps << ": a grant to " << holder
-            << " had left, and a start that takes itself for current does not know it";
+            << " was sent, and a current start does not know it";
     }
 }
 
-TEST(CoordinatorJournal, CutAtEveryPoint) {
-    Trail run;
+TEST(CoordinatorJournal, KilledOrPowerLostAtEveryPoint) {
+    RunRecord run;
     ASSERT_NO_FATAL_FAILURE(play(run, 40));
     std::size_t current = 0;
     for (std::size_t done = 0, steps = 0; done <= run.files.operations().size(); ++done) {
         Disk disk;
         for (std::size_t i = 0; i < done; ++i) disk.apply(run.files.operations()[i]);
-        // Between two operations: ahead of, between and behind the steps that were taken there.
+        // Between two operations: before, between and after the steps at this point.
         for (;;) {
-            ASSERT_NO_FATAL_FAILURE(check(run, done, steps, disk.visible(), Parts::boot_id));  // killed
+            ASSERT_NO_FATAL_FAILURE(
+                check(run, done, steps, disk.visible(), ServiceParts::boot_id));  // killed
             const Image kept = disk.cut({.kept = 0, .names_kept = 0, .stale = {}});
-            ASSERT_NO_FATAL_FAILURE(check(run, done, steps, kept, "another"));  // no power
-            // A disk of another machine, which alone lost it.
-            ASSERT_NO_FATAL_FAILURE(check(run, done, steps, kept, Parts::boot_id));
-            Trail fresh;
-            current += open(disk.visible(), steps ? run.witness : "", Parts::start + Micros(60'000'000),
-                            Parts::boot_id, fresh)
+            ASSERT_NO_FATAL_FAILURE(check(run, done, steps, kept, "another"));  // power lost
+            // A remote disk that alone lost its unsynced data.
+            ASSERT_NO_FATAL_FAILURE(check(run, done, steps, kept, ServiceParts::boot_id));
+            RunRecord reopened;
+            current += open(disk.visible(), steps ? run.witness : "",
+                            ServiceParts::start + Micros(60'000'000), ServiceParts::boot_id, reopened)
                            .start.current;
             if (steps == run.steps.size() || run.steps[steps].operations != done) break;
             ++steps;
         }
-        if (done < run.files.operations().size()) {  // torn within the next one
+        if (done < run.files.operations().size()) {  // the next operation is torn
             const auto& next = run.files.operations()[done];
             if (next.kind == store::test::Operation::Kind::append && next.bytes.size() > 1) {
                 Disk torn = disk;
                 torn.apply(next, next.bytes.size() / 2);
-                ASSERT_NO_FATAL_FAILURE(check(run, done, steps, torn.visible(), Parts::boot_id));
+                ASSERT_NO_FATAL_FAILURE(check(run, done, steps, torn.visible(), ServiceParts::boot_id));
             }
         }
     }
-    EXPECT_GT(current, 0u) << "the last state is current by its witness";
+    EXPECT_GT(current, 0u) << "the last state is current according to its witness";
 }
 
 TEST(CoordinatorJournal, WhatMakesAStartCurrent) {
-    Trail run;
+    RunRecord run;
     ASSERT_NO_FATAL_FAILURE(play(run, 20));
     const Image last = run.files.disk().visible();
-    std::string half;  // the witness of half the way
-    std::size_t half_operations = 0;
+    std::string earlier_witness;  // the witness at the middle of the run
+    std::size_t earlier_operations = 0;
     for (std::size_t i = 0; i < run.steps.size() / 2; ++i) {
         if (run.steps[i].witness) {
-            half = *run.steps[i].witness;
-            half_operations = run.steps[i].operations;
+            earlier_witness = *run.steps[i].witness;
+            earlier_operations = run.steps[i].operations;
         }
     }
-    Disk half_disk;
-    for (std::size_t i = 0; i < half_operations; ++i) half_disk.apply(run.files.operations()[i]);
-    const Image old = half_disk.visible();
-    const Time later = Parts::start + Micros(60'000'000);
-    const auto other = [&](const char* what, const char* with) {
+    Disk earlier_disk;
+    for (std::size_t i = 0; i < earlier_operations; ++i) earlier_disk.apply(run.files.operations()[i]);
+    const Image earlier_image = earlier_disk.visible();
+    const Time later = ServiceParts::start + Micros(60'000'000);
+    const auto changed_witness = [&](const char* what, const char* with) {
         std::string text = run.witness;
         return text.replace(text.find(what), std::string(what).size(), with);
     };
@@ -198,46 +201,46 @@
         bool current;
         const char* why;
     } cases[] = {
-        {"the latest", last, run.witness, later, Parts::boot_id, true, ""},
-        {"no witness", last, "", later, Parts::boot_id, false, "the witness: "},
-        {"a copy of a while ago", old, run.witness, later, Parts::boot_id, false,
+        {"the latest store", last, run.witness, later, ServiceParts::boot_id, true, ""},
+        {"no witness", last, "", later, ServiceParts::boot_id, false, "the witness: "},
+        {"an older copy", earlier_image, run.witness, later, ServiceParts::boot_id, false,
          "the store is an older copy"},
-        {"a copy with its witness of then", old, half, later, Parts::boot_id, true,
-         ""},  // as the design says
-        {"an empty store", Image{}, run.witness, later, Parts::boot_id, false, "the store is empty"},
-        {"another boot", last, run.witness, later, "other", false, "the machine has been started since"},
-        {"a witness of another boot", last, other("boot-1", "boot-2"), later, Parts::boot_id, false,
-         "the witness is of another boot"},
-        {"a witness of another copy", last, other("\"opening\":\"", "\"opening\":\"0"), later, Parts::boot_id,
-         false, "the witness is of another copy"},
-        {"a witness of another store", last, other("\"store\":\"", "\"store\":\"0"), later, Parts::boot_id,
-         false, "the witness is of another store"},
-        {"a witness that is cut", last, run.witness.substr(0, 20), later, Parts::boot_id, false,
-         "the witness: no JSON"},
-        {"while the start before waits", last, run.witness, Parts::start + Micros(2'000'000), Parts::boot_id,
-         false, "the start before this one"},
+        {"an older copy with its witness", earlier_image, earlier_witness, later, ServiceParts::boot_id, true,
+         ""},  // the design accepts this
+        {"an empty store", Image{}, run.witness, later, ServiceParts::boot_id, false, "the store is empty"},
+        {"another boot", last, run.witness, later, "other", false, "the machine was restarted"},
+        {"a witness of another boot", last, changed_witness("boot-1", "boot-2"), later, ServiceParts::boot_id,
+         false, "the witness belongs to another boot"},
+        {"a witness of another copy", last, changed_witness("\"opening\":\"", "\"opening\":\"0"), later,
+         ServiceParts::boot_id, false, "the witness belongs to another copy"},
+        {"a witness of another store", last, changed_witness("\"store\":\"", "\"store\":\"0"), later,
+         ServiceParts::boot_id, false, "the witness belongs to another store"},
+        {"a truncated witness", last, run.witness.substr(0, 20), later, ServiceParts::boot_id, false,
+         "the witness: not JSON"},
+        {"the previous start was still waiting", last, run.witness, ServiceParts::start + Micros(2'000'000),
+         ServiceParts::boot_id, false, "the previous start had incomplete"},
     };
     for (const auto& each : cases) {
-        Trail fresh;
-        const auto opened = open(each.image, each.witness, each.now, each.boot, fresh);
+        RunRecord reopened;
+        const auto opened = open(each.image, each.witness, each.now, each.boot, reopened);
         ASSERT_TRUE(opened.result) << each.name << ": " << opened.result.why;
         EXPECT_EQ(opened.start.current, each.current) << each.name << ": " << opened.why;
         EXPECT_TRUE(opened.why.starts_with(each.why)) << each.name << ": " << opened.why;
         EXPECT_EQ(opened.start.longest_term, each.image.empty() ? Micros(0) : Micros(1'000'000)) << each.name;
-        // A start that was none tells the next one so, unless the first waits it out.
-        if (each.current || each.boot != std::string(Parts::boot_id)) continue;
-        Trail again;
+        // A start that is not current makes the next one not current either, unless it has finished waiting.
+        if (each.current || each.boot != std::string(ServiceParts::boot_id)) continue;
+        RunRecord again;
         EXPECT_FALSE(
-            open(fresh.files.disk().visible(), fresh.witness, each.now, each.boot, again).start.current)
+            open(reopened.files.disk().visible(), reopened.witness, each.now, each.boot, again).start.current)
             << each.name;
     }
 }
 
-// By a mistake in their files two coordinators have one witness: it vouches for whoever wrote it last, and for that one's
-// latest store alone.
-TEST(CoordinatorJournal, TwoWithOneWitness) {
-    struct Shared final : Witness {
-        explicit Shared(std::string& its) : text_(its) {}
+// A misconfiguration gives two coordinators the same witness. The witness confirms only the latest store of the coordinator that
+// wrote it last.
+TEST(CoordinatorJournal, TwoCoordinatorsWithOneWitness) {
+    struct SharedWitness final : Witness {
+        explicit SharedWitness(std::string& text) : text_(text) {}
         int read(std::string& text) override {
             text = text_;
             return text.empty() ? ENOENT : 0;
@@ -249,17 +252,17 @@
         int remove() override { return write({}); }
         std::string& text_;
     };
-    for (const bool copied : {false, true}) {  // stores of their own, or one a copy of the other's
+    for (const bool copied : {false, true}) {  // separate stores, or one a copy of the other
         for (const std::string order : {"ab", "ba", "aab", "bba", "abab"}) {
             SCOPED_TRACE(order + (copied ? ", copied" : ""));
             std::string witness;
             store::test::SimFiles files[2];
-            Parts parts[2];
+            ServiceParts parts[2];
             std::unique_ptr<Service> services[2];
             const auto begin = [&](std::size_t i) {
                 parts[i].chance = 1000 * (i + 1);
-                parts[i].files = std::make_unique<Borrowed>(files[i]);
-                parts[i].witness = std::make_unique<Shared>(witness);
+                parts[i].files = std::make_unique<BorrowedFiles>(files[i]);
+                parts[i].witness = std::make_unique<SharedWitness>(witness);
                 services[i] = parts[i].service();
                 ASSERT_TRUE(services[i]);
                 parts[i].clock.at += Micros(2'500'000);
@@ -269,31 +272,32 @@
             if (copied) files[1] = store::test::SimFiles(files[0].disk().visible());
             ASSERT_NO_FATAL_FAILURE(begin(1));
             std::uint64_t number = 2;
-            for (const char who : order) {
-                const auto i = static_cast<std::size_t>(who - 'a');
+            for (const char coordinator : order) {
+                const auto i = static_cast<std::size_t>(coordinator - 'a');
                 ASSERT_TRUE(parts[i].ask(*services[i], parts[i].request("n1", number++, 1)));
             }
             const auto last = static_cast<std::size_t>(order.back() - 'a');
             for (const std::size_t i : {0U, 1U}) {
                 const Image kept = files[i].disk().visible();
-                Trail fresh;
-                const auto opened =
-                    open(kept, witness, Parts::start + Micros(60'000'000), Parts::boot_id, fresh);
+                RunRecord reopened;
+                const auto opened = open(kept, witness, ServiceParts::start + Micros(60'000'000),
+                                         ServiceParts::boot_id, reopened);
                 EXPECT_EQ(opened.start.current, i == last) << i << ": " << opened.why;
             }
         }
     }
 }
 
-// It knows nothing of what the later one grants: nor does its next start, though nothing is older or missing.
-TEST(CoordinatorJournal, OneThatSteppedDown) {
+// An authority that has stepped down does not know its successor's grants. Nor does its next start, although its store is complete
+// and up to date.
+TEST(CoordinatorJournal, StartAfterSteppingDownIsNotCurrent) {
     for (const bool stepped_down : {false, true}) {
-        Trail run;
+        RunRecord run;
         Time end{};
         {
-            Parts parts;
-            parts.files = std::make_unique<Borrowed>(run.files);
-            parts.witness = std::make_unique<Told>(run);
+            ServiceParts parts;
+            parts.files = std::make_unique<BorrowedFiles>(run.files);
+            parts.witness = std::make_unique<RecordedWitness>(run);
             auto service = parts.service();
             ASSERT_TRUE(service);
             parts.clock.at += Micros(2'500'000);
@@ -304,41 +308,42 @@
                       stepped_down ? budget::Verdict::stepped_down : budget::Verdict::granted);
             end = parts.clock.at;
         }
-        Trail again;
-        const auto opened = open(run.files.disk().visible(), run.witness, end, Parts::boot_id, again);
+        RunRecord again;
+        const auto opened = open(run.files.disk().visible(), run.witness, end, ServiceParts::boot_id, again);
         EXPECT_EQ(opened.start.current, !stepped_down) << opened.why;
     }
 }
 
-// Two copies that went on apart: the one put back has more commits than the witness of the other, and is not current.
-TEST(CoordinatorJournal, CopiesThatWentOnApart) {
-    Trail run;
+// Two copies of a store are used separately. A copy that is put back has more commits than the other one's witness and still
+// is not current.
+TEST(CoordinatorJournal, DivergedCopies) {
+    RunRecord run;
     ASSERT_NO_FATAL_FAILURE(play(run, 20));
-    const Time later = Parts::start + Micros(60'000'000);
-    Trail other;
-    ASSERT_TRUE(open(run.files.disk().visible(), run.witness, later, Parts::boot_id, other).result);
-    Trail again;
-    const auto opened = open(run.files.disk().visible(), other.witness, later, Parts::boot_id, again);
+    const Time later = ServiceParts::start + Micros(60'000'000);
+    RunRecord copy;
+    ASSERT_TRUE(open(run.files.disk().visible(), run.witness, later, ServiceParts::boot_id, copy).result);
+    RunRecord again;
+    const auto opened = open(run.files.disk().visible(), copy.witness, later, ServiceParts::boot_id, again);
     EXPECT_FALSE(opened.start.current);
-    EXPECT_EQ(opened.why, "the witness is of another copy of the store");
+    EXPECT_EQ(opened.why, "the witness belongs to another copy of the store");
 }
 
-// Each write in turn fails, once: without its reply, and what was acknowledged is there.
-TEST(CoordinatorJournal, EachCallFailsOnce) {
-    Trail whole;
-    ASSERT_NO_FATAL_FAILURE(play(whole, 6));
+// Each write fails once, in turn. A failed commit sends no reply, and everything acknowledged is in the store.
+TEST(CoordinatorJournal, EachWriteFailsOnce) {
+    RunRecord complete;
+    ASSERT_NO_FATAL_FAILURE(play(complete, 6));
     std::size_t refused = 0;
     for (const int error : {ENOSPC, EIO}) {
-        for (std::size_t n = 0; n < whole.files.calls(); ++n) {
-            Trail run;
+        for (std::size_t n = 0; n < complete.files.calls(); ++n) {
+            RunRecord run;
             run.files.fault = [&](const store::test::Call& call) -> std::optional<Fault> {
                 return call.number == n && call.writes() ? std::optional(Fault{error, 3}) : std::nullopt;
             };
-            Parts parts;
-            parts.files = std::make_unique<Borrowed>(run.files);
-            parts.witness = std::make_unique<Told>(run);
+            ServiceParts parts;
+            parts.files = std::make_unique<BorrowedFiles>(run.files);
+            parts.witness = std::make_unique<RecordedWitness>(run);
             auto service = parts.service();
-            if (!service) continue;  // it could not be opened, and says so
+            if (!service) continue;  // the store could not be opened, which open() reports
             for (int i = 0; i < 6; ++i) {
                 parts.clock.at += Micros(1'500'000);
                 const auto request = parts.request("n1", static_cast<std::uint64_t>(i + 1), 1000);
@@ -352,33 +357,33 @@
             EXPECT_FALSE(run.steps.empty());
             run.files.fault = {};
             ASSERT_NO_FATAL_FAILURE(check(run, run.files.operations().size(), run.steps.size(),
-                                          run.files.disk().visible(), Parts::boot_id))
+                                          run.files.disk().visible(), ServiceParts::boot_id))
                 << "call " << n;
         }
     }
     EXPECT_GT(refused, 0u);
 }
 
-// A witness that can't be written goes; where even that fails, so has the commit.
-TEST(CoordinatorJournal, AWitnessThatCantBeWritten) {
-    struct Failing final : Witness {
-        explicit Failing(int& on_remove) : on_remove_(on_remove) {}
+// A witness that can't be written is removed. If that fails as well, the commit fails.
+TEST(CoordinatorJournal, WitnessThatCantBeWritten) {
+    struct FailingWitness final : Witness {
+        explicit FailingWitness(int& remove_result) : remove_result_(remove_result) {}
         int read(std::string&) override { return ENOENT; }
         int write(const std::string&) override { return ENOSPC; }
-        int remove() override { return on_remove_; }
-        int& on_remove_;
+        int remove() override { return remove_result_; }
+        int& remove_result_;
     };
-    int on_remove = 0;
-    Parts parts;
-    parts.witness = std::make_unique<Failing>(on_remove);
+    int remove_result = 0;
+    ServiceParts parts;
+    parts.witness = std::make_unique<FailingWitness>(remove_result);
     auto service = parts.service();
     ASSERT_TRUE(service);
     EXPECT_TRUE(parts.ask(*service, parts.request("n1", 1, 1)));
     EXPECT_TRUE(parts.log.has("the witness can't be written: No space left on device"));
-    on_remove = EACCES;
+    remove_result = EACCES;
     EXPECT_FALSE(parts.ask(*service, parts.request("n1", 2, 1)));
     EXPECT_TRUE(parts.log.has("coordinator: nothing is granted: the store: the witness can't be written"));
-    on_remove = 0;
+    remove_result = 0;
     EXPECT_TRUE(parts.ask(*service, parts.request("n1", 3, 1)));
     EXPECT_TRUE(parts.log.has("coordinator: grants are written again"));
 }
--- a/tests/coordinator/program_test.sh
+++ b/tests/coordinator/program_test.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# `flaxdoor coordinator` and `flaxdoor budget show` as a shell runs them: start, bad files, SIGHUP, SIGTERM, killed and
-# back with and without a witness, an older copy of the store.
+# Tests `flaxdoor coordinator` and `flaxdoor budget show` as a shell runs them: start, invalid files, SIGHUP, SIGTERM, restart after
+# SIGKILL with and without a witness, and an older copy of the store.
 set -eu
 program=$1
 work=$(mktemp -d)
@@ -29,26 +29,27 @@
 witness = "witness"
 T
 
-# Waits until the log has the line.
-told() {
+# Waits until the log has a matching line.
+wait_for_log() {
     i=0
     until grep -q -- "$1" log; do
         i=$((i + 1))
-        [ $i -lt 3000 ] || fail "not told: $1"
+        [ $i -lt 3000 ] || fail "not logged: $1"
         sleep 0.01
     done
 }
 start() {
-    : >log # else the lines of the one before may be read
+    : >log # otherwise lines of the previous process may match
     "$program" coordinator op.toml --grants grants 2>log &
     pid=$!
-    told '^listening on '
+    wait_for_log '^listening on '
     at=$(sed -n 's/^listening on //p' log)
 }
-# Asks, as a balancer does, until its share has places: from then on the coordinator knows all that is in force. It tells
-# what it has taken: to one that takes none of three grants in a row nothing more is given.
-ask_until_all_is_known() {
-    python3 - "$at" "$1" <<'P' || fail 'no share of places'
+# Sends lease requests as a balancer does, until its share has concurrency permits. From then on the coordinator's records are
+# complete. The requests report the accepted fencing token, since a holder that accepts none of three consecutive grants gets
+# empty grants.
+wait_until_records_are_complete() {
+    python3 - "$at" "$1" <<'P' || fail 'no share of concurrency permits'
 import http.client, json, sys, time
 at, instance = sys.argv[1:]
 need = lambda name, counts, wants: {"budget": name, "counts": counts, "wants": wants, "leased": [0, 0], "reserve": [0, 0],
@@ -67,7 +68,7 @@
         taken = [reply["epoch"], reply["seq"]]
     if any(g["budget"] == "at-once" and g["share"][1] > 0 for g in reply["grants"]):
         sys.exit(0)
-    time.sleep(0.01)  # between two questions
+    time.sleep(0.01)  # between two requests
 sys.exit(1)
 P
 }
@@ -78,8 +79,8 @@
     pid=
     [ "$status" = "$2" ] || fail "ended with $status after $1"
 }
-# A bad file: one clear error each, and 1.
-bad() { # what is wrong
+# An invalid file must cause exactly one error message and status 1.
+expect_rejected() { # expected part of the message
     status=0
     "$program" coordinator bad.toml 2>err || status=$?
     [ $status = 1 ] || fail "status $status: $(cat err)"
@@ -88,77 +89,79 @@
 }
 
 sed '/coordinator\]/,$d' op.toml >bad.toml
-bad 'bad.toml: there is no table [coordinator] (coordinator); add it, with listen and store'
+expect_rejected 'bad.toml: there is no table [coordinator] (coordinator); add it, with listen and store'
 sed 's/^rate.*/rate = "many"/' op.toml >bad.toml
-bad 'bad.toml:9:'
+expect_rejected 'bad.toml:9:'
 sed 's/^term.*/trem = "1s"/' op.toml >bad.toml
-bad 'bad.toml:4:'
+expect_rejected 'bad.toml:4:'
 sed 's,^store.*,store = "/proc/none",' op.toml >bad.toml
-bad 'flaxdoor: the store /proc/none: '
-rm -f bad.toml && bad 'bad.toml'
+expect_rejected 'flaxdoor: the store /proc/none: '
+rm -f bad.toml && expect_rejected 'bad.toml'
 status=0
 "$program" coordinator 2>err || status=$?
 [ $status = 2 ] || fail "no file: $status"
 
-# A first start waits; then it is ready, and says so.
+# The first start waits, then becomes ready and reports it.
 start
-told 'nothing is granted for .* ms: the store is empty'
+wait_for_log 'nothing is granted for .* ms: the store is empty'
 [ -s witness ] || fail 'no witness'
 "$program" budget show --at "$at" >out || fail "show: $?"
 grep -q "^coordinator $at, epoch [0-9]*: grants" out || fail "show: $(cat out)"
 grep -q '^bookings  requests     100/s+100 ' out || fail "show: $(cat out)"
 "$program" budget show --at "$at" --json | grep -q '"whole":\[100000,100\]' || fail 'show --json'
-# Another of the same store is kept out.
+# A second process with the same store is rejected.
 cp op.toml bad.toml
-bad 'flaxdoor: the store store: '
+expect_rejected 'flaxdoor: the store store: '
 
-# SIGHUP: new wholes; what takes a restart is told; a bad file changes nothing.
+# SIGHUP applies new wholes, logs settings that need a restart, and ignores an invalid file.
 sed -i 's/^rate.*/rate = 10/; s/^term.*/term = "2s"/' op.toml
 kill -HUP "$pid"
-told '^operator.s file: budget_limit\["bookings"\].rate: 100.0 to 10.0'
-told '^operator.s file: takes a restart: budget.term: '
-"$program" budget show --at "$at" | grep -q '^bookings  requests     10/s+10 ' || fail 'the whole is not the new one'
+wait_for_log '^operator.s file: budget_limit\["bookings"\].rate: 100.0 to 10.0'
+wait_for_log '^operator.s file: takes a restart: budget.term: '
+"$program" budget show --at "$at" | grep -q '^bookings  requests     10/s+10 ' || fail 'the new whole was not applied'
 sed -i 's/^rate.*/rate = -1/' op.toml
 kill -HUP "$pid"
-told '^the old operator.s file stays'
-"$program" budget show --at "$at" | grep -q '^bookings  requests     10/s+10 ' || fail 'a bad file changed the whole'
+wait_for_log '^the old operator.s file stays'
+"$program" budget show --at "$at" | grep -q '^bookings  requests     10/s+10 ' || fail 'an invalid file changed the whole'
 sed -i 's/^rate.*/rate = 100/; s/^term.*/term = "300ms"/' op.toml
 end TERM 0
-grep -q '^draining' log && grep -q '^drained' log || fail 'no end in order'
+grep -q '^draining' log && grep -q '^drained' log || fail 'no graceful shutdown'
 status=0
 "$program" budget show --at "$at" 2>err || status=$?
-[ $status = 1 ] || fail "show with nobody there: $status"
+[ $status = 1 ] || fail "show without a coordinator: $status"
 grep -q "^flaxdoor: the coordinator: $at: " err || fail "show: $(cat err)"
 
-# It ended within its wait, so the next one waits as well. Once all is known, a killed one comes back and goes on.
+# The first process ended while it waited, so the next one waits as well. Once its records are complete, a restart after SIGKILL
+# grants leases at once.
 start
-told 'nothing is granted for .* ms: the start before this one did not know all either'
-ask_until_all_is_known a
-grep -q '"budget":"at-once","epoch":.*"holder":"n1"' grants || fail 'no log of grants'
+wait_for_log 'nothing is granted for .* ms: the previous start had incomplete records as well'
+wait_until_records_are_complete a
+grep -q '"budget":"at-once","epoch":.*"holder":"n1"' grants || fail 'no grants log'
 "$program" budget show --at "$at" | grep -q '^at-once   n1  ' || fail "no holder: $("$program" budget show --at "$at")"
 end KILL 137
 start
-told 'the store is the latest, leases go on'
-"$program" budget show --at "$at" | grep -q '^at-once   n1 .* 7 ' || fail 'what was granted is not known'
+wait_for_log 'the store is the latest, leases go on'
+"$program" budget show --at "$at" | grep -q '^at-once   n1 .* 7 ' || fail 'the restarted coordinator does not know the grant'
 
-# Without its witness; with an older copy of its store, which by itself nothing tells from the latest.
+# A start with an older copy of the store, which only the witness distinguishes from the latest one, and a start without the
+# witness.
 end KILL 137
 cp -r store copy
 start
-told 'the store is the latest'
-ask_until_all_is_known b
+wait_for_log 'the store is the latest'
+wait_until_records_are_complete b
 end KILL 137
 rm -r store && mv copy store
 start
-told 'nothing is granted for .* ms: the '
-ask_until_all_is_known c
+wait_for_log 'nothing is granted for .* ms: the '
+wait_until_records_are_complete c
 end KILL 137
 rm witness
 start
-told 'nothing is granted for .* ms: the witness: No such file'
-ask_until_all_is_known d
+wait_for_log 'nothing is granted for .* ms: the witness: No such file'
+wait_until_records_are_complete d
 end KILL 137
 rm -r store
 start
-told 'nothing is granted for .* ms: the store is empty'
+wait_for_log 'nothing is granted for .* ms: the store is empty'
 end TERM 0
--- a/tests/coordinator/service_parts.h
+++ b/tests/coordinator/service_parts.h
@@ -1,4 +1,4 @@
-// A coordinator's service over a disk in memory and a clock that the test moves.
+// A coordinator's service over an in-memory disk and a clock set by the test.
 #pragma once
 
 #include <memory>
@@ -13,10 +13,10 @@
 
 namespace flaxdoor::coordinator::test {
 
-// A journal owns its files; a test looks at them afterwards.
-class Borrowed final : public store::Files {
+// Forwards to files that the test owns, since a journal owns the files that it is given.
+class BorrowedFiles final : public store::Files {
 public:
-    explicit Borrowed(store::Files& files) : files_(files) {}
+    explicit BorrowedFiles(store::Files& files) : files_(files) {}
     int create(const std::string& name, std::unique_ptr<store::File>& file) override {
         return files_.create(name, file);
     }
@@ -32,16 +32,16 @@
     store::Files& files_;
 };
 
-struct MovedClock final : core::Clock {
+struct ManualClock final : core::Clock {
     Time now() const override { return at; }
     Time at{};
 };
 
-struct Parts {
+struct ServiceParts {
     static constexpr const char* boot_id = "boot-1";
     static constexpr Time start = std::chrono::hours(1);
 
-    Parts() { clock.at = start; }
+    ServiceParts() { clock.at = start; }
 
     static budget::Terms terms() {
         budget::Terms terms;
@@ -51,7 +51,7 @@
         terms.budgets = {{"b", budget::Counts::requests, "", "", "", {9000, 9}, {100, 1}}};
         return terms;
     }
-    // Null when the store can't be opened.
+    // Returns null if the store can't be opened.
     std::unique_ptr<Service> service(GrantsLog* grants = nullptr) {
         Journal::World world;
         world.files = files ? std::move(files) : std::make_unique<store::test::SimFiles>();
@@ -83,17 +83,17 @@
         from.draining = draining;
         return std::get<http::Handler::Answer>(service.on_request(std::move(message), from)).message;
     }
-    // Empty: it was a 503.
+    // Returns empty if the response is not a 200 with a valid reply.
     static std::optional<budget::LeaseReply> ask(Service& service, const budget::LeaseRequest& request) {
         const http::Response answer = send(service, "POST", "/v1/leases", encode(request));
         if (answer.status != 200) return std::nullopt;
         auto reply = decode_reply(answer.body);
-        if (auto* const its = std::get_if<budget::LeaseReply>(&reply)) return std::move(*its);
+        if (auto* const decoded = std::get_if<budget::LeaseReply>(&reply)) return std::move(*decoded);
         return std::nullopt;
     }
 
-    std::uint64_t chance = 1;  // where its random numbers begin
-    MovedClock clock;
+    std::uint64_t chance = 1;  // start of the sequence of random numbers
+    ManualClock clock;
     flaxdoor::test::Lines log;
     std::unique_ptr<store::Files> files;
     std::unique_ptr<Witness> witness;
--- a/tests/coordinator/wire_test.cpp
+++ b/tests/coordinator/wire_test.cpp
@@ -1,4 +1,4 @@
-// Messages as text: what is written is read back, and whatever else comes gives a reason that names the field.
+// Tests of the JSON encoding: an encoded message decodes to itself, and any other text yields a reason that names the field.
 #include "coordinator/wire.h"
 
 #include <gtest/gtest.h>
@@ -7,32 +7,32 @@
 namespace {
 
 budget::LeaseRequest request() {
-    budget::LeaseRequest all;
-    all.holder = "n3";
-    all.instance = "8f0c";
-    all.number = 17;
-    all.taken = {1791, 5};
-    all.epoch = 1792;
-    all.clock = Time(123456789);
-    all.needs = {{"bookings", budget::Counts::requests, {12500, 13}, {9000, 9}, {500, 1}, 0},
-                 {"at-once", budget::Counts::concurrency, {0, 8}, {0, 4}, {0, 1}, 3}};
-    return all;
+    budget::LeaseRequest request;
+    request.holder = "n3";
+    request.instance = "8f0c";
+    request.number = 17;
+    request.taken = {1791, 5};
+    request.epoch = 1792;
+    request.clock = Time(123456789);
+    request.needs = {{"bookings", budget::Counts::requests, {12500, 13}, {9000, 9}, {500, 1}, 0},
+                     {"at-once", budget::Counts::concurrency, {0, 8}, {0, 4}, {0, 1}, 3}};
+    return request;
 }
 
-// "" when it is read.
+// Returns the reason why a request is malformed, or "" if it is valid.
 std::string fault_of(const std::string& text) {
     const auto read = decode_request(text);
-    const auto* const bad = std::get_if<Malformed>(&read);
-    return bad ? bad->why : std::string();
+    const auto* const malformed = std::get_if<Malformed>(&read);
+    return malformed ? malformed->why : std::string();
 }
 
-std::string with(std::string text, const std::string& what, const std::string& other) {
+std::string replaced(std::string text, const std::string& what, const std::string& other) {
     const auto at = text.find(what);
     EXPECT_NE(at, text.npos) << what;
     return text.replace(at, what.size(), other);
 }
 
-TEST(CoordinatorWire, ARequestIsReadBack) {
+TEST(CoordinatorWire, RequestRoundTrip) {
     const std::string text = encode(request());
     const auto read = decode_request(text);
     ASSERT_TRUE(std::holds_alternative<budget::LeaseRequest>(read)) << fault_of(text);
@@ -41,7 +41,7 @@
     EXPECT_EQ(std::get<budget::LeaseRequest>(read).taken, (budget::Fence{1791, 5}));
 }
 
-TEST(CoordinatorWire, ARequestOfTheDesignIsRead) {
+TEST(CoordinatorWire, RequestOfTheDesignIsValid) {
     EXPECT_EQ(
         fault_of(R"({"holder": "n3", "instance": "8f0c…", "number": 17, "taken": [1791, 5], "epoch": 1791,
         "clock_us": 123456789, "leaving": false, "needs": [{"budget": "bookings", "counts": "requests",
@@ -49,7 +49,7 @@
         "");
 }
 
-TEST(CoordinatorWire, AReplyIsReadBack) {
+TEST(CoordinatorWire, ReplyRoundTrip) {
     budget::LeaseReply reply;
     reply.number = 17;
     reply.epoch = 1791;
@@ -63,16 +63,16 @@
           budget::Verdict::stepped_down, budget::Verdict::too_many, budget::Verdict::clock_off,
           budget::Verdict::at_odds}) {
         reply.verdict = verdict;
-        reply.why = std::string(1000, 'w');  // cut where it is written
+        reply.why = std::string(1000, 'w');  // truncated when encoded
         const auto read = decode_reply(encode(reply));
         ASSERT_TRUE(std::holds_alternative<budget::LeaseReply>(read)) << std::get<Malformed>(read).why;
         EXPECT_EQ(std::get<budget::LeaseReply>(read).verdict, verdict);
-        EXPECT_EQ(std::get<budget::LeaseReply>(read).why.size(), why_most);
+        EXPECT_EQ(std::get<budget::LeaseReply>(read).why.size(), max_reason_size);
         EXPECT_EQ(encode(std::get<budget::LeaseReply>(read)), encode(reply));
     }
 }
 
-TEST(CoordinatorWire, AViewIsReadBack) {
+TEST(CoordinatorWire, ViewRoundTrip) {
     View view;
     view.epoch = 9;
     view.waits = Micros(5);
@@ -86,8 +86,8 @@
     EXPECT_EQ(encode(std::get<View>(read)), encode(view));
 }
 
-// A text that is cut anywhere is malformed, and so is one byte changed to nonsense where the syntax stands.
-TEST(CoordinatorWire, CutAtEveryByte) {
+// A text truncated at any byte is malformed, and so is a text with any byte replaced by invalid UTF-8.
+TEST(CoordinatorWire, TruncatedOrDamagedAtEveryByte) {
     budget::LeaseReply reply;
     reply.grants = {{"bookings", {9000, 9}}};
     const std::string texts[] = {encode(request()), encode(reply), encode(View{})};
@@ -97,57 +97,60 @@
             EXPECT_TRUE(std::holds_alternative<Malformed>(decode_request(cut))) << cut;
             EXPECT_TRUE(std::holds_alternative<Malformed>(decode_reply(cut))) << cut;
             EXPECT_TRUE(std::holds_alternative<Malformed>(decode_view(cut))) << cut;
-            std::string spoilt = text;
-            spoilt[n] = '\xFF';  // no UTF-8, wherever it stands
-            EXPECT_NE(fault_of(spoilt), "") << n;
+            std::string damaged = text;
+            damaged[n] = '\xFF';  // never valid in UTF-8
+            EXPECT_NE(fault_of(damaged), "") << n;
         }
     }
 }
 
-TEST(CoordinatorWire, WhatIsBeyondItsBoundsNamesTheField) {
+TEST(CoordinatorWire, ErrorNamesTheField) {
     const std::string good = encode(request());
     const struct {
         std::string text, fault;
     } cases[] = {
-        {"", "no JSON"},
-        {"[]", "no object"},
-        {"17", "no object"},
+        {"", "not JSON"},
+        {"[]", "not an object"},
+        {"17", "not an object"},
         {"{}", "holder: missing"},
         {std::string(message_most + 1, ' '), "longer than 65536 bytes"},
-        {std::string(message_most, '['), "no JSON"},
-        {with(good, "\"number\":17", "\"other\":17"), "number: missing"},
-        {with(good, "\"number\":17", "\"number\":-17"), "number: no whole number from 0"},
-        {with(good, "\"number\":17", "\"number\":1.5"), "number: no whole number from 0"},
-        {with(good, "\"number\":17", "\"number\":18446744073709551615"), "number: above 4611686018427387904"},
-        {with(good, "\"number\":17", "\"number\":99999999999999999999999"), "number: no whole number from 0"},
-        {with(good, "\"n3\"", "\"\""), "holder: no name"},
-        {with(good, "\"n3\"", "\"" + std::string(65, 'n') + "\""), "holder: no name"},
-        {with(good, "\"n3\"", "\"a\\nb\""), "holder: no name"},
-        {with(good, "\"n3\"", "\"a\\u0000b\""), "holder: no name"},
-        {with(good, "\"n3\"", "3"), "holder: no text"},
-        {with(good, "false", "0"), "leaving: neither true nor false"},
-        {with(good, "[1791,5]", "[1791]"), "taken: no list of two numbers"},
-        {with(good, "[1791,5]", "[1791,-5]"), "taken[1]: no whole number from 0"},
-        {with(good, "\"requests\"", "\"bytes\""), "needs[0].counts: not a word"},
-        {with(good, "[12500,13]", "[-1,13]"), "needs[0].wants[0]: no whole number from 0"},
-        {with(good, "[12500,13]", "[1000000001,13]"), "needs[0].wants[0]: above 1000000000"},
-        {with(good, "[12500,13]", "[0,1000001]"), "needs[0].wants[1]: above 1000000"},
-        {with(good, "\"in_use\":3", "\"in_use\":-1"), "needs[1].in_use: no whole number from 0"},
-        {with(good, "\"in_use\":3", "\"in_use\":null"), "needs[1].in_use: no whole number from 0"},
-        {with(good, "\"clock_us\":123456789", "\"clock_us\":-1"), "clock_us: no whole number from 0"},
-        {with(good, "\"needs\":[", "\"needs\":[7,"), "needs[0]: no object"},
-        {with(good, "\"needs\":[", "\"n\":["), "needs: missing"},
+        {std::string(message_most, '['), "not JSON"},
+        {replaced(good, "\"number\":17", "\"other\":17"), "number: missing"},
+        {replaced(good, "\"number\":17", "\"number\":-17"), "number: not an integer of at least 0"},
+        {replaced(good, "\"number\":17", "\"number\":1.5"), "number: not an integer of at least 0"},
+        {replaced(good, "\"number\":17", "\"number\":18446744073709551615"),
+         "number: above 4611686018427387904"},
+        {replaced(good, "\"number\":17", "\"number\":99999999999999999999999"),
+         "number: not an integer of at least 0"},
+        {replaced(good, "\"n3\"", "\"\""), "holder: not a name"},
+        {replaced(good, "\"n3\"", "\"" + std::string(65, 'n') + "\""), "holder: not a name"},
+        {replaced(good, "\"n3\"", "\"a\\nb\""), "holder: not a name"},
+        {replaced(good, "\"n3\"", "\"a\\u0000b\""), "holder: not a name"},
+        {replaced(good, "\"n3\"", "3"), "holder: not a string"},
+        {replaced(good, "false", "0"), "leaving: neither true nor false"},
+        {replaced(good, "[1791,5]", "[1791]"), "taken: not a list of two numbers"},
+        {replaced(good, "[1791,5]", "[1791,-5]"), "taken[1]: not an integer of at least 0"},
+        {replaced(good, "\"requests\"", "\"bytes\""), "needs[0].counts: not a known value"},
+        {replaced(good, "[12500,13]", "[-1,13]"), "needs[0].wants[0]: not an integer of at least 0"},
+        {replaced(good, "[12500,13]", "[1000000001,13]"), "needs[0].wants[0]: above 1000000000"},
+        {replaced(good, "[12500,13]", "[0,1000001]"), "needs[0].wants[1]: above 1000000"},
+        {replaced(good, "\"in_use\":3", "\"in_use\":-1"), "needs[1].in_use: not an integer of at least 0"},
+        {replaced(good, "\"in_use\":3", "\"in_use\":null"), "needs[1].in_use: not an integer of at least 0"},
+        {replaced(good, "\"clock_us\":123456789", "\"clock_us\":-1"),
+         "clock_us: not an integer of at least 0"},
+        {replaced(good, "\"needs\":[", "\"needs\":[7,"), "needs[0]: not an object"},
+        {replaced(good, "\"needs\":[", "\"n\":["), "needs: missing"},
     };
     for (const auto& each : cases) {
         EXPECT_TRUE(fault_of(each.text).starts_with(each.fault) && !each.fault.empty())
             << each.text.substr(0, 300) << "\ngave " << fault_of(each.text) << "\nwanted " << each.fault;
     }
     budget::LeaseRequest many = request();
-    many.needs.assign(needs_most, {"b", budget::Counts::requests, {}, {}, {}, 0});
+    many.needs.assign(max_needs, {"b", budget::Counts::requests, {}, {}, {}, 0});
     EXPECT_EQ(fault_of(encode(many)), "");
     many.needs.push_back(many.needs.front());
     EXPECT_EQ(fault_of(encode(many)), "needs: more than 256 entries");
-    EXPECT_EQ(fault_of(with(good, "{", "{\"later\":{\"x\":[1]},")), "") << "unknown fields are passed over";
+    EXPECT_EQ(fault_of(replaced(good, "{", "{\"later\":{\"x\":[1]},")), "") << "unknown fields are ignored";
 }
 
 }  // namespace
