--- a/src/budget/admission.cpp
+++ b/src/budget/admission.cpp
@@ -32,9 +32,9 @@
 
 }  // namespace
 
-// The permits of one call. Which budgets an attempt takes permits of depends on how many attempts of the call begin before it,
-// which is not known while several of them wait for connections. Reserved permits therefore belong to the call: they serve the
-// next attempts that begin, whichever these are.
+// The permits of one call. Which budgets an attempt takes permits of depends on how many attempts of the call
+// begin before it, which is not known while several of them wait for connections. Reserved permits therefore
+// belong to the call: they serve the next attempts that begin, whichever these are.
 class Admission::CallPermits final : public core::Permits {
 public:
     CallPermits(Admission& owner, std::vector<std::size_t> budgets)
@@ -72,8 +72,8 @@
             ++owner_.figures_[budget].lapsed;
         }
         if (!all_committed) {
-            // The permits that were committed for the other budgets are spent: less may be sent than these budgets allow, but
-            // never more.
+            // The permits that were committed for the other budgets are spent: less may be sent than these
+            // budgets allow, but never more.
             end_attempts(committed, now, true);
             return false;
         }
@@ -84,8 +84,8 @@
 
     void end(int attempt, bool known, Time) override {
         if (std::erase(allowed_, attempt) > 0) {
-            // Keeps the permits if the call's first attempt is still to begin, so that it need not reserve them again. Permits of
-            // a hedged attempt are released, since no other attempt may need them.
+            // Keeps the permits if the call's first attempt is still to begin, so that it need not reserve
+            // them again. Permits of a hedged attempt are released, since no other attempt may need them.
             if (begun_count_ > 0 || !allowed_.empty()) release_last();
             return;
         }
@@ -98,7 +98,8 @@
 
     Micros retry_after(Time) override { return owner_.retry_delay(missing_budget_, owner_.clock_.now()); }
 
-    // Reserves the permits of the next attempt, for the first one before it has a number. Returns false if a budget has none.
+    // Reserves the permits of the next attempt, for the first one before it has a number. Returns false if a
+    // budget has none.
     bool set_aside() {
         const Time now = owner_.clock_.now();
         Holder& holder = owner_.holder_;
@@ -162,7 +163,8 @@
         if (!applies_to(budgets[i], call, pool, settings)) continue;
         applicable.push_back(i);
         if (budgets[i].counts != Counts::concurrency) continue;
-        // The attempt must not outlast its concurrency permit, which the authority frees after `longest` if this process dies.
+        // The attempt must not outlast its concurrency permit, which the authority frees after `longest` if
+        // this process dies.
         const Micros longest = holder_.terms().longest;
         call.attempt_limit = call.attempt_limit > Micros{} ? std::min(call.attempt_limit, longest) : longest;
     }
@@ -180,8 +182,8 @@
 
 Counts Admission::counts(std::size_t budget) const { return holder_.terms().budgets[budget].counts; }
 
-// Returns the time until the present share may yield a permit, or if there is none, until the next lease request may bring a
-// share.
+// Returns the time until the present share may yield a permit, or if there is none, until the next lease
+// request may bring a share.
 Micros Admission::retry_delay(std::size_t budget, Time now) {
     const auto next = holder_.at(budget).next(now);
     const Micros until_request =
--- a/src/budget/admission.h
+++ b/src/budget/admission.h
@@ -1,10 +1,11 @@
-// Applies the budgets at the core's admission (core/admission.h): selects the budgets that apply to a call and takes a
-// permit of each.
+// Applies the budgets at the core's admission (core/admission.h): selects the budgets that apply to a call
+// and takes a permit of each.
 //
-// A call needs a permit of every budget that applies to it. If one budget has none, the permits of the others are released.
+// A call needs a permit of every budget that applies to it. If one budget has none, the permits of the others
+// are released.
 //
-// Threading: the core's thread.   Ownership: the holder and the clock are borrowed and outlive the admission, which
-//            outlives the permits.
+// Threading: the core's thread.   Ownership: the holder and the clock are borrowed and outlive the admission,
+//            which outlives the permits.
 // Time:      the holder's clock, which advances while the process is suspended; the core's times are ignored.
 #pragma once
 
--- a/src/budget/allowance.cpp
+++ b/src/budget/allowance.cpp
@@ -122,7 +122,8 @@
     return demand;
 }
 
-// Brings the state up to `now`. Refills by the lease and the reserve until the lease ends, and by the reserve alone after it.
+// Brings the state up to `now`. Refills by the lease and the reserve until the lease ends, and by the reserve
+// alone after it.
 void Allowance::advance(Time now) {
     if (now <= updated_at_) return;
     if (updated_at_ < lease_until_ && lease_until_ <= now) {
--- a/src/budget/authority.cpp
+++ b/src/budget/authority.cpp
@@ -9,13 +9,13 @@
 
 namespace {
 
-// A share that exceeds its target by at most the share divided by this is kept. Otherwise every change of one holder's demand would
-// change all shares.
+// A share that exceeds its target by at most the share divided by this is kept. Otherwise every change of one
+// holder's demand would change all shares.
 constexpr std::int64_t share_tolerance_divisor = 32;
 // Requests per lease term of a holder that is to get more than is available yet.
 constexpr std::int64_t early_requests_per_term = 20;
-// Least interval between unscheduled requests of a holder, for each active process: bounds the unscheduled requests of all
-// holders together to 200 a second.
+// Least interval between unscheduled requests of a holder, for each active process: bounds the unscheduled
+// requests of all holders together to 200 a second.
 constexpr Micros interval_per_holder = std::chrono::milliseconds(5);
 // Consecutive grants that were not accepted, after which a holder gets only empty grants.
 constexpr int max_unaccepted_grants = 3;
@@ -98,8 +98,8 @@
     resize_holders();
 }
 
-// Waits until no earlier grant can be in force, and for concurrency budgets until the attempts that began under one must have
-// ended.
+// Waits until no earlier grant can be in force, and for concurrency budgets until the attempts that began
+// under one must have ended.
 void Authority::begin_waiting(Time now) {
     waits_until_ = now + at_authority(longest_term_, terms_.drift);
     concurrency_waits_until_ = waits_until_ + at_authority(terms_.longest, terms_.drift);
@@ -147,8 +147,8 @@
     return !holder.leaving && now - holder.last_request_at < at_authority(terms_.term, terms_.drift);
 }
 
-// Guards against a share that stays unused at a holder whose requests arrive while the replies to it are lost. Such a holder
-// gets an empty grant, and a share again once it has accepted that grant.
+// Guards against a share that stays unused at a holder whose requests arrive while the replies to it are
+// lost. Such a holder gets an empty grant, and a share again once it has accepted that grant.
 bool Authority::accepts_grants(const HolderState& holder) {
     return holder.unaccepted_grants < max_unaccepted_grants;
 }
@@ -183,9 +183,9 @@
     return active;
 }
 
-// Returns the amount set aside for reserves: one reserve for each expected balancer, whether or not it has sent a request; one
-// more for each process beyond that number or with the name of another process; and what a process reports beyond the
-// configured reserve.
+// Returns the amount set aside for reserves: one reserve for each expected balancer, whether or not it has
+// sent a request; one more for each process beyond that number or with the name of another process; and what
+// a process reports beyond the configured reserve.
 Amount Authority::reserved(std::size_t budget, const ActiveHolders& active) const {
     const Amount each = budgets_[budget].reserve;
     Amount total{each.rate * terms_.expected, each.size * terms_.expected};
@@ -196,8 +196,8 @@
     return total;
 }
 
-// Compares the rates of the holder's clock and the authority's. A clock that was found to be off must be right for a whole
-// comparison interval before the holder gets a lease again.
+// Compares the rates of the holder's clock and the authority's. A clock that was found to be off must be
+// right for a whole comparison interval before the holder gets a lease again.
 std::optional<std::string> Authority::clock_fault(HolderState& holder, Time holder_now, Time now) const {
     if (holder.authority_clock == Time{} || holder_now < holder.holder_clock) {
         holder.holder_clock = holder_now;
@@ -208,7 +208,8 @@
                  holder_elapsed = holder_now - holder.holder_clock;
     const Micros difference = authority_elapsed > holder_elapsed ? authority_elapsed - holder_elapsed
                                                                  : holder_elapsed - authority_elapsed;
-    // Half a term is allowed for different delays of requests; a request delayed by more brings no usable lease anyway.
+    // Half a term is allowed for different delays of requests; a request delayed by more brings no usable
+    // lease anyway.
     const auto drift =
         Micros(static_cast<std::int64_t>(2 * terms_.drift * static_cast<double>(authority_elapsed.count())));
     const bool fault = difference > drift + terms_.term / 2;
@@ -248,8 +249,9 @@
     };
     const std::uint64_t reported_epoch = std::max(request.epoch, request.taken.epoch);
     if (reported_epoch > epoch_) {
-        // An authority that still waits and has granted nothing may have started with an empty store after its clock was set
-        // back; it takes a higher epoch. An authority that has granted something is the older of two.
+        // An authority that still waits and has granted nothing may have started with an empty store after
+        // its clock was set back; it takes a higher epoch. An authority that has granted something is the
+        // older of two.
         if (now < waits_until_ && seq_ == 0) {
             epoch_ = reported_epoch + 1;
             begin_waiting(now);
@@ -397,8 +399,8 @@
     return {kept(wanted.rate, current.rate), kept(wanted.size, current.size)};
 }
 
-// Inserts an allocation in the order of fencing tokens. If there are too many that are not known to be superseded, the first
-// two are merged into one that counts for both.
+// Inserts an allocation in the order of fencing tokens. If there are too many that are not known to be
+// superseded, the first two are merged into one that counts for both.
 void Authority::add(HolderState& holder, Allocation allocation) const {
     const auto after = std::find_if(holder.allocations.begin(), holder.allocations.end(),
                                     [&](const Allocation& g) { return allocation.fence < g.fence; });
--- a/src/budget/authority.h
+++ b/src/budget/authority.h
@@ -1,21 +1,24 @@
-// The coordinator's decision logic: divides the budgets among the lease holders. The shares that may be in force never sum
-// to more than the whole.
+// The coordinator's decision logic: divides the budgets among the lease holders. The shares that may be in
+// force never sum to more than the whole.
 //
-// The amount counted for a holder is the largest of all grants that it may have accepted or may still accept, and of the
-// use that it reports. A grant counts until it is known to be superseded or has ended: a holder reports the highest
-// fencing token that it has accepted, and never accepts a lower one. A grant of concurrency permits counts until the
-// attempts that began under it must have ended. A share grows only out of what is left of the whole after the reserves and
-// after the amounts counted for all other holders. Therefore a share shrinks at its holder before it grows elsewhere.
+// The amount counted for a holder is the largest of all grants that it may have accepted or may still accept,
+// and of the use that it reports. A grant counts until it is known to be superseded or has ended: a holder
+// reports the highest fencing token that it has accepted, and never accepts a lower one. A grant of
+// concurrency permits counts until the attempts that began under it must have ended. A share grows only out
+// of what is left of the whole after the reserves and after the amounts counted for all other holders.
+// Therefore a share shrinks at its holder before it grows elsewhere.
 //
-// Durability: what on_request() puts into `changes` must be stored before its reply is sent. If storing fails, the reply must
-//             not be sent; the grant counts until it ends.
-// Restart:    with `current`, the records hold everything that was granted. Otherwise grants of an earlier authority that
-//             this one does not know may be in force, and nothing is granted until the longest lease term has passed.
-// Time:       passed in; one clock that continues over a restart of the process (CLOCK_BOOTTIME). Ends in records are
-//             times of that clock.
+// Durability: what on_request() puts into `changes` must be stored before its reply is sent. If storing
+//             fails, the reply must not be sent; the grant counts until it ends.
+// Restart:    with `current`, the records hold everything that was granted. Otherwise grants of an earlier
+//             authority that this one does not know may be in force, and nothing is granted until the longest
+//             lease term has passed.
+// Time:       passed in; one clock that continues over a restart of the process (CLOCK_BOOTTIME). Ends in
+//             records are times of that clock.
 // Threading:  single-threaded.
 // Errors:     std::invalid_argument, naming the budget, for inconsistent terms; nothing else is thrown.
-// Bounds:     Terms::holders_most processes, `max_open_grants` grants of each that are not known to be superseded.
+// Bounds:     Terms::holders_most processes, `max_open_grants` grants of each that are not known to be
+//             superseded.
 #pragma once
 
 #include <cstddef>
@@ -30,7 +33,8 @@
 
 namespace flaxdoor::budget {
 
-// Durable state of one process that may hold an allocation. Budgets are stored by name, since the configuration changes.
+// Durable state of one process that may hold an allocation. Budgets are stored by name, since the
+// configuration changes.
 struct Record {
     struct Allocation {
         Fence fence;
@@ -67,8 +71,8 @@
     Authority(Terms terms, Start start, Time now);
 
     [[nodiscard]] LeaseReply on_request(const LeaseRequest& request, Time now, std::vector<Change>& changes);
-    // Applies new terms without revoking anything: allocations in force end or shrink as their holders send requests. Throws
-    // as the constructor does; then nothing has changed.
+    // Applies new terms without revoking anything: allocations in force end or shrink as their holders send
+    // requests. Throws as the constructor does; then nothing has changed.
     void change(Terms terms, Time now);
 
     std::uint64_t epoch() const { return epoch_; }  // may rise while the authority waits after a start
@@ -114,8 +118,8 @@
         std::vector<Allocation> allocations;
         std::vector<Amount> wants, reserves;
         std::vector<std::int64_t> in_use;
-        std::vector<Time>
-            without_permit_since;  // when it began to want a permit without having one; zero: it has one or wants none
+        // When the holder began to want a permit without having one; zero if it has one or wants none.
+        std::vector<Time> without_permit_since;
         // Readings of both clocks at the start of the interval over which the holder's clock is compared.
         Time holder_clock{}, authority_clock{};
         bool clock_off = false;
@@ -152,8 +156,8 @@
     void begin_waiting(Time now);
 
     Terms terms_;
-    std::vector<Budget>
-        budgets_;  // configured budgets, and removed ones of which an allocation may still be in force
+    // Configured budgets, and removed ones of which an allocation may still be in force.
+    std::vector<Budget> budgets_;
     std::uint64_t epoch_;
     std::uint64_t seq_ = 0;
     Time waits_until_{};
--- a/src/budget/division.cpp
+++ b/src/budget/division.cpp
@@ -6,16 +6,16 @@
 
 namespace {
 
-// Returns whole * weight / weights. The factors are at most 1e13 and 1e6: their product usually fits into 64 bits, and always
-// into 128.
+// Returns whole * weight / weights. The factors are at most 1e13 and 1e6: their product usually fits into 64
+// bits, and always into 128.
 std::int64_t weighted_part(std::int64_t whole, std::int64_t weight, std::int64_t weights) {
     std::int64_t product = 0;
     if (!__builtin_mul_overflow(whole, weight, &product)) return product / weights;
     return static_cast<std::int64_t>(static_cast<__int128>(whole) * weight / weights);
 }
 
-// Returns the indices of the claims that want a permit. If there are more of them than permits, those that have been without
-// one for the longest time come first; otherwise they keep the order of the claims.
+// Returns the indices of the claims that want a permit. If there are more of them than permits, those that
+// have been without one for the longest time come first; otherwise they keep the order of the claims.
 std::vector<std::size_t> claims_by_priority(const std::vector<Claim>& claims, std::int64_t whole) {
     std::vector<std::size_t> order;
     for (std::size_t i = 0; i < claims.size(); ++i) {
@@ -28,8 +28,8 @@
     return order;
 }
 
-// Divides the sizes. Each claim that wants a permit gets one before any claim gets two. If there are too few, the claims that
-// have been without a permit for the longest time get one.
+// Divides the sizes. Each claim that wants a permit gets one before any claim gets two. If there are too few,
+// the claims that have been without a permit for the longest time get one.
 std::vector<std::int64_t> divide_sizes(std::int64_t whole, const std::vector<Claim>& claims) {
     std::vector<std::int64_t> sizes(claims.size(), 0);
     std::vector<std::int64_t> more(claims.size(), 0), weights(claims.size(), 1);
--- a/src/budget/holder.cpp
+++ b/src/budget/holder.cpp
@@ -11,10 +11,11 @@
 constexpr int requests_per_term = 3;
 // Bounds the request rate: two requests are at least a term divided by this apart, whatever the demand.
 constexpr int max_requests_per_term = 40;
-// Factor on the recent demand rate that is requested. A larger one leaves more of the share idle; without headroom, random
-// variation of the demand causes more refusals.
+// Factor on the recent demand rate that is requested. A larger one leaves more of the share idle; without
+// headroom, random variation of the demand causes more refusals.
 constexpr double demand_headroom = 1.05;
-// Permits a second. A lower smoothed demand is treated as zero, which the average approaches but does not reach.
+// Permits a second. A lower smoothed demand is treated as zero, which the average approaches but does not
+// reach.
 constexpr double min_demand_rate = 0.01;
 
 double seconds_since(Time then, Time now) {
@@ -73,16 +74,16 @@
         need.reserve = allowance.reserve();
         need.in_use = allowance.in_use(now);
         if (budget.counts == Counts::concurrency) {
-            // The peak of the last one or two terms, since a balancer with a few calls a second still needs its permit between
-            // two of them.
+            // The peak of the last one or two terms, since a balancer with a few calls a second still needs
+            // its permit between two of them.
             Peak& peak = peaks_[i];
             if (now - peak.since >= terms_.term) peak = {peak.now, 0, now};
             peak.now = std::max(peak.now, demand.most_in_use + demand.refused);
             need.wants.size = std::min(budget.whole.size, std::max(peak.now, peak.before));
         } else {
-            // An exponentially weighted moving average, weighted by the length of the interval: requests are frequent under
-            // demand, and a single call in a short interval does not indicate a rate. A burst beyond random variation
-            // counts in full at once.
+            // An exponentially weighted moving average, weighted by the length of the interval: requests are
+            // frequent under demand, and a single call in a short interval does not indicate a rate. A burst
+            // beyond random variation counts in full at once.
             const double recent_rate = static_cast<double>(demand.wanted) / span;
             const double scheduled_interval =
                 static_cast<double>(terms_.term.count()) / (requests_per_term * 1e6);
@@ -154,8 +155,8 @@
         reduced = reduced || !allowances_[i].leased(now).within(share);
         allowances_[i].lease(share, until, now);
     }
-    // Other holders may want the part that was released here, and the authority counts it until this holder reports its new
-    // share.
+    // Other holders may want the part that was released here, and the authority counts it until this holder
+    // reports its new share.
     if (reduced) {
         request_sooner(now, Micros{0});
     } else if (reply.again > Micros{}) {
@@ -197,8 +198,8 @@
 
 bool Holder::has_lease(Time now) { return now < leased_until_; }
 
-// Shortens a time span by up to a tenth at random, so that balancers that started together do not send their requests
-// together.
+// Shortens a time span by up to a tenth at random, so that balancers that started together do not send their
+// requests together.
 Micros Holder::with_jitter(Micros span) {
     random_state_ = random_state_ * 6364136223846793005ULL + 1442695040888963407ULL;
     return span - span * static_cast<std::int64_t>(random_state_ >> 40) / (std::int64_t{10} << 24);
--- a/src/budget/holder.h
+++ b/src/budget/holder.h
@@ -1,12 +1,13 @@
-// The lease holder: a balancer's side of the budgets. Decides what to request from the authority, which replies to accept,
-// and what may be used.
+// The lease holder: a balancer's side of the budgets. Decides what to request from the authority, which
+// replies to accept, and what may be used.
 //
-// A lease counts from when its request was sent, by this process's own clock. A reply is accepted only if its request is
-// one of the last few, its fencing token is the highest so far, and its term has not passed. All grants of a reply are
-// applied together.
+// A lease counts from when its request was sent, by this process's own clock. A reply is accepted only if its
+// request is one of the last few, its fencing token is the highest so far, and its term has not passed. All
+// grants of a reply are applied together.
 //
-// Time:      passed in, from one clock that advances while the process is suspended (CLOCK_BOOTTIME). Every access to an
-//            allowance checks its lease first, so nothing is admitted on a lease that ended during a suspension.
+// Time:      passed in, from one clock that advances while the process is suspended (CLOCK_BOOTTIME). Every
+//            access to an allowance checks its lease first, so nothing is admitted on a lease that ended
+//            during a suspension.
 // Threading: single-threaded.   Randomness: the seed spreads the requests of a fleet over time.
 // Errors:    none; a reply that can't be used changes only the time of the next request.
 // Bounds:    the last `max_sent` requests are remembered.
@@ -30,8 +31,8 @@
         std::string name, instance;
         std::uint64_t seed = 0;
     };
-    // Concurrency reserves come into force `longest` from now: attempts of an earlier process with this name may still be
-    // running.
+    // Concurrency reserves come into force `longest` from now: attempts of an earlier process with this name
+    // may still be running.
     Holder(Options options, Time now);
 
     // ------------------------------------------------------------------------------------- lease requests
@@ -46,8 +47,9 @@
     // ----------------------------------------------------------------------------------------- admission
     std::size_t size() const { return allowances_.size(); }
     const Terms& terms() const { return terms_; }
-    // To be called when a permit was refused. Makes the next request earlier if it would tell the authority something new.
-    // The authority already divides by the demand that was reported to it, and its replies say when there may be more.
+    // To be called when a permit was refused. Makes the next request earlier if it would tell the authority
+    // something new. The authority already divides by the demand that was reported to it, and its replies say
+    // when there may be more.
     void on_want(std::size_t budget, Time now);
     Allowance& at(std::size_t budget) { return allowances_[budget]; }
 
--- a/src/budget/messages.h
+++ b/src/budget/messages.h
@@ -1,8 +1,9 @@
 // Messages between a lease holder and the authority, as plain values. src/coordinator defines their encoding.
 //
-// A holder numbers its requests. The authority ignores a request that is not newer than the last one it received, so late
-// and duplicated requests change nothing. The grants of a reply share one fencing token, (epoch, seq), which only rises:
-// a holder rejects a reply whose token is not higher than the one it accepted last.
+// A holder numbers its requests. The authority ignores a request that is not newer than the last one it
+// received, so late and duplicated requests change nothing. The grants of a reply share one fencing token,
+// (epoch, seq), which only rises: a holder rejects a reply whose token is not higher than the one it accepted
+// last.
 #pragma once
 
 #include <cstdint>
@@ -65,11 +66,11 @@
     std::uint64_t epoch = 0;
     std::uint64_t seq = 0;
     Micros term{};
-    Micros
-        again{};  // delay until the next request, if more was wanted than could be granted yet; zero: the default
-    Micros
-        gap{};  // least interval between two requests, except for scheduled ones; bounds the rate of the fleet's
-                // unscheduled requests
+    // Delay until the next request if more was wanted than could be granted yet; zero means the default.
+    Micros again{};
+    // Least interval between two requests, except for scheduled ones. Bounds the rate of unscheduled requests
+    // of the whole fleet.
+    Micros gap{};
     std::vector<Grant> grants;
 };
 
--- a/src/budget/terms.h
+++ b/src/budget/terms.h
@@ -1,9 +1,9 @@
 // Configuration of fleet-wide budgets, and the amounts into which they are divided. Plain values.
 //
-// Units: a permit admits one request, attempt or retry. Rates are in thousandths of a permit a second, so that a small
-//        whole can be divided among many balancers. Sizes are in whole permits: the depth of a token bucket, or the
-//        number of attempts in flight (concurrency permits). All amounts are integers, so the same demands give the
-//        same shares on every machine.
+// Units: a permit admits one request, attempt or retry. Rates are in thousandths of a permit a second, so
+//        that a small whole can be divided among many balancers. Sizes are in whole permits: the depth of a
+//        token bucket, or the number of attempts in flight (concurrency permits). All amounts are integers,
+//        so the same demands give the same shares on every machine.
 #pragma once
 
 #include <algorithm>
@@ -56,9 +56,9 @@
     std::size_t holders_most = 1024;  // processes known at once, including former ones
 };
 
-// Duration of a lease at its holder and at the authority. The holder counts from when it sent its request, the authority
-// from when it granted the lease, which is later. The holder's lease ends first even if the holder's clock is slow by
-// `drift` and the authority's is fast by it.
+// Duration of a lease at its holder and at the authority. The holder counts from when it sent its request,
+// the authority from when it granted the lease, which is later. The holder's lease ends first even if the
+// holder's clock is slow by `drift` and the authority's is fast by it.
 inline Micros at_holder(Micros term, double drift) {
     return Micros(static_cast<std::int64_t>(static_cast<double>(term.count()) * (1 - drift)));
 }
--- a/src/coordinator/agent.cpp
+++ b/src/coordinator/agent.cpp
@@ -171,7 +171,8 @@
     timer_.cancel();
     const budget::LeaseRequest request = holder_.leave(clock_.now());
     if (!connection_) return;
-    // The connection stays open until the response arrives: a coordinator that sees it closed may not read the request.
+    // The connection stays open until the response arrives: a coordinator that sees it closed may not read
+    // the request.
     if (connection_->ready()) return connection_->send(request);
     connection_->drop();
 }
--- a/src/coordinator/agent.h
+++ b/src/coordinator/agent.h
@@ -1,11 +1,13 @@
-// A balancer's agent: sends the holder's lease requests to the coordinator over one persistent connection and passes the
-// replies to the holder. Logs when leases are gained and lost, and why.
+// A balancer's agent: sends the holder's lease requests to the coordinator over one persistent connection and
+// passes the replies to the holder. Logs when leases are gained and lost, and why.
 //
-// Threading: the executor, one thread at a time.   Ownership: executor, clock, log and holder are borrowed and outlive the agent.
+// Threading: the executor, one thread at a time.   Ownership: executor, clock, log and holder are borrowed
+//            and outlive the agent.
 // Time:      the holder's clock determines when to send a request; timers use the event loop's steady clock.
-// Errors:    none. After a failure the holder sends another request later; its leases and its reserve stay in force meanwhile.
-// Bounds:    one connection and one request in flight, which times out after a third of the lease term; replies of at most
-//            `message_most` bytes.
+// Errors:    none. After a failure the holder sends another request later; its leases and its reserve stay in
+//            force meanwhile.
+// Bounds:    one connection and one request in flight, which times out after a third of the lease term;
+//            replies of at most `message_most` bytes.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -32,8 +34,8 @@
     void start();
     // To be called when the holder may want to send a request earlier than scheduled.
     void on_want();
-    // Releases all leases and the reserve for good. Reports it to the coordinator if the connection is idle, and does not wait for
-    // a reply. An unreported lease counts at the coordinator until it ends.
+    // Releases all leases and the reserve for good. Reports it to the coordinator if the connection is idle,
+    // and does not wait for a reply. An unreported lease counts at the coordinator until it ends.
     void leave();
 
 private:
--- a/src/coordinator/fields.h
+++ b/src/coordinator/fields.h
@@ -1,4 +1,5 @@
-// Reads JSON objects field by field and reports the first error with the path of its field. Internal to this folder's sources.
+// Reads JSON objects field by field and reports the first error with the path of its field. Internal to this
+// folder's sources.
 //
 // Threading: pure functions.   Errors: as in wire.h.   Bounds: the arguments of each reader, and wire.h's.
 #pragma once
@@ -16,7 +17,8 @@
 
 using Json = nlohmann::json;
 
-// Reads the fields of one object. The first error of the whole text is kept in `fault`; values read after it are meaningless.
+// Reads the fields of one object. The first error of the whole text is kept in `fault`; values read after it
+// are meaningless.
 class Fields {
 public:
     Fields(std::string& fault, const Json* object, std::string where)
@@ -123,7 +125,8 @@
     std::int64_t integer_of(const Json* value, const std::string& where, std::int64_t min_value,
                             std::int64_t max_value) const {
         if (!value) return 0;
-        // The parser yields an unsigned value for a number without a sign; it may exceed the range of the signed type.
+        // The parser yields an unsigned value for a number without a sign; it may exceed the range of the
+        // signed type.
         if (value->is_number_unsigned() || min_value >= 0) {
             return static_cast<std::int64_t>(
                 unsigned_of(value, where, static_cast<std::uint64_t>(max_value)));
--- a/src/coordinator/grants_log.h
+++ b/src/coordinator/grants_log.h
@@ -1,7 +1,9 @@
-// Logs every grant as a line of JSON, so that a test can verify a run: {"time_us", "holder", "instance", "epoch", "seq",
-// "until_us", "budget", "share"}, with times of the authority's clock. A grant is logged before its reply is sent.
+// Logs every grant as a line of JSON, so that a test can verify a run: {"time_us", "holder", "instance",
+// "epoch", "seq", "until_us", "budget", "share"}, with times of the authority's clock. A grant is logged
+// before its reply is sent.
 //
-// Threading: single-threaded.   Ownership: owns its file descriptor.   Errors: functions return an errno, or 0 on success.
+// Threading: single-threaded.   Ownership: owns its file descriptor.   Errors: functions return an errno, or
+//            0 on success.
 // Bounds:    none; the file grows without limit, as it is meant for tests.
 #pragma once
 
--- a/src/coordinator/journal.cpp
+++ b/src/coordinator/journal.cpp
@@ -161,7 +161,8 @@
     return engine_->space(space_name, store::SpaceKind::keys, true, space_);
 }
 
-// Reopens the store after a write whose result is unknown. Either result is consistent, since no reply was sent.
+// Reopens the store after a write whose result is unknown. Either result is consistent, since no reply was
+// sent.
 Result Journal::reopen() {
     if (auto result = open_engine(); !result) return result;
     std::optional<Head> head;
--- a/src/coordinator/journal.h
+++ b/src/coordinator/journal.h
@@ -1,22 +1,24 @@
-// The authority's durable state in the embedded store: its epoch, what each process may hold, and from when on the records
-// are complete, that is, hold every grant that may be in force.
+// The authority's durable state in the embedded store: its epoch, what each process may hold, and from when
+// on the records are complete, that is, hold every grant that may be in force.
 //
-// A store can't tell whether it is the latest copy of itself. A start is therefore current only if the witness confirms it:
-// a small file in another place, written after each commit and before the reply. It holds the store's identity, the opening
-// (a random number drawn at each start, which differs between copies that were used separately), the number of commits and
-// the machine's boot id. A store with fewer commits than the witness is an older copy. A witness that can't be written is
-// removed. If it can't be removed either, the commit fails, since an outdated witness would confirm an outdated store.
+// A store can't tell whether it is the latest copy of itself. A start is therefore current only if the
+// witness confirms it: a small file in another place, written after each commit and before the reply. It
+// holds the store's identity, the opening (a random number drawn at each start, which differs between copies
+// that were used separately), the number of commits and the machine's boot id. A store with fewer commits
+// than the witness is an older copy. A witness that can't be written is removed. If it can't be removed
+// either, the commit fails, since an outdated witness would confirm an outdated store.
 //
-// Durability: if commit() returns ok, its changes survive the process. Otherwise nothing that depends on them may be sent.
-//             Records are not synced to the disk. After a power failure, they hold times of an earlier boot's clock, and
-//             the start waits as if there were none. If only the disk loses writes (a remote disk), the store has fewer
-//             commits than the witness. The state that must survive a reboot (Standing) is synced with its commit.
+// Durability: if commit() returns ok, its changes survive the process. Otherwise nothing that depends on them
+//             may be sent. Records are not synced to the disk. After a power failure, they hold times of an
+//             earlier boot's clock, and the start waits as if there were none. If only the disk loses writes
+//             (a remote disk), the store has fewer commits than the witness. The state that must survive a
+//             reboot (Standing) is synced with its commit.
 // Blocking:   open(), and a commit that changes Standing, wait for the disk.   Threading: single-threaded.
 // Ownership:  owns its files and its witness.
-// Errors:     store/status.h. retry: nothing is known to have changed, and the commit may be tried again later (the next
-//             commit reopens the store if necessary). Only std::bad_alloc is thrown.
-// Bounds:     a commit erases at most `max_commit_records` records; a later commit erases the rest. A record has at most one
-//             MiB (store::value_most).
+// Errors:     store/status.h. retry: nothing is known to have changed, and the commit may be tried again
+//             later (the next commit reopens the store if necessary). Only std::bad_alloc is thrown.
+// Bounds:     a commit erases at most `max_commit_records` records; a later commit erases the rest. A record
+//             has at most one MiB (store::value_most).
 #pragma once
 
 #include <cstdint>
@@ -40,7 +42,8 @@
     [[nodiscard]] virtual int remove() = 0;  // 0 also if there was none
 };
 
-// A file that is replaced atomically by a rename. It need not survive a power failure, since the boot id differs afterwards.
+// A file that is replaced atomically by a rename. It need not survive a power failure, since the boot id
+// differs afterwards.
 class WitnessFile final : public Witness {
 public:
     explicit WitnessFile(std::string path) : path_(std::move(path)) {}
@@ -71,8 +74,8 @@
         budget::Authority::Start start;
         std::string why;  // why the start is not current; empty if it is
     };
-    // Opens the store, which takes a commit of its own. Fails with `refused` if the store is of a newer version, in use, or does
-    // not belong to an authority.
+    // Opens the store, which takes a commit of its own. Fails with `refused` if the store is of a newer
+    // version, in use, or does not belong to an authority.
     [[nodiscard]] static Opened open(World world);
 
     // State of the authority after a change.
--- a/src/coordinator/service.h
+++ b/src/coordinator/service.h
@@ -1,11 +1,15 @@
-// The authority as an HTTP service: POST /v1/leases, GET /v1/budgets, GET /ready (docs/design/budget.md, "On the wire").
+// The authority as an HTTP service: POST /v1/leases, GET /v1/budgets, GET /ready (docs/design/budget.md, "On
+// the wire").
 //
-// A request is answered synchronously: the authority decides, the journal commits and updates the witness (journal.h), then
-// the reply is encoded. A commit blocks the event loop and commits are serialized; the process has no other work. A request
-// that could not be committed is answered with 503; its grant counts until it ends.
+// A request is answered synchronously: the authority decides, the journal commits and updates the witness
+// (journal.h), then the reply is encoded. A commit blocks the event loop and commits are serialized; the
+// process has no other work. A request that could not be committed is answered with 503; its grant counts
+// until it ends.
 //
-// Threading: the event loop's thread.   Ownership: the clock, the log and the grants log are borrowed and outlive the service.
-// Time:      the clock must continue over a restart of the process and advance while it is suspended (CLOCK_BOOTTIME).
+// Threading: the event loop's thread.   Ownership: the clock, the log and the grants log are borrowed and
+//            outlive the service.
+// Time:      the clock must continue over a restart of the process and advance while it is suspended
+//            (CLOCK_BOOTTIME).
 // Errors:    the constructor and change() throw std::invalid_argument for inconsistent terms.
 // Bounds:    at most `max_refused` refused processes are remembered, each for a minute.
 #pragma once
@@ -37,9 +41,9 @@
     http::Response on_final(core::Final final, http::Asked* asked) override;
     Answer on_not_taken(core::Taken taken, http::Asked* asked) override;
 
-    // Applies changed wholes and added or removed budgets. Balancers read all other settings at their own start: lease term,
-    // clock drift, number of balancers, attempt duration, reserves and what a budget counts stay unchanged. If it throws, nothing
-    // has changed.
+    // Applies changed wholes and added or removed budgets. Balancers read all other settings at their own
+    // start: lease term, clock drift, number of balancers, attempt duration, reserves and what a budget
+    // counts stay unchanged. If it throws, nothing has changed.
     void change(const budget::Terms& fresh);
     const budget::Terms& terms() const { return authority_.terms(); }
 
--- a/src/coordinator/wire.h
+++ b/src/coordinator/wire.h
@@ -1,9 +1,10 @@
-// JSON encoding of the messages between lease holders and the authority (docs/design/budget.md, "On the wire"). Input is
-// untrusted: any text decodes to a value or to a reason.
+// JSON encoding of the messages between lease holders and the authority (docs/design/budget.md, "On the
+// wire"). Input is untrusted: any text decodes to a value or to a reason.
 //
 // Threading: pure functions.   Errors: a reason names the field; only std::bad_alloc is thrown.
 // Units:     amounts as in budget/terms.h; times and time spans in microseconds (`..._us`).
-// Bounds:    below. A message that exceeds one is malformed. Unknown fields are ignored; missing fields are malformed.
+// Bounds:    below. A message that exceeds one is malformed. Unknown fields are ignored; missing fields are
+//            malformed.
 #pragma once
 
 #include <cstddef>
@@ -37,8 +38,8 @@
     std::string why;
 };
 
-// Returns true if the name is not empty, has at most max_name_size bytes and no control characters, since names are written to
-// log lines. Names are UTF-8; decoding JSON rejects other text.
+// Returns true if the name is not empty, has at most max_name_size bytes and no control characters, since
+// names are written to log lines. Names are UTF-8; decoding JSON rejects other text.
 [[nodiscard]] bool valid_name(std::string_view name);
 
 [[nodiscard]] std::string_view text_of(budget::Counts counts);
--- a/src/door/door.h
+++ b/src/door/door.h
@@ -1,13 +1,13 @@
-// The door: holds requests ahead of the core while it would not send them at once, fair by tenant and client,
-// in bounded memory, and tells those it refuses when to come back. It decides by itself and does nothing: time
-// comes with each call, chance with the seed.
+// Admission queue: queues requests ahead of the core while the core would not send them at once. The queue is
+// fair by tenant and client and bounded in memory. Refused requests get a retry time. The queue only decides
+// and performs no action itself: time is passed to each call, and randomness comes from the seed.
 //
-// Use:       whatever is called, take all of next() after it, and again at next_due().
-// What went: a request handed over is never the door's again: it is known by its ticket until end().
-// Threading: one thread at a time.   Ownership: it holds no request, only what it was told of one.
-// Work:      a request costs the logarithm of what waits, and with the queue full a look at each tenant.
-// Errors:    a ticket that is not open any more is heeded by nobody; terms that contradict themselves:
-//            std::invalid_argument, naming the term, and nothing has changed.
+// Usage:     after every other call, call next() until it returns empty, and again at next_deadline().
+// Requests:  a dispatched request never returns to the queue; its ticket is valid until end().
+// Threading: one thread at a time.   Ownership: owns no requests, only their descriptions.
+// Cost:      logarithmic in the queued requests; linear in the tenants if the queue is full.
+// Errors:    calls with a ticket that is no longer valid have no effect. Inconsistent terms cause
+//            std::invalid_argument, which names the term; then nothing has changed.
 #pragma once
 
 #include <array>
@@ -30,23 +30,23 @@
 namespace flaxdoor::door {
 
 enum class Reason {
-    total_entries,  // the door is full, and nobody is further over its share
+    total_entries,  // the queue is full, and no other tenant exceeds its share by more
     total_bytes,
-    gave_way,  // it waited, and its tenant was the furthest over its share when the door was full
+    gave_way,  // evicted from the full queue, since its tenant exceeded its share by the most
     tenant_open,
     tenant_rate,
     client_open,
     client_rate,
     class_open,
     class_rate,
-    too_late,  // it could not be served in its time any more
+    too_late,  // it can no longer be served before its deadline
     draining,
-    module,  // refused by the module, after it was handed over
+    module,  // refused by the module after it was dispatched
 };
 inline constexpr std::size_t reasons = 12;
 const char* text_of(Reason reason);
 
-// Where one of that name is.
+// Returns the index of the item with this name.
 template <class Items>
 std::optional<std::size_t> place_of(const Items& items, std::string_view name) {
     for (std::size_t i = 0; i < items.size(); ++i) {
@@ -55,11 +55,11 @@
     return std::nullopt;
 }
 
-// 0: no limit.
+// Limits of a tenant, a class or a client. Zero means no limit.
 struct Limits {
-    std::uint32_t open = 0;  // waiting, or handed over and not ended
+    std::uint32_t open = 0;  // queued, or dispatched and not ended
     double per_s = 0;
-    double burst = 1;  // that may come at once
+    double burst = 1;  // depth of the token bucket
 };
 
 struct TenantTerms {
@@ -71,34 +71,35 @@
 struct ClassTerms {
     std::string name;
     double worth = 1;
-    Micros service = std::chrono::milliseconds(10);  // believed before the first one has ended
+    Micros service = std::chrono::milliseconds(10);  // estimate until the first request has ended
     Limits limits{};
 };
 
 struct Terms {
     std::vector<TenantTerms> tenants;     // 256 at most
-    TenantTerms others{"others", 1, {}};  // that none of the tenants is, together
+    TenantTerms others{"others", 1, {}};  // all requests of other tenants together
     std::vector<ClassTerms> classes;
-    Limits client;  // of each client; held to those that the tenant's counters surely know
+    Limits client;  // of each client; enforced for clients with a counter (HeavyHitters)
     std::size_t most_entries = 10'000;
     std::size_t most_bytes = 64u << 20;
-    // One worth the most goes ahead of those worth nothing of its flow that came up to so long before it.
+    // A request of the highest worth is ordered before requests of worth zero in its flow that arrived up to
+    // this long before.
     Micros head_start{};
     Micros patience = std::chrono::milliseconds(5);  // see Window
-    Book::Options book;
+    RetrySchedule::Options book;
 };
 
 struct Request {
-    std::size_t tenant = 0;  // its place in Terms::tenants; beyond: others
+    std::size_t tenant = 0;  // index in Terms::tenants; a larger one means others
     std::string_view client;
     int class_index = 0;
     Time deadline{};
     std::optional<Micros> cost_hint;
     std::size_t bytes = 0;
-    std::string_view token;  // that it came back with
+    std::string_view token;  // retry token; empty if there is none
 };
 
-using Ticket = std::uint64_t;  // never 0, never used again
+using Ticket = std::uint64_t;  // never 0, never reused
 
 struct Refusal {
     Reason reason = Reason::too_late;
@@ -108,17 +109,17 @@
 
 struct Step {
     Ticket ticket = 0;
-    std::optional<Refusal> refused;  // else: to be handed over now
+    std::optional<Refusal> refused;  // if empty, the request is to be dispatched now
 };
 
 struct TenantFigures {
     std::string name;
     std::uint64_t came = 0, handed = 0, left = 0;
     std::array<std::uint64_t, reasons> refused{};
-    std::uint64_t promised = 0;  // times told
-    std::uint64_t returned = 0;  // with a token, in its time
-    std::uint64_t unheeded = 0;  // with a token that counts as none
-    double served_seconds = 0;   // what its calls took
+    std::uint64_t promised = 0;  // retry times assigned
+    std::uint64_t returned = 0;  // retries with a valid token, in time
+    std::uint64_t unheeded = 0;  // requests whose token was invalid or out of time
+    double served_seconds = 0;   // total service time
     double waited_seconds = 0;
     std::size_t waiting = 0, open = 0;
 };
@@ -126,7 +127,7 @@
 struct Figures {
     std::vector<TenantFigures> tenants;  // others last
     std::size_t waiting = 0, waiting_bytes = 0, in_flight = 0;
-    std::size_t bytes = 0;  // all that the door holds
+    std::size_t bytes = 0;  // total memory of the queue
     double window = 0, capacity_per_s = 0;
     std::uint64_t promised = 0, excess = 0;
 };
@@ -138,75 +139,77 @@
     Door(const Door&) = delete;
     Door& operator=(const Door&) = delete;
 
-    // New terms: tenants and classes are told apart by name; what waits of a tenant that is gone waits among
-    // the others.
+    // Applies new terms. Tenants and classes are identified by name. Queued requests of a removed tenant move
+    // to others.
     void change(Terms terms, Time now);
     const Terms& terms() const { return terms_; }
 
     struct Arrival {
-        Ticket ticket = 0;    // 0: refused
-        bool handed = false;  // to be handed over now; else it waits
+        Ticket ticket = 0;    // 0 if refused
+        bool handed = false;  // true if the request is to be dispatched now, false if it is queued
         std::optional<Refusal> refused;
     };
     [[nodiscard]] Arrival arrive(Time now, const Request& request);
-    // What is to be done now, one after another until there is nothing more.
+    // Returns the next action, or empty if there is none.
     [[nodiscard]] std::optional<Step> next(Time now);
-    // When to ask for next() again though nothing was called.
-    [[nodiscard]] std::optional<Time> next_due(Time now) const;
+    // Returns when to call next() again if no other call is made before.
+    [[nodiscard]] std::optional<Time> next_deadline(Time now) const;
 
-    // Of one handed over: its first byte goes out, and its end. For one that the module refused, what to say.
+    // sending() reports that the first byte of a dispatched request is sent, end() that the request has
+    // ended. For a request that the module refused, end() returns the refusal with its retry time.
     void sending(Ticket ticket, Time now);
     [[nodiscard]] std::optional<Refusal> end(Ticket ticket, Time now, Window::End end);
-    // The client has gone, whether it waits or was handed over.
+    // Reports that the client has gone, whether its request is queued or dispatched.
     void leave(Ticket ticket, Time now);
-    // Nothing new waits from now on; what waits is still handed over.
+    // Queues no more requests. Queued ones are still dispatched.
     void drain() { draining_ = true; }
 
     std::size_t waiting() const { return waiting_; }
     std::size_t in_flight() const { return window_.in_flight(); }
     Figures figures(Time now) const;
-    // At most, with the door full: what waits and the tables of all tenants.
+    // Returns the memory of a full queue, with the tables of all tenants.
     std::size_t most_bytes() const;
 
 private:
     struct Entry;
     struct Tenant;
     struct Class;
-    struct Lane {  // a limit's state
+    struct LimitState {  // state of a Limits
         std::uint32_t open = 0;
         Time paid_until{};
     };
 
     Entry* find(Ticket ticket);
-    std::optional<std::pair<Reason, Micros>> over_limits(Time now, Tenant& tenant, Class& its,
-                                                         std::uint64_t client);
-    std::optional<Reason> make_room(std::size_t tenant, double worth, std::size_t bytes);
+    std::optional<std::pair<Reason, Micros>> check_limits(Time now, Tenant& tenant, Class& request_class,
+                                                          std::uint64_t client);
+    std::optional<Reason> evict_for(std::size_t tenant, double worth, std::size_t bytes);
     Micros expected_wait(Time now, const Tenant& tenant, std::size_t flow) const;
-    double over_share(const Tenant& tenant, std::size_t entries, std::size_t bytes) const;
-    Refusal refusal(Time now, std::size_t tenant, int class_index, std::uint64_t client, Reason reason,
-                    Micros soonest);
-    void wait(std::uint32_t at, std::optional<double> no_earlier);
-    void stop_waiting(std::uint32_t at);
-    void hand(std::uint32_t at, Time now, bool others_wait);
-    void close(std::uint32_t at);
-    std::size_t held_bytes(const Request& request) const;
-    std::uint64_t draw();
+    double share_excess(const Tenant& tenant, std::size_t entries, std::size_t bytes) const;
+    Refusal make_refusal(Time now, std::size_t tenant, int class_index, std::uint64_t client, Reason reason,
+                         Micros soonest);
+    void enqueue(std::uint32_t index, std::optional<double> earliest_start);
+    void dequeue(std::uint32_t index);
+    void dispatch(std::uint32_t index, Time now, bool others_wait);
+    void free_entry(std::uint32_t index);
+    std::size_t memory_of(const Request& request) const;
+    std::uint64_t next_random();
 
     Terms terms_;
-    double most_worth_ = 0, weights_ = 0;
-    std::uint64_t drawn_, client_key_;
+    double max_worth_ = 0, total_weight_ = 0;
+    std::uint64_t random_state_, client_hash_key_;
     Tokens tokens_;
     Window window_;
-    Book book_;
+    RetrySchedule retry_schedule_;
     Scheduler scheduler_;
     std::vector<std::unique_ptr<Tenant>> tenants_;
     std::vector<Class> classes_;
     std::vector<Entry> entries_;
     std::vector<std::uint32_t> free_;
-    std::set<std::pair<Time, std::uint32_t>> points_;  // of service: the last moment of use
-    std::deque<std::pair<std::uint32_t, Reason>> giving_way_;
+    std::set<std::pair<Time, std::uint32_t>>
+        latest_starts_;  // of queued requests: latest useful start of service
+    std::deque<std::pair<std::uint32_t, Reason>> evicted_;
     std::size_t waiting_ = 0, waiting_bytes_ = 0;
-    double flight_cost_ = 0;  // estimated, of all in flight
+    double in_flight_cost_ = 0;  // estimated cost of the calls in flight
     std::uint64_t arrivals_ = 0;
     bool draining_ = false;
 };
--- a/src/door/explain.h
+++ b/src/door/explain.h
@@ -1,13 +1,14 @@
-// Plays a script of loads through the door in virtual time, before a module with so many servers, and tells
-// who waits, who is refused and what they are told. For an operator who chooses weights and limits.
+// Simulates a script of loads through the admission queue in virtual time, ahead of a module with a given
+// number of servers, and reports waits, refusals and retry times. Helps an operator to choose weights and
+// limits.
 //
-// Script, one thing a line; `#` begins a comment; spans as 10ms, 2s:
+// Script: one statement a line; `#` begins a comment; time spans as 10ms, 2s:
 //     seed 7
-//     servers 8                       calls that are under way at once; more wait in the module
-//     slow 2 from 3s to 8s            every service takes so many times as long
+//     servers 8                       concurrent calls; further calls wait in the module
+//     slow 2 from 3s to 8s            factor on every service time
 //     load tenant=NAME rate=300 [clients=10] [class=NAME] [service=10ms] [deadline=2s] [from=0s] [to=10s]
 //
-// Bounds: 64 loads, 600 s, 2 million requests.   Errors: each with its line and what mends it; no I/O.
+// Bounds: 64 loads, 600 s, 2 million requests.   Errors: each with its line and a remedy. No I/O.
 #pragma once
 
 #include <cstddef>
@@ -20,6 +21,7 @@
 
 namespace flaxdoor::door {
 
+// An error in a script: its line, what is wrong, and how to fix it.
 struct ScriptFault {
     std::size_t line = 0;
     std::string what, mend;
@@ -41,8 +43,8 @@
 };
 
 [[nodiscard]] std::variant<Script, std::vector<ScriptFault>> read_script(std::string_view text);
-// `terms` has a tenant and a class for each that the script names; one that it has not is among the others,
-// or of the first class.
+// Simulates the script and returns the report as text. A tenant of the script that `terms` does not have
+// counts among others, and an unknown class counts as the first class.
 [[nodiscard]] std::string explain(const Terms& terms, const Script& script);
 
 }  // namespace flaxdoor::door
--- a/src/door/flows.cpp
+++ b/src/door/flows.cpp
@@ -7,9 +7,9 @@
 
 Flows::Flows(Time now, std::uint64_t key) : key_(key), perturb_at_(now + perturb_every) {}
 
-std::size_t Flows::place(Time now, std::uint64_t client, double cost, std::uint64_t drawn) {
+std::size_t Flows::assign_flow(Time now, std::uint64_t client, double cost, std::uint64_t next_key) {
     if (now >= perturb_at_) {
-        key_ = drawn;
+        key_ = next_key;
         perturb_at_ = now + perturb_every;
         hitters_.halve();
     }
@@ -18,14 +18,14 @@
     return XXH3_64bits_withSeed(&client, sizeof client, key_) % hashed;
 }
 
-void Flows::push(std::size_t flow, const Waiting& waiting, std::optional<double> no_earlier) {
+void Flows::push(std::size_t flow, const Waiting& waiting, std::optional<double> earliest_start) {
     queues_[flow].insert(waiting);
-    scheduler_.wake(flow, no_earlier);
+    scheduler_.activate(flow, earliest_start);
 }
 
 void Flows::remove(std::size_t flow, const Waiting& waiting) {
     queues_[flow].erase(waiting);
-    if (queues_[flow].empty()) scheduler_.rest(flow);
+    if (queues_[flow].empty()) scheduler_.deactivate(flow);
 }
 
 std::optional<std::pair<std::size_t, Flows::Waiting>> Flows::next() const {
@@ -35,7 +35,7 @@
 }
 
 std::size_t Flows::bytes() {
-    // Of a scheduler's party: five numbers and a flag.
+    // A participant of the scheduler holds five numbers and flags.
     return sizeof(Flows) + count * (sizeof(std::set<Waiting>) + 6 * sizeof(double));
 }
 
--- a/src/door/flows.h
+++ b/src/door/flows.h
@@ -1,10 +1,10 @@
-// What waits of one tenant, fair by client: clients are hashed into 1,024 flows, with a key that is drawn anew
-// every 30 s (for whoever comes from then on: what waits stays where it is), so two clients share a flow by
-// chance for 30 s and what waits then. A client with surely more than a quarter of the tenant's cost has a flow
-// of its own, so that no collision with it starves anyone.
+// The queued requests of one tenant, fair by client. Clients are hashed into 1,024 flows. The hash key
+// changes every 30 s for new requests, while queued requests stay in their flows. Two clients therefore share
+// a flow for at most 30 s plus the wait of the requests queued then. A client that is guaranteed to have more
+// than a quarter of the tenant's cost has its own flow, so that a collision with it starves no other client.
 //
-// Bytes:     about 110 kB, whoever comes, and a node for each that waits.
-// Work:      constant but for the logarithm of what waits.   Threading: one thread at a time.
+// Memory:    about 110 kB for any number of clients, and a node for each queued request.
+// Cost:      logarithmic in the queued requests.   Threading: one thread at a time.
 #pragma once
 
 #include <cstddef>
@@ -27,7 +27,7 @@
 
     Flows(Time now, std::uint64_t key);
 
-    // The order within a flow: by time, then by arrival.
+    // A queued request. Within a flow, requests are ordered by time, then by arrival.
     struct Waiting {
         Time order{};
         std::uint64_t arrival = 0;
@@ -35,20 +35,21 @@
         auto operator<=>(const Waiting&) const = default;
     };
 
-    // Books the client's cost and tells its flow. `drawn` becomes the next key where it is time for one.
-    std::size_t place(Time now, std::uint64_t client, double cost, std::uint64_t drawn);
-    void push(std::size_t flow, const Waiting& waiting, std::optional<double> no_earlier);
+    // Adds the client's cost and returns its flow. `next_key` becomes the hash key if the current key has
+    // expired.
+    std::size_t assign_flow(Time now, std::uint64_t client, double cost, std::uint64_t next_key);
+    void push(std::size_t flow, const Waiting& waiting, std::optional<double> earliest_start);
     void remove(std::size_t flow, const Waiting& waiting);
-    // The first of the flow whose turn it is.
+    // Returns the first request of the flow that is served next.
     std::optional<std::pair<std::size_t, Waiting>> next() const;
     void charge(std::size_t flow, double estimate) { (void)scheduler_.charge(flow, estimate); }
     void settle(std::size_t flow, double difference) { scheduler_.settle(flow, difference); }
 
     std::size_t waiting(std::size_t flow) const { return queues_[flow].size(); }
-    std::size_t busy() const { return scheduler_.awake(); }
+    std::size_t active_flows() const { return scheduler_.active_count(); }
     double virtual_time() const { return scheduler_.virtual_time(); }
     HeavyHitters& hitters() { return hitters_; }
-    static std::size_t bytes();  // without nodes
+    static std::size_t bytes();  // without the nodes of queued requests
 
 private:
     Scheduler scheduler_{count};
--- a/src/door/gate.cpp
+++ b/src/door/gate.cpp
@@ -7,145 +7,149 @@
 namespace flaxdoor::door {
 
 Gate::Gate(const World& world, Terms terms, Options options, std::uint64_t seed, const Tokens::Secret& secret)
-    : world_(world), options_(options), door_(std::move(terms), world.clock.now(), seed, secret) {}
+    : world_(world), options_(options), queue_(std::move(terms), world.clock.now(), seed, secret) {}
 
 Gate::~Gate() = default;
 
 void Gate::change(Terms terms, Options options) {
-    const Terms old = door_.terms();
-    door_.change(std::move(terms), world_.clock.now());
+    const Terms old_terms = queue_.terms();
+    queue_.change(std::move(terms), world_.clock.now());
     options_ = options;
-    // Guards against a call that goes to the core as one of another class, and is tried again as that may be.
-    const Terms& now = door_.terms();
-    for (auto& [ticket, held] : held_) {
+    // Guards against a call that reaches the core under another class and is retried by that class's rules.
+    const Terms& new_terms = queue_.terms();
+    for (auto& [ticket, held] : calls_) {
         if (held.handed) continue;
-        int& its_class = held.call.class_index;
-        const auto was = static_cast<std::size_t>(its_class);
-        const auto place =
-            was < old.classes.size() ? place_of(now.classes, old.classes[was].name) : std::nullopt;
-        its_class = place ? static_cast<int>(*place) : -1;  // it is refused when its turn comes
+        int& class_index = held.call.class_index;
+        const auto old_class = static_cast<std::size_t>(class_index);
+        const auto new_class = old_class < old_terms.classes.size()
+                                   ? place_of(new_terms.classes, old_terms.classes[old_class].name)
+                                   : std::nullopt;
+        class_index =
+            new_class ? static_cast<int>(*new_class) : -1;  // the call is refused when it is dispatched
         if (held.call.tenant.kind != core::Tenant::Kind::known) continue;
-        const auto who = static_cast<std::size_t>(held.call.tenant.number);
-        const auto home =
-            who < old.tenants.size() ? place_of(now.tenants, old.tenants[who].name) : std::nullopt;
-        held.call.tenant = home ? core::Tenant{core::Tenant::Kind::known, static_cast<int>(*home)}
-                                : core::Tenant{core::Tenant::Kind::unknown, 0};
+        const auto tenant_index = static_cast<std::size_t>(held.call.tenant.number);
+        const auto new_tenant = tenant_index < old_terms.tenants.size()
+                                    ? place_of(new_terms.tenants, old_terms.tenants[tenant_index].name)
+                                    : std::nullopt;
+        held.call.tenant = new_tenant ? core::Tenant{core::Tenant::Kind::known, static_cast<int>(*new_tenant)}
+                                      : core::Tenant{core::Tenant::Kind::unknown, 0};
     }
 }
 
-void Gate::asked_by(std::string client, std::string came_with, std::size_t bytes) {
-    client_ = std::move(client);
-    came_with_ = std::move(came_with);
-    bytes_ = bytes;
+void Gate::asked_by(std::string client, std::string retry_token, std::size_t bytes) {
+    request_client_ = std::move(client);
+    request_token_ = std::move(retry_token);
+    request_bytes_ = bytes;
 }
 
-void Gate::begin_drain() { door_.drain(); }
+void Gate::begin_drain() { queue_.drain(); }
 
 void Gate::stop() {
     std::vector<Ticket> waiting;
-    for (const auto& [ticket, held] : held_) {
+    for (const auto& [ticket, held] : calls_) {
         if (!held.handed) waiting.push_back(ticket);
     }
     for (const Ticket ticket : waiting) {
-        door_.leave(ticket, world_.clock.now());
+        queue_.leave(ticket, world_.clock.now());
         core::Final final;
         final.verdict = core::Verdict::refused;
         final.cause = core::Cause::shutting_down;
         try {
             answer(ticket, std::move(final), {});
-        } catch (...) {  // the others are told all the same
-            telling_.clear();
+        } catch (...) {  // the other calls are still answered
+            retry_token_.clear();
         }
     }
 }
 
-void Gate::on_alarm() { pump(); }
+void Gate::on_alarm() { run_queue(); }
 
-Figures Gate::figures() const { return door_.figures(world_.clock.now()); }
+Figures Gate::figures() const { return queue_.figures(world_.clock.now()); }
 
 // ------------------------------------------------------------------------------------------------ intake
 
 core::Taken Gate::take(core::Call call, core::Front& front, std::uint64_t token, core::CallId* id) {
     const Time now = world_.clock.now();
     if (call.received == Time{}) call.received = now;
-    // Guards against an effect twice: a refusal here says that nothing ran, and one of its name may have.
-    if (!call.name.empty() && (names_.contains(call.name) || world_.core.name_open(call.name)))
+    // Guards against a duplicate effect: a refusal by the queue states that nothing was executed, but a call
+    // of the same name may have been.
+    if (!call.name.empty() && (queued_names_.contains(call.name) || world_.core.name_open(call.name)))
         return core::Taken::name_open;
 
     Request request;
     request.tenant = call.tenant.kind == core::Tenant::Kind::known
                          ? static_cast<std::size_t>(call.tenant.number)
                          : std::numeric_limits<std::size_t>::max();
-    std::string client = std::move(client_);
+    std::string client = std::move(request_client_);
     if (options_.client_by_key && call.key != 0) client = std::to_string(call.key);
-    const std::string came_with = std::move(came_with_);
-    client_.clear();
-    came_with_.clear();
+    const std::string retry_token = std::move(request_token_);
+    request_client_.clear();
+    request_token_.clear();
     request.client = client;
-    request.token = came_with;
+    request.token = retry_token;
     request.class_index = call.class_index;
     request.deadline =
         call.received + (call.budget > Micros{} ? call.budget : options_.own_limit) - call.unseen;
     request.cost_hint = call.cost_hint;
-    request.bytes = sizeof(Held) + 2 * call.name.size() + client.size() + bytes_;
-    const auto arrival = door_.arrive(now, request);
+    request.bytes = sizeof(HeldCall) + 2 * call.name.size() + client.size() + request_bytes_;
+    const auto arrival = queue_.arrive(now, request);
     if (arrival.refused) {
-        telling_ = options_.tells ? arrival.refused->token : std::string();
-        front.on_final(token, refused(*arrival.refused));
-        telling_.clear();
-        pump();
+        retry_token_ = options_.tells ? arrival.refused->token : std::string();
+        front.on_final(token, refused_final(*arrival.refused));
+        retry_token_.clear();
+        run_queue();
         return core::Taken::yes;
     }
     const Ticket ticket = arrival.ticket;
     if (id) *id = ticket;
-    Held& held = held_[ticket];
+    HeldCall& held = calls_[ticket];
     held.front = &front;
     held.token = token;
     if (arrival.handed) {
         held.handed = true;
         core::CallId in_core = 0;
         const core::Taken taken = world_.core.take(std::move(call), *this, ticket, &in_core);
-        const auto still = held_.find(ticket);
+        const auto still = calls_.find(ticket);
         if (taken != core::Taken::yes) {
-            (void)door_.end(ticket, now, Window::End::other);
-            held_.erase(ticket);
-        } else if (still != held_.end()) {
+            (void)queue_.end(ticket, now, Window::End::other);
+            calls_.erase(ticket);
+        } else if (still != calls_.end()) {
             still->second.in_core = in_core;
         }
-        pump();
+        run_queue();
         return taken;
     }
-    if (!call.name.empty()) names_.insert(call.name);
+    if (!call.name.empty()) queued_names_.insert(call.name);
     held.call = std::move(call);
-    pump();
+    run_queue();
     return core::Taken::yes;
 }
 
 void Gate::leave(core::CallId call) {
-    const auto found = held_.find(call);
-    if (found == held_.end()) return;
-    const Held held = std::move(found->second);
-    held_.erase(found);
-    names_.erase(held.call.name);
-    door_.leave(call, world_.clock.now());
+    const auto found = calls_.find(call);
+    if (found == calls_.end()) return;
+    const HeldCall held = std::move(found->second);
+    calls_.erase(found);
+    queued_names_.erase(held.call.name);
+    queue_.leave(call, world_.clock.now());
     if (held.handed) world_.core.leave(held.in_core);
-    pump();
+    run_queue();
 }
 
-void Gate::hand(Ticket ticket) {
-    Held& held = held_.at(ticket);
+void Gate::dispatch(Ticket ticket) {
+    HeldCall& held = calls_.at(ticket);
     held.handed = true;
-    names_.erase(held.call.name);
+    queued_names_.erase(held.call.name);
     core::CallId in_core = 0;
     const core::Taken taken = world_.core.take(std::move(held.call), *this, ticket, &in_core);
-    const auto still = held_.find(ticket);
-    if (still == held_.end()) return;  // answered already
+    const auto still = calls_.find(ticket);
+    if (still == calls_.end()) return;  // already answered
     still->second.call = {};
     still->second.in_core = in_core;
     if (taken == core::Taken::yes) return;
-    (void)door_.end(ticket, world_.clock.now(), Window::End::other);
+    (void)queue_.end(ticket, world_.clock.now(), Window::End::other);
     core::Final final;
-    // One of its name may still run: whether a repeat is harmless is not known.
+    // A call of the same name may still be running, so it is not known whether a retry is safe.
     const bool open = taken == core::Taken::name_open;
     final.verdict = open ? core::Verdict::failed : core::Verdict::refused;
     final.cause = open ? core::Cause::fault : core::Cause::no_room;
@@ -154,18 +158,18 @@
 }
 
 void Gate::answer(Ticket ticket, core::Final final, const std::string& token) {
-    const auto found = held_.find(ticket);
-    if (found == held_.end()) return;
+    const auto found = calls_.find(ticket);
+    if (found == calls_.end()) return;
     core::Front& front = *found->second.front;
-    const std::uint64_t its = found->second.token;
-    names_.erase(found->second.call.name);
-    held_.erase(found);
-    telling_ = token;
-    front.on_final(its, std::move(final));
-    telling_.clear();
+    const std::uint64_t front_token = found->second.token;
+    queued_names_.erase(found->second.call.name);
+    calls_.erase(found);
+    retry_token_ = token;
+    front.on_final(front_token, std::move(final));
+    retry_token_.clear();
 }
 
-core::Final Gate::refused(const Refusal& refusal) const {
+core::Final Gate::refused_final(const Refusal& refusal) const {
     core::Final final;
     final.verdict = core::Verdict::refused;
     final.cause = core::Cause::no_room;
@@ -173,56 +177,56 @@
     return final;
 }
 
-// One whose handing over met an error: nothing is known of it here any more.
-void Gate::give_up(Ticket ticket) noexcept {
+// Answers a call whose dispatch threw an exception. Its state is not known any more.
+void Gate::fail(Ticket ticket) noexcept {
     try {
-        (void)door_.end(ticket, world_.clock.now(), Window::End::other);
+        (void)queue_.end(ticket, world_.clock.now(), Window::End::other);
         core::Final final;
         final.cause = core::Cause::fault;
         final.may_have_run = true;
         answer(ticket, std::move(final), {});
-    } catch (...) {  // its front has heard of it as far as it can
-        telling_.clear();
+    } catch (...) {  // the front has been notified as far as possible
+        retry_token_.clear();
     }
 }
 
-// Called from within itself it does nothing: whoever called it goes on.
-void Gate::pump() {
-    if (pumping_) return;
-    pumping_ = true;
-    while (const auto step = door_.next(world_.clock.now())) {
-        // What a front throws ends its own step, as in the core; nobody else's answer hangs on it.
+// Performs all pending actions of the queue. A nested call does nothing, since the outer one continues.
+void Gate::run_queue() {
+    if (running_queue_) return;
+    running_queue_ = true;
+    while (const auto step = queue_.next(world_.clock.now())) {
+        // As in the core, an exception of a front ends its own step only and does not affect other calls.
         try {
             if (step->refused) {
-                answer(step->ticket, refused(*step->refused),
+                answer(step->ticket, refused_final(*step->refused),
                        options_.tells ? step->refused->token : std::string());
             } else {
-                hand(step->ticket);
+                dispatch(step->ticket);
             }
         } catch (...) {
-            give_up(step->ticket);
+            fail(step->ticket);
         }
     }
-    pumping_ = false;
-    if (const auto due = door_.next_due(world_.clock.now())) world_.alarm.set(*due);
+    running_queue_ = false;
+    if (const auto due = queue_.next_deadline(world_.clock.now())) world_.alarm.set(*due);
 }
 
-// ----------------------------------------------------------------------------------- what was handed over
+// --------------------------------------------------------------------------------------- dispatched calls
 
 bool Gate::on_sending(std::uint64_t token) {
-    const auto found = held_.find(token);
-    if (found == held_.end()) return false;
+    const auto found = calls_.find(token);
+    if (found == calls_.end()) return false;
     core::Front& front = *found->second.front;
-    const std::uint64_t its = found->second.token;
-    door_.sending(token, world_.clock.now());
-    const bool wanted = front.on_sending(its);
-    pump();
+    const std::uint64_t front_token = found->second.token;
+    queue_.sending(token, world_.clock.now());
+    const bool wanted = front.on_sending(front_token);
+    run_queue();
     return wanted;
 }
 
 void Gate::on_started(std::uint64_t token, std::unique_ptr<core::Payload> head) {
-    const auto found = held_.find(token);
-    if (found != held_.end()) found->second.front->on_started(found->second.token, std::move(head));
+    const auto found = calls_.find(token);
+    if (found != calls_.end()) found->second.front->on_started(found->second.token, std::move(head));
 }
 
 void Gate::on_final(std::uint64_t token, core::Final final) {
@@ -231,19 +235,19 @@
     const End end = no_room                                  ? End::no_room
                     : final.verdict == core::Verdict::served ? End::served
                                                              : End::other;
-    const auto told = door_.end(token, world_.clock.now(), end);
+    const auto refusal = queue_.end(token, world_.clock.now(), end);
     std::string retry_token;
-    if (told && options_.tells) {
-        if (told->retry_after >= final.retry_after) retry_token = told->token;
-        final.retry_after = std::max(final.retry_after, told->retry_after);
+    if (refusal && options_.tells) {
+        if (refusal->retry_after >= final.retry_after) retry_token = refusal->token;
+        final.retry_after = std::max(final.retry_after, refusal->retry_after);
     }
     try {
         answer(token, std::move(final), retry_token);
     } catch (...) {
-        pump();  // there is room for another one all the same
+        run_queue();  // another call can be dispatched nevertheless
         throw;
     }
-    pump();
+    run_queue();
 }
 
 }  // namespace flaxdoor::door
--- a/src/door/gate.h
+++ b/src/door/gate.h
@@ -1,14 +1,16 @@
-// The door between a front and the core: an intake that holds calls back, and the core's front for those that
-// it handed over.
+// Places the admission queue between a front and the core: an intake that queues calls, and the core's front
+// for the calls that it dispatched.
 //
-//   - A call that waits keeps its deadline: `received` stays when it came, so that its budget has shrunk.
-//   - What was handed over is answered as the core says, at once; a refusal of the module is told the later of
-//     its own and the door's time to come back. The door's time is told only where the platform heeds it.
-//   - Who leaves while it waits is taken out; the core never hears of it.
+//   - A queued call keeps its deadline: `received` stays its arrival time, so the wait reduces its time
+//     budget.
+//   - Answers of the core to dispatched calls are passed on at once. A refusal by the module carries the
+//     later of the module's retry time and the queue's. The queue's retry time is used only if the platform
+//     observes it.
+//   - A call whose client leaves while it is queued is removed; the core never receives it.
 //
-// Threading: the core's one thread.   Ownership: all that it is made with is borrowed and outlives it; it
-//            outlives the fronts that hand in calls, and is there until their pool is removed.
-// Errors:    the constructor and change() throw std::invalid_argument when the terms contradict themselves.
+// Threading: the core's thread.   Ownership: all constructor arguments are borrowed and outlive the gate. The
+//            gate outlives the fronts that submit calls, and must exist until their pool is removed.
+// Errors:    the constructor and change() throw std::invalid_argument for inconsistent terms.
 #pragma once
 
 #include <memory>
@@ -26,61 +28,61 @@
     struct World {
         core::Core& core;
         const core::Clock& clock;
-        core::Alarm& alarm;  // its own: on_alarm() is called when it rings
+        core::Alarm& alarm;  // used by this gate only; on_alarm() is called when it expires
     };
     struct Options {
-        bool tells = false;                           // when to come back
-        Micros own_limit = std::chrono::seconds(30);  // as core::Options has it
-        bool client_by_key = false;                   // of a call that has one
+        bool tells = false;                           // refusals carry a retry time
+        Micros own_limit = std::chrono::seconds(30);  // as in core::Options
+        bool client_by_key = false;                   // a call's key identifies its client, if it has one
     };
     Gate(const World& world, Terms terms, Options options, std::uint64_t seed, const Tokens::Secret& secret);
     ~Gate() override;
 
-    // What waits keeps its class and tenant by name; one whose class is gone is refused in its turn. To be
-    // called ahead of the core's change_pool(), with nothing in between.
+    // Applies new terms. Queued calls keep their class and tenant by name; a call whose class was removed is
+    // refused when it is dispatched. Must be called immediately before the core's change_pool().
     void change(Terms terms, Options options);
-    // Nothing new waits.
+    // Queues no more calls.
     void begin_drain();
-    // Refuses what waits still.
+    // Refuses all queued calls.
     void stop();
     void on_alarm();
     Figures figures() const;
 
-    // Who asks: counts for the take() that follows it.
-    void asked_by(std::string client, std::string came_with, std::size_t bytes);
+    // Sets the client, its retry token and the size of the request that the next take() passes.
+    void asked_by(std::string client, std::string retry_token, std::size_t bytes);
     core::Taken take(core::Call call, core::Front& front, std::uint64_t token, core::CallId* id) override;
     void leave(core::CallId call) override;
-    // While a front's on_final() runs: the token that its client is to be told; empty: none.
-    const std::string& telling() const { return telling_; }
+    // Returns the retry token for the answer, during a front's on_final(). Empty if there is none.
+    const std::string& telling() const { return retry_token_; }
 
     bool on_sending(std::uint64_t token) override;
     void on_started(std::uint64_t token, std::unique_ptr<core::Payload> head) override;
     void on_final(std::uint64_t token, core::Final answer) override;
 
 private:
-    struct Held {
+    struct HeldCall {
         core::Front* front = nullptr;
         std::uint64_t token = 0;
         core::CallId in_core = 0;
         bool handed = false;
-        core::Call call;  // while it waits
+        core::Call call;  // while it is queued
     };
 
-    void hand(Ticket ticket);
+    void dispatch(Ticket ticket);
     void answer(Ticket ticket, core::Final final, const std::string& token);
-    core::Final refused(const Refusal& refusal) const;
-    void give_up(Ticket ticket) noexcept;
-    void pump();
+    core::Final refused_final(const Refusal& refusal) const;
+    void fail(Ticket ticket) noexcept;
+    void run_queue();
 
     World world_;
     Options options_;
-    Door door_;
-    std::unordered_map<Ticket, Held> held_;
-    std::unordered_set<std::string> names_;  // of those that wait
-    std::string client_, came_with_;         // of the request that is being taken
-    std::size_t bytes_ = 0;                  // the same
-    std::string telling_;
-    bool pumping_ = false;
+    Door queue_;
+    std::unordered_map<Ticket, HeldCall> calls_;
+    std::unordered_set<std::string> queued_names_;  // of queued calls
+    std::string request_client_, request_token_;    // of the request that the next take() passes
+    std::size_t request_bytes_ = 0;                 // of the same request
+    std::string retry_token_;
+    bool running_queue_ = false;
 };
 
 }  // namespace flaxdoor::door
--- a/src/door/heavy_hitters.cpp
+++ b/src/door/heavy_hitters.cpp
@@ -13,30 +13,31 @@
 
 std::size_t HeavyHitters::add(std::uint64_t client, double amount) {
     total_ += amount;
-    std::size_t place = 0;
+    std::size_t index = 0;
     if (const auto known = find(client)) {
-        place = *known;
+        index = *known;
     } else if (used_ < counters) {
-        place = used_++;
-        clients_[place] = client;
+        index = used_++;
+        clients_[index] = client;
     } else {
-        const auto least = std::min_element(counters_.begin(), counters_.end(),
-                                            [](const auto& a, const auto& b) { return a.count < b.count; });
-        place = static_cast<std::size_t>(least - counters_.begin());
-        clients_[place] = client;
-        least->error = least->count;
-        least->paid_until = {};
-        least->open = 0;
+        const auto smallest =
+            std::min_element(counters_.begin(), counters_.end(),
+                             [](const auto& a, const auto& b) { return a.count < b.count; });
+        index = static_cast<std::size_t>(smallest - counters_.begin());
+        clients_[index] = client;
+        smallest->error = smallest->count;
+        smallest->paid_until = {};
+        smallest->open = 0;
     }
-    counters_[place].count += amount;
-    return place;
+    counters_[index].count += amount;
+    return index;
 }
 
 void HeavyHitters::halve() {
     total_ /= 2;
-    for (Counter& each : counters_) {
-        each.count /= 2;
-        each.error /= 2;
+    for (Counter& counter : counters_) {
+        counter.count /= 2;
+        counter.error /= 2;
     }
 }
 
--- a/src/door/heavy_hitters.h
+++ b/src/door/heavy_hitters.h
@@ -1,8 +1,8 @@
-// The clients of one tenant that send the most, by Space-Saving (Metwally, Agrawal, El Abbadi 2005): 64
-// counters, whoever they are. A count is at most the smallest counter too high (at most total/64) and never too
-// low; count less `error` is never too high.
+// Finds the clients of one tenant with the largest cost by the Space-Saving algorithm (Metwally, Agrawal, El
+// Abbadi 2005) with 64 counters for any number of clients. A count is never too low, and too high by at most
+// the smallest counter (at most total/64). The count minus `error` is never too high.
 //
-// Threading: one thread at a time.   Work and bytes: constant.
+// Threading: one thread at a time.   Cost and memory: constant.
 #pragma once
 
 #include <array>
@@ -20,23 +20,24 @@
 
     struct Counter {
         double count = 0;
-        double error = 0;  // of the count: what whoever had the counter before had
-        // For limits of a client; they begin with its counter, so they err in its favour.
+        double error = 0;  // largest error of the count: the count of the counter's previous client
+        // State of the client's limits. It starts with the client's counter, so it errs in the client's
+        // favour.
         Time paid_until{};
         std::uint32_t open = 0;
 
-        double sure() const { return count - error; }
+        double guaranteed() const { return count - error; }
     };
 
-    // Books it, and returns its place.
+    // Adds to the client's count. Returns the index of its counter.
     std::size_t add(std::uint64_t client, double amount);
     std::optional<std::size_t> find(std::uint64_t client) const;
-    Counter& at(std::size_t place) { return counters_[place]; }
-    const Counter& at(std::size_t place) const { return counters_[place]; }
+    Counter& at(std::size_t index) { return counters_[index]; }
+    const Counter& at(std::size_t index) const { return counters_[index]; }
     double total() const { return total_; }
-    // Surely more than a quarter of all.
-    bool heavy(std::size_t place) const { return counters_[place].sure() > total_ / 4; }
-    // What was long ago counts less: all are halved.
+    // Returns true if the client is guaranteed to have more than a quarter of the total.
+    bool heavy(std::size_t index) const { return counters_[index].guaranteed() > total_ / 4; }
+    // Halves all counts, so that older cost weighs less.
     void halve();
 
 private:
--- a/src/door/scheduler.cpp
+++ b/src/door/scheduler.cpp
@@ -5,34 +5,35 @@
 namespace flaxdoor::door {
 
 namespace {
-constexpr double most_carried = 10;  // of a party's largest charges
+constexpr double max_carry_over = 10;  // in largest charges of a participant
 }
 
-void Scheduler::order(std::size_t party, double start) {
-    parties_[party].start = start;
-    order_.emplace(start, party);
+void Scheduler::enqueue(std::size_t index, double start) {
+    participants_[index].start = start;
+    order_.emplace(start, index);
 }
 
-void Scheduler::wake(std::size_t party, std::optional<double> no_earlier) {
-    Party& its = parties_[party];
-    if (its.awake) return;
-    const double now = std::min(virtual_time_, no_earlier.value_or(virtual_time_));
-    if (virtual_time_ > its.finish) {
-        // What it was owed ends with its rest, and what it owes was waited for.
-        its.carried = std::max(0.0, its.carried - (virtual_time_ - its.finish) * its.weight);
+void Scheduler::activate(std::size_t index, std::optional<double> earliest_start) {
+    Participant& participant = participants_[index];
+    if (participant.active) return;
+    const double start = std::min(virtual_time_, earliest_start.value_or(virtual_time_));
+    if (virtual_time_ > participant.finish) {
+        // A credit expires while the participant is idle, and a debt is paid off by the time that it waited.
+        participant.carry_over =
+            std::max(0.0, participant.carry_over - (virtual_time_ - participant.finish) * participant.weight);
     }
-    its.awake = true;
-    its.early = now < virtual_time_;
-    weight_awake_ += its.weight;
-    order(party, std::max(now, its.finish));
+    participant.active = true;
+    participant.early = start < virtual_time_;
+    active_weight_ += participant.weight;
+    enqueue(index, std::max(start, participant.finish));
 }
 
-void Scheduler::rest(std::size_t party) {
-    Party& its = parties_[party];
-    if (!its.awake) return;
-    order_.erase({its.start, party});
-    its.awake = false;
-    weight_awake_ = order_.empty() ? 0 : weight_awake_ - its.weight;
+void Scheduler::deactivate(std::size_t index) {
+    Participant& participant = participants_[index];
+    if (!participant.active) return;
+    order_.erase({participant.start, index});
+    participant.active = false;
+    active_weight_ = order_.empty() ? 0 : active_weight_ - participant.weight;
 }
 
 std::optional<std::size_t> Scheduler::next() const {
@@ -40,29 +41,30 @@
     return order_.begin()->second;
 }
 
-double Scheduler::charge(std::size_t party, double estimate) {
-    Party& its = parties_[party];
-    if (!its.awake && virtual_time_ > its.finish)
-        its.carried = std::max(0.0, its.carried - (virtual_time_ - its.finish) * its.weight);
-    const double start = its.awake ? its.start : std::max(virtual_time_, its.finish);
-    const double charged = std::max(0.0, estimate + its.carried);
-    its.carried = estimate + its.carried - charged;
-    its.largest = std::max(its.largest, estimate);
-    its.finish = start + charged / its.weight;
+double Scheduler::charge(std::size_t index, double estimate) {
+    Participant& participant = participants_[index];
+    if (!participant.active && virtual_time_ > participant.finish)
+        participant.carry_over =
+            std::max(0.0, participant.carry_over - (virtual_time_ - participant.finish) * participant.weight);
+    const double start = participant.active ? participant.start : std::max(virtual_time_, participant.finish);
+    const double charged = std::max(0.0, estimate + participant.carry_over);
+    participant.carry_over = estimate + participant.carry_over - charged;
+    participant.largest_charge = std::max(participant.largest_charge, estimate);
+    participant.finish = start + charged / participant.weight;
     virtual_time_ = std::max(virtual_time_, start);
-    if (its.early) its.finish = std::max(its.finish, virtual_time_);
-    its.early = false;
-    if (its.awake) {
-        order_.erase({its.start, party});
-        order(party, its.finish);
+    if (participant.early) participant.finish = std::max(participant.finish, virtual_time_);
+    participant.early = false;
+    if (participant.active) {
+        order_.erase({participant.start, index});
+        enqueue(index, participant.finish);
     }
     return charged;
 }
 
-void Scheduler::settle(std::size_t party, double difference) {
-    Party& its = parties_[party];
-    const double most = most_carried * its.largest;
-    its.carried = std::clamp(its.carried + difference, -most, most);
+void Scheduler::settle(std::size_t index, double difference) {
+    Participant& participant = participants_[index];
+    const double limit = max_carry_over * participant.largest_charge;
+    participant.carry_over = std::clamp(participant.carry_over + difference, -limit, limit);
 }
 
 }  // namespace flaxdoor::door
--- a/src/door/token.cpp
+++ b/src/door/token.cpp
@@ -11,43 +11,43 @@
 
 namespace {
 
-constexpr std::size_t body_bytes = 16, seal_bytes = 8, all_bytes = body_bytes + seal_bytes;
-using Bytes = std::array<unsigned char, all_bytes>;
+constexpr std::size_t body_size = 16, mac_size = 8, token_size = body_size + mac_size;
+using Bytes = std::array<unsigned char, token_size>;
 constexpr std::string_view digits = "0123456789abcdef";
 
-void put(Bytes& bytes, std::size_t at, std::uint32_t value, std::size_t size) {
+void write_big_endian(Bytes& bytes, std::size_t offset, std::uint32_t value, std::size_t size) {
     for (std::size_t i = 0; i < size; ++i)
-        bytes[at + i] = static_cast<unsigned char>(value >> (8 * (size - 1 - i)));
+        bytes[offset + i] = static_cast<unsigned char>(value >> (8 * (size - 1 - i)));
 }
 
-std::uint32_t get(const Bytes& bytes, std::size_t at, std::size_t size) {
+std::uint32_t read_big_endian(const Bytes& bytes, std::size_t offset, std::size_t size) {
     std::uint32_t value = 0;
-    for (std::size_t i = 0; i < size; ++i) value = value << 8 | bytes[at + i];
+    for (std::size_t i = 0; i < size; ++i) value = value << 8 | bytes[offset + i];
     return value;
 }
 
 std::array<unsigned char, 32> mac_of(const Tokens::Secret& secret, const Bytes& bytes) {
     std::array<unsigned char, 32> mac{};
     unsigned size = 0;
-    if (!HMAC(EVP_sha256(), secret.data(), static_cast<int>(secret.size()), bytes.data(), body_bytes,
+    if (!HMAC(EVP_sha256(), secret.data(), static_cast<int>(secret.size()), bytes.data(), body_size,
               mac.data(), &size))
-        throw std::runtime_error("no HMAC-SHA256");
+        throw std::runtime_error("HMAC-SHA256 failed");
     return mac;
 }
 
 }  // namespace
 
-std::string Tokens::seal(const Promise& promise) const {
+std::string Tokens::sign(const RetryClaim& claim) const {
     Bytes bytes{};
-    put(bytes, 0, promise.slot, 4);
-    put(bytes, 4, promise.tenant, 2);
-    put(bytes, 6, promise.class_index, 2);
-    put(bytes, 8, promise.client, 4);
-    put(bytes, 12, std::bit_cast<std::uint32_t>(promise.stamp), 4);
+    write_big_endian(bytes, 0, claim.slot, 4);
+    write_big_endian(bytes, 4, claim.tenant, 2);
+    write_big_endian(bytes, 6, claim.class_index, 2);
+    write_big_endian(bytes, 8, claim.client, 4);
+    write_big_endian(bytes, 12, std::bit_cast<std::uint32_t>(claim.virtual_time), 4);
     const auto mac = mac_of(secret_, bytes);
-    for (std::size_t i = 0; i < seal_bytes; ++i) bytes[body_bytes + i] = mac[i];
+    for (std::size_t i = 0; i < mac_size; ++i) bytes[body_size + i] = mac[i];
     std::string text;
-    text.reserve(2 * all_bytes);
+    text.reserve(2 * token_size);
     for (const unsigned char byte : bytes) {
         text += digits[byte >> 4];
         text += digits[byte & 15];
@@ -55,8 +55,8 @@
     return text;
 }
 
-std::optional<Promise> Tokens::open(std::string_view text) const {
-    if (text.size() != 2 * all_bytes) return std::nullopt;
+std::optional<RetryClaim> Tokens::verify(std::string_view text) const {
+    if (text.size() != 2 * token_size) return std::nullopt;
     Bytes bytes{};
     for (std::size_t i = 0; i < text.size(); ++i) {
         const auto digit = digits.find(text[i]);
@@ -64,14 +64,14 @@
         bytes[i / 2] = static_cast<unsigned char>(bytes[i / 2] << 4 | digit);
     }
     const auto mac = mac_of(secret_, bytes);
-    if (CRYPTO_memcmp(mac.data(), bytes.data() + body_bytes, seal_bytes) != 0) return std::nullopt;
-    Promise promise;
-    promise.slot = get(bytes, 0, 4);
-    promise.tenant = static_cast<std::uint16_t>(get(bytes, 4, 2));
-    promise.class_index = static_cast<std::uint16_t>(get(bytes, 6, 2));
-    promise.client = get(bytes, 8, 4);
-    promise.stamp = std::bit_cast<float>(get(bytes, 12, 4));
-    return promise;
+    if (CRYPTO_memcmp(mac.data(), bytes.data() + body_size, mac_size) != 0) return std::nullopt;
+    RetryClaim claim;
+    claim.slot = read_big_endian(bytes, 0, 4);
+    claim.tenant = static_cast<std::uint16_t>(read_big_endian(bytes, 4, 2));
+    claim.class_index = static_cast<std::uint16_t>(read_big_endian(bytes, 6, 2));
+    claim.client = read_big_endian(bytes, 8, 4);
+    claim.virtual_time = std::bit_cast<float>(read_big_endian(bytes, 12, 4));
+    return claim;
 }
 
 }  // namespace flaxdoor::door
--- a/src/door/token.h
+++ b/src/door/token.h
@@ -1,8 +1,10 @@
-// What a refusal may carry and a client may bring back: when it was told to come, signed, so that the door
-// keeps nothing for it. 24 bytes in hex: slot (4), tenant (2), class (2), client (4 of its hash), virtual time
-// (4, float), HMAC-SHA256 cut to 8 bytes (RFC 2104, truncated as RFC 2104 section 5 allows).
+// Retry tokens. A refusal may carry one and the client's retry may present it: it holds the assigned retry
+// time, signed, so that the admission queue keeps no state for refused requests. 24 bytes in hex: slot (4),
+// tenant (2), class (2), client (4 bytes of its hash), virtual time (4, float), HMAC-SHA256 truncated to 8
+// bytes (RFC 2104, section 5 allows truncation).
 //
-// Errors: a text that is not one, of another key, or changed is no token.   Threading: const, any thread.
+// Errors: a malformed or changed text and one signed with another key are no token.   Threading: const; any
+//         thread.
 #pragma once
 
 #include <array>
@@ -13,13 +15,14 @@
 
 namespace flaxdoor::door {
 
-struct Promise {
-    std::uint32_t slot = 0;  // since the clock's origin, modulo 2^32
+// Contents of a retry token.
+struct RetryClaim {
+    std::uint32_t slot = 0;  // number since the clock's origin, modulo 2^32
     std::uint16_t tenant = 0;
     std::uint16_t class_index = 0;
     std::uint32_t client = 0;
-    float stamp = 0;  // the virtual time of the tenant's flows when it was refused
-    bool operator==(const Promise&) const = default;
+    float virtual_time = 0;  // of the tenant's flows when the request was refused
+    bool operator==(const RetryClaim&) const = default;
 };
 
 class Tokens {
@@ -27,8 +30,9 @@
     using Secret = std::array<unsigned char, 32>;
     explicit Tokens(const Secret& secret) : secret_(secret) {}
 
-    [[nodiscard]] std::string seal(const Promise& promise) const;
-    [[nodiscard]] std::optional<Promise> open(std::string_view text) const;
+    [[nodiscard]] std::string sign(const RetryClaim& claim) const;
+    // Returns empty unless the text is a token signed with this secret.
+    [[nodiscard]] std::optional<RetryClaim> verify(std::string_view text) const;
 
 private:
     Secret secret_;
--- a/tests/budget/admission_test.cpp
+++ b/tests/budget/admission_test.cpp
@@ -1,5 +1,6 @@
-// Tests of the budgets at a real core with a fake back, in virtual time: which calls get a permit, when it is committed, and how
-// a call without one ends. After every test, no permit may be reserved or in use once all calls have ended.
+// Tests of the budgets at a real core with a fake back, in virtual time: which calls get a permit, when it is
+// committed, and how a call without one ends. After every test, no permit may be reserved or in use once all
+// calls have ended.
 #include "budget/admission.h"
 
 #include <gtest/gtest.h>
@@ -18,7 +19,8 @@
 using core::Taken;
 using core::Verdict;
 
-// The holder's clock: reads the core's clock, which a simulated suspension advances without serving the core's alarm.
+// The holder's clock: reads the core's clock, which a simulated suspension advances without serving the
+// core's alarm.
 struct CoreClockView final : core::Clock {
     Time now() const override { return of ? of->now() : FakeClock().at; }
     const core::Clock* of = nullptr;
@@ -121,7 +123,8 @@
         submit(token);
         return last_attempt();
     }
-    // Waits for the hedged attempt that the module starts, while other calls yield reports of the other upstreams.
+    // Waits for the hedged attempt that the module starts, while other calls yield reports of the other
+    // upstreams.
     std::optional<core::AttemptKey> wait_for_hedge(core::AttemptKey first) {
         for (std::uint64_t other = 200; other < 300; ++other) {
             pass(ms(2));
@@ -148,8 +151,8 @@
 
 // ------------------------------------------------------------------------------------------- what is counted
 
-// Four calls whose first attempt is rejected and whose second one is answered, until no permit is left. Shows which call is
-// refused, and whether at its first or its second attempt.
+// Four calls whose first attempt is rejected and whose second one is answered, until no permit is left. Shows
+// which call is refused, and whether at its first or its second attempt.
 TEST(BudgetAdmission, WhatTakesAPermit) {
     struct Case {
         Counts counts;
@@ -322,8 +325,8 @@
 
 // ------------------------------------------------------------------------------------------- later attempts
 
-// No permit is left for a later attempt. The call's end depends on the first attempt: a call that may have executed does not
-// end as refused.
+// No permit is left for a later attempt. The call's end depends on the first attempt: a call that may have
+// executed does not end as refused.
 TEST(BudgetAdmission, RefusedRetry) {
     struct Case {
         int class_index;
@@ -360,7 +363,8 @@
     }
 }
 
-// Guards against a hedged attempt without a permit that ends its call although the first attempt would be answered.
+// Guards against a hedged attempt without a permit that ends its call although the first attempt would be
+// answered.
 TEST(BudgetAdmission, RefusedHedgeLeavesTheFirstAttemptRunning) {
     for (const bool revoked : {false, true}) {
         World world({budget_of("a", Counts::retries, per_second(1000, 100))});
@@ -435,8 +439,8 @@
 
 // --------------------------------------------------------------------------------------------- random events
 
-// Under random events of calls, attempts and leases, the permits in use stay within each budget, and none remains in use at
-// the end.
+// Under random events of calls, attempts and leases, the permits in use stay within each budget, and none
+// remains in use at the end.
 TEST(BudgetAdmission, NoPermitLeaks) {
     const int seeds = share_of(400, 40);
     for (int seed = 1; seed <= seeds; ++seed) {
--- a/tests/budget/agent_test.cpp
+++ b/tests/budget/agent_test.cpp
@@ -1,5 +1,6 @@
-// Tests of a balancer's agent against a scripted coordinator on the loopback interface: whatever the coordinator answers, the
-// agent sends another request, logs why there is no lease, and accepts the first lease that is granted.
+// Tests of a balancer's agent against a scripted coordinator on the loopback interface: whatever the
+// coordinator answers, the agent sends another request, logs why there is no lease, and accepts the first
+// lease that is granted.
 #include "coordinator/agent.h"
 
 #include <gtest/gtest.h>
--- a/tests/budget/allowance_test.cpp
+++ b/tests/budget/allowance_test.cpp
@@ -39,7 +39,8 @@
     ASSERT_TRUE(allowance.set_aside(4900ms));
     ASSERT_TRUE(allowance.set_aside(4900ms));
     ASSERT_TRUE(allowance.set_aside(4900ms));
-    // The process resumes after the lease has ended: of the three reserved permits, only the reserve's one is left.
+    // The process resumes after the lease has ended: of the three reserved permits, only the reserve's one is
+    // left.
     EXPECT_FALSE(allowance.use(9s));
     EXPECT_FALSE(allowance.use(9s));
     EXPECT_TRUE(allowance.use(9s));
@@ -84,8 +85,8 @@
     EXPECT_EQ(commit_all(allowance, 13s), 1);
 }
 
-// In any window W, at most rate * W + size permits are committed, with the largest amount that was in force, however leases
-// start, end, shrink and grow.
+// In any window W, at most rate * W + size permits are committed, with the largest amount that was in force,
+// however leases start, end, shrink and grow.
 TEST(Bucket, NoWindowExceedsRateAndSize) {
     for (std::uint64_t seed = 1; seed <= 200; ++seed) {
         SCOPED_TRACE("seed " + std::to_string(seed));
--- a/tests/budget/authority_test.cpp
+++ b/tests/budget/authority_test.cpp
@@ -105,7 +105,8 @@
         ask(second_, {10000, 10});
     }
     EXPECT_EQ(share(ask(second_, {10000, 10})), (Amount{10000, 10}));
-    // The replies arrive again: it accepts the empty grant, and takes part in the division from its next request on.
+    // The replies arrive again: it accepts the empty grant, and takes part in the division from its next
+    // request on.
     ask(first_, {10000, 10});
     EXPECT_EQ(share(ask(first_, {10000, 10})), Amount{}) << "the other holder has the whole";
     ask(second_, {10000, 10});
@@ -224,7 +225,8 @@
     other.taken = {9, 1};
     EXPECT_EQ(ask(other, {10000, 10}).verdict, Verdict::stepped_down);
     EXPECT_EQ(ask(second_, {10000, 10}).verdict, Verdict::stepped_down);
-    // One that still waits after its start, with an empty store and a clock that was set back, takes a higher epoch.
+    // One that still waits after its start, with an empty store and a clock that was set back, takes a higher
+    // epoch.
     begin(terms_of({rate({10000, 10})}), {5, false, {}, {}});
     EXPECT_EQ(ask(other, {10000, 10}).verdict, Verdict::waiting);
     EXPECT_EQ(authority_->epoch(), 10U);
--- a/tests/budget/daemon_test.cpp
+++ b/tests/budget/daemon_test.cpp
@@ -1,5 +1,5 @@
-// Tests the daemon with a [budget] table and an unreachable coordinator: it uses its reserve only, and refuses what exceeds the
-// reserve at once.
+// Tests the daemon with a [budget] table and an unreachable coordinator: it uses its reserve only, and
+// refuses what exceeds the reserve at once.
 #include <chrono>
 #include <map>
 
--- a/tests/budget/fleet.cpp
+++ b/tests/budget/fleet.cpp
@@ -24,8 +24,8 @@
 using standins::peers::text_of;
 
 constexpr auto delay_measure_interval = milliseconds(2);
-// Allowed time from a balancer's permit to the first byte at a server, in addition to the delay of this loop: one iteration of
-// the balancer's event loop on a shared machine.
+// Allowed time from a balancer's permit to the first byte at a server, in addition to the delay of this loop:
+// one iteration of the balancer's event loop on a shared machine.
 constexpr Microseconds permit_to_first_byte_base = 50'000;
 constexpr std::uint64_t client_seeds_per_fleet = 1'000;
 
@@ -33,7 +33,7 @@
     return std::chrono::duration_cast<std::chrono::microseconds>(time).count();
 }
 
-// Converts a steady time. The two clocks differ by the time for which the machine was suspended.
+// Converts a steady time. The two clocks differ by the time for selected the machine was suspended.
 Microseconds boot_time(standins::Time steady) {
     return boot_now() - to_micros(std::chrono::steady_clock::now() - steady);
 }
@@ -105,10 +105,10 @@
 
 Fleet::~Fleet() {
     if (testing::Test::HasFailure() || std::uncaught_exceptions() > 0) {
-        const auto show = [](const std::string& who, const Program& program) {
+        const auto show = [](const std::string& name, const Program& program) {
             const auto& lines = program.log();
             const std::size_t first = lines.size() > 30 ? lines.size() - 30 : 0;
-            for (std::size_t i = first; i < lines.size(); ++i) std::cerr << who << ": " << lines[i] << '\n';
+            for (std::size_t i = first; i < lines.size(); ++i) std::cerr << name << ": " << lines[i] << '\n';
         };
         if (coordinator_) show("coordinator", *coordinator_);
         for (const auto& each : balancers_) {
@@ -210,14 +210,14 @@
 
 std::size_t Fleet::add(std::string name) {
     auto balancer = std::make_unique<Balancer>();
-    const std::size_t at = balancers_.size();
-    balancer->name = name.empty() ? "n" + std::to_string(at) : std::move(name);
+    const std::size_t index = balancers_.size();
+    balancer->name = name.empty() ? "n" + std::to_string(index) : std::move(name);
     balancer->relay = std::make_unique<standins::Relay>(
-        loop, standins::Relay::Settings{options_.seed * 100 + at,
+        loop, standins::Relay::Settings{options_.seed * 100 + index,
                                         [this](std::string_view body) { on_lease_request(body); }});
     if (coordinator_) balancer->relay->to({asio::ip::address_v4::loopback(), logged_port(*coordinator_)});
     balancers_.push_back(std::move(balancer));
-    return at;
+    return index;
 }
 
 std::string Fleet::configuration(const Balancer& balancer) const {
@@ -243,18 +243,18 @@
     return config.dump();
 }
 
-void Fleet::start(const std::vector<std::size_t>& which) {
-    for (const std::size_t i : which) {
+void Fleet::start(const std::vector<std::size_t>& selected) {
+    for (const std::size_t i : selected) {
         Balancer& balancer = *balancers_[i];
-        const std::string at = std::to_string(i);
-        const std::string file =
-            folder_.write("operators-" + at, operator_settings(text_of(balancer.relay->address()), false));
-        const std::string config = folder_.write("config-" + at, configuration(balancer));
+        const std::string suffix = std::to_string(i);
+        const std::string file = folder_.write("operators-" + suffix,
+                                               operator_settings(text_of(balancer.relay->address()), false));
+        const std::string config = folder_.write("config-" + suffix, configuration(balancer));
         balancer.program = std::make_unique<Program>(loop);
         balancer.program->start({program("FLAXDOOR_BUDGET_BALANCER", BUDGET_BALANCER), "--operator", file},
                                 {"NODE_CONFIG=" + config});
     }
-    for (const std::size_t i : which) {
+    for (const std::size_t i : selected) {
         Program& program = *balancers_[i]->program;
         wait_until([&] { return logged_port(program) != 0 || program.ended(); });
         if (program.ended()) throw std::runtime_error(balancers_[i]->name + " exited before it listened");
@@ -268,9 +268,9 @@
     start(all);
 }
 
-void Fleet::kill(const std::vector<std::size_t>& which) {
-    for (const std::size_t i : which) balancers_[i]->program->signal(SIGKILL);
-    for (const std::size_t i : which) {
+void Fleet::kill(const std::vector<std::size_t>& selected) {
+    for (const std::size_t i : selected) balancers_[i]->program->signal(SIGKILL);
+    for (const std::size_t i : selected) {
         demand(i, 0);
         Balancer& balancer = *balancers_[i];
         wait_until([&] { return balancer.program->ended(); });
@@ -358,7 +358,7 @@
                                object.value("leaving", false)});
 }
 
-// Measures the delay of this loop, by which an attempt's first byte may be recorded late.
+// Measures the delay of this loop, by selected an attempt's first byte may be recorded late.
 void Fleet::measure_loop_delay() {
     delay_timer_.expires_after(delay_measure_interval);
     delay_timer_.async_wait([this](boost::system::error_code error) {
--- a/tests/budget/fleet.h
+++ b/tests/budget/fleet.h
@@ -1,9 +1,9 @@
-// A fleet of real processes: one coordinator, balancers with a relay each between them and the coordinator, fake servers that
-// record each attempt, clients, and the judge of the recorded events (judge.h). One event loop and one thread. Every process is
-// ended by its id, at the latest when the fleet is destroyed.
+// A fleet of real processes: one coordinator, balancers with a relay each between them and the coordinator,
+// fake servers that record each attempt, clients, and the judge of the recorded events (judge.h). One event
+// loop and one thread. Every process is ended by its id, at the latest when the fleet is destroyed.
 //
-// Tests wait for events. They wait by the clock only for what depends on time, such as the end of a lease. The judge checks
-// shares and work, never the speed of the machine.
+// Tests wait for events. They wait by the clock only for what depends on time, such as the end of a lease.
+// The judge checks shares and work, never the speed of the machine.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -81,8 +81,8 @@
     std::size_t size() const { return balancers_.size(); }
 
     // ----------------------------------------------------------------------------------------------- clients
-    // Replaces the demand at this balancer by `rate` calls a second, distributed over the limits' classes by their weights.
-    // Each client waits for `patience`.
+    // Replaces the demand at this balancer by `rate` calls a second, distributed over the limits' classes by
+    // their weights. Each client waits for `patience`.
     void demand(std::size_t balancer, double rate, milliseconds patience = milliseconds(1000));
     void demand_all(double rate);
 
@@ -92,7 +92,8 @@
     void run_terms(double terms) {
         run_for(milliseconds(static_cast<int>(terms * static_cast<double>(options_.term.count()))));
     }
-    // Waits until this share of the limit's rate was used throughout a term after `from`. Returns the time since `from`.
+    // Waits until this share of the limit's rate was used throughout a term after `from`. Returns the time
+    // since `from`.
     judge::Microseconds wait_until_full(std::size_t limit, judge::Microseconds from, double share = 0.95,
                                         int where = __builtin_LINE());
 
@@ -101,8 +102,8 @@
     double usage_over(std::size_t limit, double terms);
     // Returns how many calls this balancer serves during the next `terms` lease terms.
     std::int64_t served_by(std::size_t balancer, double terms);
-    // Stops the clients and expects that the recorded events keep every limit. Returns the number of permits used of the first
-    // limit.
+    // Stops the clients and expects that the recorded events keep every limit. Returns the number of permits
+    // used of the first limit.
     std::int64_t expect_budgets_kept();
 
     asio::io_context loop{1};
--- a/tests/budget/fleet_test.cpp
+++ b/tests/budget/fleet_test.cpp
@@ -1,6 +1,7 @@
-// Tests of the budgets with real processes and faults between them: in each case the shares in force and the work at the servers
-// stay within the whole, and without faults the whole is used. By default each test runs with one seed. FLAXDOOR_BUDGET_LONG=SEEDS
-// runs more seeds; docs/measurements/budget_fleet.md shows its lines "took".
+// Tests of the budgets with real processes and faults between them: in each case the shares in force and the
+// work at the servers stay within the whole, and without faults the whole is used. By default each test runs
+// with one seed. FLAXDOOR_BUDGET_LONG=SEEDS runs more seeds; docs/measurements/budget_fleet.md shows its
+// lines "took".
 #include "fleet.h"
 
 #include <cstdlib>
@@ -26,7 +27,8 @@
     return {{"calls", judge::Counts::requests, {200'000, burst}, {2'000, 1}, "look", 4, milliseconds(2)},
             {"places", judge::Counts::concurrency, {0, 16}, {0, 1}, "once", 1, milliseconds(250)}};
 }
-// Calls a second over the whole fleet: twice the rate of the first limit, and half as much again as the concurrency of the second.
+// Calls a second over the whole fleet: twice the rate of the first limit, and half as much again as the
+// concurrency of the second.
 constexpr double fleet_demand = 500;
 
 Fleet::Options fleet_of(int balancers, std::uint64_t seed, std::int64_t burst = 40) {
@@ -143,8 +145,8 @@
     }
 }
 
-// A lease counts from its request. A balancer that receives late replies and is then cut off has released its share by the time
-// that others get it.
+// A lease counts from its request. A balancer that receives late replies and is then cut off has released its
+// share by the time that others get it.
 TEST(BudgetFleet, BalancerCutOffAfterLateReplies) {
     for (std::uint64_t seed = 1; seed <= seed_count(); ++seed) {
         auto options = fleet_of(2, seed, 8);
@@ -247,7 +249,8 @@
         const auto options = fleet_of(2, seed, 12);
         Fleet fleet(options);
         fleet.start_coordinator();
-        // Waits until the coordinator's records are complete, concurrency permits included. Only then is its next start current.
+        // Waits until the coordinator's records are complete, concurrency permits included. Only then is its
+        // next start current.
         fleet.run_for(options.term + options.longest + milliseconds(200));
         fleet.start({0});
         fleet.demand(0, fleet_demand);
--- a/tests/budget/holder_test.cpp
+++ b/tests/budget/holder_test.cpp
@@ -132,8 +132,8 @@
     }
 }
 
-// The authority already divides by the demand reported to it. Without this rule, 300 balancers under constant refusals would
-// send unscheduled requests constantly.
+// The authority already divides by the demand reported to it. Without this rule, 300 balancers under constant
+// refusals would send unscheduled requests constantly.
 TEST(Holder, SendsAnEarlierRequestOnlyForNewDemand) {
     struct Row {
         const char* what;
@@ -199,8 +199,8 @@
     EXPECT_EQ(holder.request(2s).needs[0].wants, (Amount{10000, 10})) << "at most the whole";
 }
 
-// A holder under demand sends a request every fortieth of a term. A single call in such an interval must not count as a rate,
-// and an interval without calls must not count as no demand for concurrency permits.
+// A holder under demand sends a request every fortieth of a term. A single call in such an interval must not
+// count as a rate, and an interval without calls must not count as no demand for concurrency permits.
 TEST(Holder, ShortIntervalsNeitherRaiseTheRateNorDropConcurrencyDemand) {
     Terms terms = terms_of();
     terms.budgets[0].whole = {1'000'000, 1000};
--- a/tests/budget/judge.cpp
+++ b/tests/budget/judge.cpp
@@ -29,7 +29,8 @@
     return stretched(terms.term) + (budget.counts == Counts::concurrency ? stretched(terms.longest) : 0);
 }
 
-// Returns the largest whole at any time in [from, to], including wholes that were replaced less than a transition before.
+// Returns the largest whole at any time in [from, to], including wholes that were replaced less than a
+// transition before.
 Amount whole_in(const Terms& terms, const Budget& budget, Microseconds from, Microseconds to) {
     Amount largest;
     const Microseconds transition_time = transition(terms, budget);
@@ -54,7 +55,8 @@
     std::map<std::pair<std::string, std::string>, std::vector<const HolderReport*>> reports_by_process;
     for (const HolderReport& each : log.holder_reports)
         reports_by_process[{each.holder, each.instance}].push_back(&each);
-    // Grants of each process for all budgets, in the order of the log: a fencing token may have no grant of this budget.
+    // Grants of each process for all budgets, in the order of the log: a fencing token may have no grant of
+    // this budget.
     std::map<std::pair<std::string, std::string>, std::vector<const Grant*>> by_process;
     for (const Grant& each : log.grants) by_process[{each.holder, each.instance}].push_back(&each);
     const Microseconds extra_hold =
--- a/tests/budget/judge.h
+++ b/tests/budget/judge.h
@@ -1,17 +1,18 @@
-// Judges a run of a fleet under one budget by external observations: the grants that the coordinator logged, the lease requests of
-// the holders as a relay saw them, and each attempt that arrived at a server. Shares no code with src/.
+// Judges a run of a fleet under one budget by external observations: the grants that the coordinator logged,
+// the lease requests of the holders as a relay saw them, and each attempt that arrived at a server. Shares no
+// code with src/.
 //
-// Checks two properties. First, the shares in force never sum to more than the whole. A grant counts from when it was logged until
-// it ends, or until its holder reports that it has accepted a later grant or that it leaves. If no request of the holder was
-// observed, the grant counts until the holder's second next grant, which answers a request that can have reported it. Grants of
-// concurrency permits count for the longest attempt duration beyond their end, since attempts that began under them may still be
-// running. All reserves always count.
-// Second, the work at the servers stays within the whole: at most rate * W + size permits in every window of length W, and for a
-// concurrency budget never more attempts at once than permits.
+// Checks two properties. First, the shares in force never sum to more than the whole. A grant counts from
+// when it was logged until it ends, or until its holder reports that it has accepted a later grant or that it
+// leaves. If no request of the holder was observed, the grant counts until the holder's second next grant,
+// which answers a request that can have reported it. Grants of concurrency permits count for the longest
+// attempt duration beyond their end, since attempts that began under them may still be running. All reserves
+// always count. Second, the work at the servers stays within the whole: at most rate * W + size permits in
+// every window of length W, and for a concurrency budget never more attempts at once than permits.
 //
 // An attempt took its permit after its client sent the call and before its server saw the first byte, at most
-// Terms::max_permit_to_first_byte before the latter. The caller chooses this allowance for the delay between a balancer and a
-// server.
+// Terms::max_permit_to_first_byte before the latter. The caller chooses this allowance for the delay between
+// a balancer and a server.
 //
 // Units: microseconds of one machine's CLOCK_BOOTTIME; rates in thousandths of a permit a second.
 // Threading: pure functions.   Errors: read_grants() throws std::runtime_error naming the line.
@@ -99,7 +100,8 @@
 // Returns the number of permits used in [from, to).
 [[nodiscard]] std::int64_t count_permits(const Budget& budget, const Log& log, Microseconds from,
                                          Microseconds to);
-// Returns the time from `from` to the end of the first window after it in which at least `share` of the rate was used.
+// Returns the time from `from` to the end of the first window after it in which at least `share` of the rate
+// was used.
 [[nodiscard]] std::optional<Microseconds> time_until_used(const Budget& budget, const Log& log,
                                                           Microseconds from, Microseconds window,
                                                           double share = 0.95);
--- a/tests/budget/lab_test.cpp
+++ b/tests/budget/lab_test.cpp
@@ -1,5 +1,5 @@
-// Tests of the lab's simulated budget worlds: the judge detects violations, random worlds keep the budgets, and so does every
-// order of events in a small world.
+// Tests of the lab's simulated budget worlds: the judge detects violations, random worlds keep the budgets,
+// and so does every order of events in a small world.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -33,8 +33,8 @@
     const char* broken;  // the first violated rule; empty if none
 };
 
-// Budget 0: ten permits a second and a depth of two. Budget 1: two concurrency permits. The lease term is 100 ms, the longest
-// attempt 50 ms.
+// Budget 0: ten permits a second and a depth of two. Budget 1: two concurrency permits. The lease term is 100
+// ms, the longest attempt 50 ms.
 class JudgeCase : public testing::TestWithParam<Case> {};
 
 TEST_P(JudgeCase, IsDetected) {
@@ -122,7 +122,8 @@
     EXPECT_EQ(first, second);
 }
 
-// Twenty budgets of all kinds among thirty balancers with uneven demand; half of the balancers die and restart.
+// Twenty budgets of all kinds among thirty balancers with uneven demand; half of the balancers die and
+// restart.
 TEST(Budgets, TwentyBudgetsAmongThirtyBalancers) {
     auto setup = typical(30, 1);
     setup.lasts = 12'000 * ms;
@@ -174,8 +175,9 @@
     EXPECT_GT(orders.states, 50'000U);
 }
 
-// Without faults. Skewed rates among many balancers with a small burst stay below the aim of 95%: a bucket whose depth is smaller
-// than the random variation of the demand loses the tokens that it can't save (docs/measurements/budget_lab.md).
+// Without faults. Skewed rates among many balancers with a small burst stay below the aim of 95%: a bucket
+// whose depth is smaller than the random variation of the demand loses the tokens that it can't save
+// (docs/measurements/budget_lab.md).
 TEST(Use, OfTheWholeUnderSufficientDemand) {
     struct Row {
         std::uint32_t names;
--- a/tests/coordinator/journal_test.cpp
+++ b/tests/coordinator/journal_test.cpp
@@ -1,5 +1,6 @@
-// Tests of the journal over an in-memory disk: if the process is killed or the machine loses power at any point, the next start
-// either knows every grant whose reply was sent, or reports that its records may be incomplete.
+// Tests of the journal over an in-memory disk: if the process is killed or the machine loses power at any
+// point, the next start either knows every grant whose reply was sent, or reports that its records may be
+// incomplete.
 #include "coordinator/journal.h"
 
 #include <gtest/gtest.h>
@@ -57,7 +58,8 @@
     RunRecord& run_;
 };
 
-// Runs the service for `requests` requests of three processes, of which one stops and all change their demand.
+// Runs the service for `requests` requests of three processes, of which one stops and all change their
+// demand.
 void play(RunRecord& run, int requests) {
     ServiceParts parts;
     parts.files = std::make_unique<BorrowedFiles>(run.files);
@@ -105,8 +107,8 @@
     return false;
 }
 
-// Opens a copy of the store as of a point of the run, and checks that a current start knows the last grant that was sent to each
-// holder. Earlier grants are superseded once the holder has reported the last one.
+// Opens a copy of the store as of a point of the run, and checks that a current start knows the last grant
+// that was sent to each holder. Earlier grants are superseded once the holder has reported the last one.
 void check(const RunRecord& run, std::size_t operations, std::size_t steps, const Image& image,
            const std::string& boot) {
     std::string witness;
@@ -236,8 +238,8 @@
     }
 }
 
-// A misconfiguration gives two coordinators the same witness. The witness confirms only the latest store of the coordinator that
-// wrote it last.
+// A misconfiguration gives two coordinators the same witness. The witness confirms only the latest store of
+// the coordinator that wrote it last.
 TEST(CoordinatorJournal, TwoCoordinatorsWithOneWitness) {
     struct SharedWitness final : Witness {
         explicit SharedWitness(std::string& text) : text_(text) {}
@@ -288,8 +290,8 @@
     }
 }
 
-// An authority that has stepped down does not know its successor's grants. Nor does its next start, although its store is complete
-// and up to date.
+// An authority that has stepped down does not know its successor's grants. Nor does its next start, although
+// its store is complete and up to date.
 TEST(CoordinatorJournal, StartAfterSteppingDownIsNotCurrent) {
     for (const bool stepped_down : {false, true}) {
         RunRecord run;
@@ -314,8 +316,8 @@
     }
 }
 
-// Two copies of a store are used separately. A copy that is put back has more commits than the other one's witness and still
-// is not current.
+// Two copies of a store are used separately. A copy that is put back has more commits than the other one's
+// witness and still is not current.
 TEST(CoordinatorJournal, DivergedCopies) {
     RunRecord run;
     ASSERT_NO_FATAL_FAILURE(play(run, 20));
@@ -328,7 +330,8 @@
     EXPECT_EQ(opened.why, "the witness belongs to another copy of the store");
 }
 
-// Each write fails once, in turn. A failed commit sends no reply, and everything acknowledged is in the store.
+// Each write fails once, in turn. A failed commit sends no reply, and everything acknowledged is in the
+// store.
 TEST(CoordinatorJournal, EachWriteFailsOnce) {
     RunRecord complete;
     ASSERT_NO_FATAL_FAILURE(play(complete, 6));
--- a/tests/coordinator/program_test.sh
+++ b/tests/coordinator/program_test.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Tests `flaxdoor coordinator` and `flaxdoor budget show` as a shell runs them: start, invalid files, SIGHUP, SIGTERM, restart after
-# SIGKILL with and without a witness, and an older copy of the store.
+# Tests `flaxdoor coordinator` and `flaxdoor budget show` as a shell runs them: start, invalid files, SIGHUP,
+# SIGTERM, restart after SIGKILL with and without a witness, and an older copy of the store.
 set -eu
 program=$1
 work=$(mktemp -d)
@@ -45,9 +45,9 @@
     wait_for_log '^listening on '
     at=$(sed -n 's/^listening on //p' log)
 }
-# Sends lease requests as a balancer does, until its share has concurrency permits. From then on the coordinator's records are
-# complete. The requests report the accepted fencing token, since a holder that accepts none of three consecutive grants gets
-# empty grants.
+# Sends lease requests as a balancer does, until its share has concurrency permits. From then on the
+# coordinator's records are complete. The requests report the accepted fencing token, since a holder that
+# accepts none of three consecutive grants gets empty grants.
 wait_until_records_are_complete() {
     python3 - "$at" "$1" <<'P' || fail 'no share of concurrency permits'
 import http.client, json, sys, time
@@ -131,8 +131,8 @@
 [ $status = 1 ] || fail "show without a coordinator: $status"
 grep -q "^flaxdoor: the coordinator: $at: " err || fail "show: $(cat err)"
 
-# The first process ended while it waited, so the next one waits as well. Once its records are complete, a restart after SIGKILL
-# grants leases at once.
+# The first process ended while it waited, so the next one waits as well. Once its records are complete, a
+# restart after SIGKILL grants leases at once.
 start
 wait_for_log 'nothing is granted for .* ms: the previous start had incomplete records as well'
 wait_until_records_are_complete a
@@ -143,8 +143,8 @@
 wait_for_log 'the store is the latest, leases go on'
 "$program" budget show --at "$at" | grep -q '^at-once   n1 .* 7 ' || fail 'the restarted coordinator does not know the grant'
 
-# A start with an older copy of the store, which only the witness distinguishes from the latest one, and a start without the
-# witness.
+# A start with an older copy of the store, which only the witness distinguishes from the latest one, and a
+# start without the witness.
 end KILL 137
 cp -r store copy
 start
--- a/tests/coordinator/wire_test.cpp
+++ b/tests/coordinator/wire_test.cpp
@@ -1,4 +1,5 @@
-// Tests of the JSON encoding: an encoded message decodes to itself, and any other text yields a reason that names the field.
+// Tests of the JSON encoding: an encoded message decodes to itself, and any other text yields a reason that
+// names the field.
 #include "coordinator/wire.h"
 
 #include <gtest/gtest.h>
--- a/tests/door/door_test.cpp
+++ b/tests/door/door_test.cpp
@@ -1,4 +1,5 @@
-// The door's rules one by one: who is refused and why, who gives way, what stays true under change, and bounds.
+// Tests of the admission queue's rules: refusals and their reasons, evictions, changes of the terms, and
+// bounds.
 #include "door/door.h"
 
 #include <gtest/gtest.h>
@@ -16,30 +17,31 @@
 namespace {
 std::size_t live_bytes = 0, allocations = 0;
 
-// Of both forms below: one that called the other would look to g++ as if what malloc gave went to operator delete.
-void let_go(void* held) noexcept {
-    live_bytes -= held ? malloc_usable_size(held) : 0;
-    std::free(held);
+// Shared by both forms of operator delete: if one called the other, g++ would warn that memory from malloc is
+// passed to operator delete.
+void release(void* block) noexcept {
+    live_bytes -= block ? malloc_usable_size(block) : 0;
+    std::free(block);
 }
 }  // namespace
 
-// Counts what is held, for the bound in bytes.
+// Counts the allocated bytes, for the test of the memory bound.
 void* operator new(std::size_t size) {
-    void* const held = std::malloc(size);
-    if (!held) throw std::bad_alloc();
-    live_bytes += malloc_usable_size(held);
+    void* const block = std::malloc(size);
+    if (!block) throw std::bad_alloc();
+    live_bytes += malloc_usable_size(block);
     ++allocations;
-    return held;
+    return block;
 }
-void operator delete(void* held) noexcept { let_go(held); }
-void operator delete(void* held, std::size_t) noexcept { let_go(held); }
+void operator delete(void* block) noexcept { release(block); }
+void operator delete(void* block, std::size_t) noexcept { release(block); }
 
 namespace flaxdoor::door::testing {
 namespace {
 
 using namespace std::chrono_literals;
 
-Terms plain() {
+Terms default_terms() {
     Terms terms;
     terms.tenants = {{"a", 1, {}}, {"b", 1, {}}};
     terms.classes = {{"book", 10, 10ms, {}}, {"browse", 1, 10ms, {}}};
@@ -47,10 +49,10 @@
     return terms;
 }
 
-struct Rig {
-    explicit Rig(const Terms& terms) : door(terms, now, 7, {}) {}
-    Door::Arrival come(std::size_t tenant, int class_index = 1, const std::string& client = "c",
-                       const std::string& token = "", std::size_t bytes = 100) {
+struct QueueTest {
+    explicit QueueTest(const Terms& terms) : queue(terms, now, 7, {}) {}
+    Door::Arrival arrive(std::size_t tenant, int class_index = 1, const std::string& client = "c",
+                         const std::string& token = "", std::size_t bytes = 100) {
         Request request;
         request.tenant = tenant;
         request.client = client;
@@ -58,33 +60,33 @@
         request.deadline = now + 10s;
         request.bytes = bytes;
         request.token = token;
-        auto arrival = door.arrive(now, request);
+        auto arrival = queue.arrive(now, request);
         if (arrival.handed) handed.push_back(arrival.ticket);
         return arrival;
     }
-    // The module has no room from now on: what was handed over stays unsent.
+    // Leaves the module without room: the dispatched requests stay unsent.
     void fill() {
-        for (int i = 0; i < 2; ++i) ASSERT_TRUE(come(0).handed);
+        for (int i = 0; i < 2; ++i) ASSERT_TRUE(arrive(0).handed);
         now += 1s;
     }
     std::vector<Step> steps() {
         std::vector<Step> all;
-        while (auto step = door.next(now)) {
+        while (auto step = queue.next(now)) {
             if (!step->refused) handed.push_back(step->ticket);
             all.push_back(*std::move(step));
         }
         return all;
     }
-    // The oldest that was handed over is sent and ends.
+    // Sends and ends the oldest dispatched request.
     void serve_one(Window::End end = Window::End::served) {
-        door.sending(handed.front(), now);
+        queue.sending(handed.front(), now);
         now += 10ms;
-        (void)door.end(handed.front(), now, end);
+        (void)queue.end(handed.front(), now, end);
         handed.erase(handed.begin());
     }
 
     Time now = 1000s;
-    Door door;
+    Door queue;
     std::vector<Ticket> handed;
 };
 
@@ -92,7 +94,7 @@
     const struct {
         Reason reason;
         std::function<void(Terms&)> set;
-        std::size_t most;  // that are taken
+        std::size_t accepted;  // number of accepted requests
     } cases[] = {
         {Reason::tenant_open, [](Terms& t) { t.tenants[1].limits.open = 3; }, 3},
         {Reason::tenant_rate,
@@ -105,171 +107,173 @@
          [](Terms& t) {
              t.classes[1].limits = {0, 1, 5};
          },
-         4},  // two of the five went to fill it
+         4},  // two of the five filled the module
         {Reason::client_open, [](Terms& t) { t.client.open = 3; }, 3},
         {Reason::client_rate,
          [](Terms& t) {
              t.client = {0, 1, 3};
          },
-         4},  // its counter begins with its first
+         4},  // the client's counter starts with its first request
         {Reason::total_entries, [](Terms& t) { t.most_entries = 3; }, 3},
         {Reason::total_bytes, [](Terms& t) { t.most_bytes = 1500; }, 3},
     };
     for (const auto& each : cases) {
-        Terms terms = plain();
+        Terms terms = default_terms();
         each.set(terms);
-        Rig rig(terms);
-        rig.fill();
+        QueueTest test(terms);
+        test.fill();
         std::size_t taken = 0;
         std::optional<Refusal> refused;
         for (int i = 0; i < 8 && !refused; ++i) {
-            auto arrival = rig.come(1);
+            auto arrival = test.arrive(1);
             refused = std::move(arrival.refused);
             if (!refused) ++taken;
         }
         ASSERT_TRUE(refused) << text_of(each.reason);
         EXPECT_EQ(refused->reason, each.reason) << text_of(refused->reason);
-        EXPECT_EQ(taken, each.most) << text_of(each.reason);
+        EXPECT_EQ(taken, each.accepted) << text_of(each.reason);
         EXPECT_GT(refused->retry_after, 0us);
         EXPECT_LE(refused->retry_after, terms.book.longest);
     }
 }
 
-// Full of the class worth least when the one worth most comes; and a tenant over its share gives way to another.
-TEST(Door, GivesWay) {
-    Rig rig(plain());
-    rig.fill();
+// The queue is full of the class of least worth when a request of most worth arrives. A tenant above its
+// share is evicted for another tenant.
+TEST(Door, EvictsLeastWorthOfTheTenantAboveItsShare) {
+    QueueTest test(default_terms());
+    test.fill();
     std::vector<Ticket> waiting;
-    for (int i = 0; i < 8; ++i) waiting.push_back(rig.come(0, 1).ticket);
-    EXPECT_EQ(rig.come(0, 1).refused->reason, Reason::total_entries);
-    EXPECT_NE(rig.come(0, 0).ticket, 0u);
-    EXPECT_NE(rig.come(1, 1).ticket, 0u);
-    const auto steps = rig.steps();
+    for (int i = 0; i < 8; ++i) waiting.push_back(test.arrive(0, 1).ticket);
+    EXPECT_EQ(test.arrive(0, 1).refused->reason, Reason::total_entries);
+    EXPECT_NE(test.arrive(0, 0).ticket, 0u);
+    EXPECT_NE(test.arrive(1, 1).ticket, 0u);
+    const auto steps = test.steps();
     ASSERT_EQ(steps.size(), 2u);
-    EXPECT_EQ(steps[0].ticket, waiting[7]) << "worth least, latest";
+    EXPECT_EQ(steps[0].ticket, waiting[7]) << "least worth, latest arrival";
     EXPECT_EQ(steps[1].ticket, waiting[6]);
     EXPECT_EQ(steps[1].refused->reason, Reason::gave_way);
-    EXPECT_EQ(rig.door.waiting(), 8u);
+    EXPECT_EQ(test.queue.waiting(), 8u);
 }
 
-TEST(Door, RefusesAtThePointOfService) {
-    Rig rig(plain());
-    rig.fill();
-    const auto arrival = rig.come(1);
-    const auto due = rig.door.next_due(rig.now);
+TEST(Door, RefusesAtTheLatestUsefulStart) {
+    QueueTest test(default_terms());
+    test.fill();
+    const auto arrival = test.arrive(1);
+    const auto due = test.queue.next_deadline(test.now);
     ASSERT_TRUE(due);
-    EXPECT_EQ(*due, rig.now + 10s - 10ms + 1us) << "its service before its deadline";
-    rig.now = *due;
-    const auto steps = rig.steps();
+    EXPECT_EQ(*due, test.now + 10s - 10ms + 1us) << "the service time before the deadline";
+    test.now = *due;
+    const auto steps = test.steps();
     ASSERT_EQ(steps.size(), 1u);
     EXPECT_EQ(steps[0].ticket, arrival.ticket);
     EXPECT_EQ(steps[0].refused->reason, Reason::too_late);
 }
 
-TEST(Door, OneThatLeavesIsTakenOut) {
-    Rig rig(plain());
-    rig.fill();
-    const Ticket gone = rig.come(1).ticket, stays = rig.come(1).ticket;
-    rig.door.leave(gone, rig.now);
-    rig.door.leave(gone, rig.now);  // heeded once
-    EXPECT_EQ(rig.door.waiting(), 1u);
-    for (int i = 0; i < 2; ++i) rig.serve_one();
-    const auto steps = rig.steps();
+TEST(Door, RequestOfALeavingClientIsRemoved) {
+    QueueTest test(default_terms());
+    test.fill();
+    const Ticket left_ticket = test.arrive(1).ticket, stays = test.arrive(1).ticket;
+    test.queue.leave(left_ticket, test.now);
+    test.queue.leave(left_ticket, test.now);  // only the first call has an effect
+    EXPECT_EQ(test.queue.waiting(), 1u);
+    for (int i = 0; i < 2; ++i) test.serve_one();
+    const auto steps = test.steps();
     ASSERT_EQ(steps.size(), 1u);
     EXPECT_EQ(steps[0].ticket, stays);
-    EXPECT_FALSE(rig.door.end(gone, rig.now, Window::End::no_room)) << "it is not open any more";
+    EXPECT_FALSE(test.queue.end(left_ticket, test.now, Window::End::no_room))
+        << "the ticket is no longer valid";
 }
 
-// A worth gets ahead by no more than the head start: nobody of a flow waits for ever.
-TEST(Door, WorthGoesAheadByItsHeadStartOnly) {
-    Terms terms = plain();
+// Worth moves a request ahead by at most the head start, so that no request of a flow waits for ever.
+TEST(Door, WorthMovesAheadByTheHeadStartOnly) {
+    Terms terms = default_terms();
     terms.head_start = 100ms;
-    Rig rig(terms);
-    rig.fill();
-    const Ticket early = rig.come(1, 1).ticket;
-    rig.now += 50ms;
-    const Ticket worth = rig.come(1, 0).ticket;
-    rig.now += 100ms;
-    const Ticket late = rig.come(1, 0).ticket;
+    QueueTest test(terms);
+    test.fill();
+    const Ticket early = test.arrive(1, 1).ticket;
+    test.now += 50ms;
+    const Ticket worth = test.arrive(1, 0).ticket;
+    test.now += 100ms;
+    const Ticket late = test.arrive(1, 0).ticket;
     std::vector<Ticket> order;
     for (int i = 0; i < 4; ++i) {
-        rig.serve_one();
-        for (const Step& step : rig.steps()) order.push_back(step.ticket);
+        test.serve_one();
+        for (const Step& step : test.steps()) order.push_back(step.ticket);
     }
     EXPECT_EQ(order, (std::vector{worth, early, late}));
 }
 
 TEST(Door, TermsChangeUnderLoad) {
-    Rig rig(plain());
-    rig.fill();
+    QueueTest test(default_terms());
+    test.fill();
     std::vector<Ticket> waiting;
-    for (std::size_t i = 0; i < 8; ++i) waiting.push_back(rig.come(i % 2, 1, std::to_string(i)).ticket);
-    Terms terms = plain();
-    terms.tenants = {{"b", 0.5, {}}, {"new", 1, {}}};  // a has gone, b has half its weight
-    rig.door.change(terms, rig.now);
-    EXPECT_EQ(rig.door.waiting(), 8u);
+    for (std::size_t i = 0; i < 8; ++i) waiting.push_back(test.arrive(i % 2, 1, std::to_string(i)).ticket);
+    Terms terms = default_terms();
+    terms.tenants = {{"b", 0.5, {}}, {"new", 1, {}}};  // a is removed, b has half its weight
+    test.queue.change(terms, test.now);
+    EXPECT_EQ(test.queue.waiting(), 8u);
     std::map<std::string, std::size_t> by_name;
-    for (const auto& each : rig.door.figures(rig.now).tenants) by_name[each.name] = each.waiting;
+    for (const auto& each : test.queue.figures(test.now).tenants) by_name[each.name] = each.waiting;
     EXPECT_EQ(by_name["b"], 4u);
     EXPECT_EQ(by_name["others"], 4u);
     terms.tenants[0].weight = 0;
-    EXPECT_THROW(rig.door.change(terms, rig.now), std::invalid_argument);
-    std::size_t got = 0;
+    EXPECT_THROW(test.queue.change(terms, test.now), std::invalid_argument);
+    std::size_t served = 0;
     for (int i = 0; i < 10; ++i) {
-        rig.serve_one();
-        got += rig.steps().size();
+        test.serve_one();
+        served += test.steps().size();
     }
-    EXPECT_EQ(got, 8u);
-    EXPECT_EQ(rig.door.in_flight(), 0u);
+    EXPECT_EQ(served, 8u);
+    EXPECT_EQ(test.queue.in_flight(), 0u);
 }
 
-TEST(Door, ADrainHandsOverWhatWaits) {
-    Rig rig(plain());
-    rig.fill();
-    const Ticket waits = rig.come(1).ticket;
-    rig.door.drain();
-    EXPECT_EQ(rig.come(1).refused->reason, Reason::draining);
-    for (int i = 0; i < 2; ++i) rig.serve_one();
-    const auto steps = rig.steps();
+TEST(Door, DrainDispatchesQueuedRequests) {
+    QueueTest test(default_terms());
+    test.fill();
+    const Ticket waits = test.arrive(1).ticket;
+    test.queue.drain();
+    EXPECT_EQ(test.arrive(1).refused->reason, Reason::draining);
+    for (int i = 0; i < 2; ++i) test.serve_one();
+    const auto steps = test.steps();
     ASSERT_EQ(steps.size(), 1u);
     EXPECT_EQ(steps[0].ticket, waits);
     EXPECT_FALSE(steps[0].refused);
 }
 
-// What the module refuses is told when to come back at once, and closes the window by a fifth.
-TEST(Door, TheModulesRefusal) {
-    Rig rig(plain());
+// A refusal by the module carries a retry time at once, and shrinks the window by a fifth.
+TEST(Door, RefusalByTheModule) {
+    QueueTest test(default_terms());
     for (int i = 0; i < 10; ++i) {
-        ASSERT_TRUE(rig.come(0).handed);
-        rig.door.sending(rig.handed.back(), rig.now);
+        ASSERT_TRUE(test.arrive(0).handed);
+        test.queue.sending(test.handed.back(), test.now);
     }
-    const auto told = rig.door.end(rig.handed.back(), rig.now, Window::End::no_room);
-    ASSERT_TRUE(told);
-    EXPECT_EQ(told->reason, Reason::module);
-    EXPECT_FALSE(told->token.empty());
-    EXPECT_DOUBLE_EQ(rig.door.figures(rig.now).window, 8);
-    EXPECT_FALSE(rig.door.end(rig.handed.back(), rig.now, Window::End::no_room));
+    const auto refusal = test.queue.end(test.handed.back(), test.now, Window::End::no_room);
+    ASSERT_TRUE(refusal);
+    EXPECT_EQ(refusal->reason, Reason::module);
+    EXPECT_FALSE(refusal->token.empty());
+    EXPECT_DOUBLE_EQ(test.queue.figures(test.now).window, 8);
+    EXPECT_FALSE(test.queue.end(test.handed.back(), test.now, Window::End::no_room));
 }
 
-TEST(Door, ContradictoryTermsAreNamed) {
+TEST(Door, InconsistentTermsAreNamed) {
     const std::pair<const char*, std::function<void(Terms&)>> cases[] = {
-        {"tenant a: a weight is above 0", [](Terms& t) { t.tenants[0].weight = 0; }},
-        {"tenant a: a weight is above 0", [](Terms& t) { t.tenants[0].weight = -1; }},
-        {"tenant a is named twice", [](Terms& t) { t.tenants[1].name = "a"; }},
-        {"others: a weight is above 0", [](Terms& t) { t.others.weight = 0; }},
-        {"client: a rate is 0 (none) or above", [](Terms& t) { t.client.per_s = -1; }},
-        {"class book: a burst is 1 or above",
+        {"tenant a: a weight must be above 0", [](Terms& t) { t.tenants[0].weight = 0; }},
+        {"tenant a: a weight must be above 0", [](Terms& t) { t.tenants[0].weight = -1; }},
+        {"tenant a is configured twice", [](Terms& t) { t.tenants[1].name = "a"; }},
+        {"others: a weight must be above 0", [](Terms& t) { t.others.weight = 0; }},
+        {"client: a rate must be 0 (no limit) or above", [](Terms& t) { t.client.per_s = -1; }},
+        {"class book: a burst must be 1 or above",
          [](Terms& t) {
              t.classes[0].limits = {0, 5, 0};
          }},
         {"more than 256 tenants", [](Terms& t) { t.tenants.resize(257); }},
-        {"no class", [](Terms& t) { t.classes.clear(); }},
+        {"no class is configured", [](Terms& t) { t.classes.clear(); }},
     };
     for (const auto& [what, breaks] : cases) {
-        Terms terms = plain();
+        Terms terms = default_terms();
         breaks(terms);
         try {
-            Rig rig(terms);
+            QueueTest test(terms);
             FAIL() << what;
         } catch (const std::invalid_argument& error) {
             EXPECT_STREQ(error.what(), what);
@@ -277,145 +281,148 @@
     }
 }
 
-TEST(Door, BytesAndWorkDoNotGrowWithClients) {
-    Terms terms = plain();
+TEST(Door, MemoryAndWorkDoNotGrowWithTheNumberOfClients) {
+    Terms terms = default_terms();
     terms.most_entries = 2000;
     terms.most_bytes = 1u << 20;
     terms.client = {4, 5, 5};
     std::size_t each[2]{};
     for (const std::size_t clients : {std::size_t{100'000}, std::size_t{1'000'000}}) {
         const std::size_t before = live_bytes;
-        Rig rig(terms);
-        rig.fill();
-        const std::size_t began = allocations;
+        QueueTest test(terms);
+        test.fill();
+        const std::size_t allocations_before = allocations;
         std::size_t most = 0;
         for (std::size_t i = 0; i < clients; ++i) {
-            (void)rig.come(i % 3, static_cast<int>(i % 2), std::to_string(i));
-            (void)rig.steps();
+            (void)test.arrive(i % 3, static_cast<int>(i % 2), std::to_string(i));
+            (void)test.steps();
             most = std::max(most, live_bytes - before);
         }
-        each[clients == 1'000'000] = (allocations - began) * 100 / clients;
-        // What is held for the door's bytes of others is not there: the declared 100 each.
-        EXPECT_LE(most, rig.door.most_bytes() + 100'000) << clients;
-        EXPECT_LE(rig.door.figures(rig.now).waiting_bytes, terms.most_bytes);
+        each[clients == 1'000'000] = (allocations - allocations_before) * 100 / clients;
+        // Allows for the difference between declared and real memory: the requests' declared 100 bytes each
+        // are not allocated.
+        EXPECT_LE(most, test.queue.most_bytes() + 100'000) << clients;
+        EXPECT_LE(test.queue.figures(test.now).waiting_bytes, terms.most_bytes);
     }
     EXPECT_NEAR(static_cast<double>(each[1]), static_cast<double>(each[0]), 100)
         << "hundredths of allocations a request";
 }
 
-// One that is refused after all has thrown out nobody.
-TEST(Door, NobodyGivesWayToOneThatIsRefused) {
-    Terms terms = plain();
+// A request that is refused in the end evicts no other.
+TEST(Door, RefusedRequestEvictsNone) {
+    Terms terms = default_terms();
     terms.most_entries = 100;
     terms.most_bytes = 100'000;
-    Rig rig(terms);
-    rig.fill();
-    for (int i = 0; i < 6; ++i) ASSERT_NE(rig.come(0, 1, "c", "", 10'000).ticket, 0u);
-    for (int i = 0; i < 3; ++i) ASSERT_NE(rig.come(2, 1, "c", "", 10'000).ticket, 0u);
-    const auto large = rig.come(1, 1, "c", "", 50'000);
+    QueueTest test(terms);
+    test.fill();
+    for (int i = 0; i < 6; ++i) ASSERT_NE(test.arrive(0, 1, "c", "", 10'000).ticket, 0u);
+    for (int i = 0; i < 3; ++i) ASSERT_NE(test.arrive(2, 1, "c", "", 10'000).ticket, 0u);
+    const auto large = test.arrive(1, 1, "c", "", 50'000);
     ASSERT_TRUE(large.refused);
     EXPECT_EQ(large.refused->reason, Reason::total_bytes);
-    EXPECT_TRUE(rig.steps().empty());
-    EXPECT_EQ(rig.door.waiting(), 9u);
+    EXPECT_TRUE(test.steps().empty());
+    EXPECT_EQ(test.queue.waiting(), 9u);
 }
 
-TEST(Door, ALowerLimitThrowsOutNobody) {
-    Rig rig(plain());
-    rig.fill();
-    for (int i = 0; i < 8; ++i) ASSERT_NE(rig.come(0).ticket, 0u);
-    Terms terms = plain();
+TEST(Door, LowerLimitEvictsNone) {
+    QueueTest test(default_terms());
+    test.fill();
+    for (int i = 0; i < 8; ++i) ASSERT_NE(test.arrive(0).ticket, 0u);
+    Terms terms = default_terms();
     terms.most_entries = 2;
-    rig.door.change(terms, rig.now);
-    EXPECT_TRUE(rig.come(0).refused);
-    EXPECT_NE(rig.come(1).ticket, 0u);
-    EXPECT_EQ(rig.steps().size(), 1u) << "one in the place of another";
-    EXPECT_EQ(rig.door.waiting(), 8u);
+    test.queue.change(terms, test.now);
+    EXPECT_TRUE(test.arrive(0).refused);
+    EXPECT_NE(test.arrive(1).ticket, 0u);
+    EXPECT_EQ(test.steps().size(), 1u) << "the arriving request replaces one";
+    EXPECT_EQ(test.queue.waiting(), 8u);
 }
 
-// Those of a class that went count for the last one, and so does one that comes just then.
-TEST(Door, AClassThatWentIsCountedOn) {
-    Rig rig(plain());
-    rig.fill();
-    for (int i = 0; i < 2; ++i) ASSERT_NE(rig.come(1, 1).ticket, 0u);
-    Terms terms = plain();
+// Requests of a removed class count for the last class, and so does one that arrives at that time.
+TEST(Door, RequestsOfARemovedClassStillCount) {
+    QueueTest test(default_terms());
+    test.fill();
+    for (int i = 0; i < 2; ++i) ASSERT_NE(test.arrive(1, 1).ticket, 0u);
+    Terms terms = default_terms();
     terms.classes = {{"book", 10, 10ms, {5, 0, 1}}};
-    rig.door.change(terms, rig.now);
-    EXPECT_NE(rig.come(1, 1).ticket, 0u);
-    const auto arrival = rig.come(1, 0);
+    test.queue.change(terms, test.now);
+    EXPECT_NE(test.arrive(1, 1).ticket, 0u);
+    const auto arrival = test.arrive(1, 0);
     ASSERT_TRUE(arrival.refused);
     EXPECT_EQ(arrival.refused->reason, Reason::class_open);
 }
 
-TEST(Door, ARateNearZeroIsALimit) {
-    Terms terms = plain();
+TEST(Door, RateNearZeroIsALimit) {
+    Terms terms = default_terms();
     terms.tenants[1].limits = {0, 1e-300, 1};
-    Rig rig(terms);
-    EXPECT_TRUE(rig.come(1).handed);
-    const auto arrival = rig.come(1);
+    QueueTest test(terms);
+    EXPECT_TRUE(test.arrive(1).handed);
+    const auto arrival = test.arrive(1);
     ASSERT_TRUE(arrival.refused);
     EXPECT_EQ(arrival.refused->reason, Reason::tenant_rate);
 }
 
-// One client that tells a cost of an hour holds up its own tenant for no longer than one of 32 means does.
-TEST(Door, ACostOfAnHourIsNotBelieved) {
-    Terms terms = plain();
+// A client with a cost hint of an hour delays its own tenant no longer than a request of 32 mean costs.
+TEST(Door, CostHintOfAnHourIsBounded) {
+    Terms terms = default_terms();
     terms.most_entries = 500;
-    Rig rig(terms);
+    QueueTest test(terms);
     Request request;
     request.tenant = 0;
     request.client = "liar";
-    request.deadline = rig.now + 10s;
+    request.deadline = test.now + 10s;
     request.cost_hint = 1h;
-    rig.handed.push_back(rig.door.arrive(rig.now, request).ticket);
-    rig.fill();
-    std::vector<Ticket> its;
+    test.handed.push_back(test.queue.arrive(test.now, request).ticket);
+    test.fill();
+    std::vector<Ticket> own_tickets;
     for (int i = 0; i < 30; ++i) {
-        its.push_back(rig.come(0).ticket);
-        ASSERT_NE(its.back(), 0u);
-        ASSERT_NE(rig.come(1).ticket, 0u);
+        own_tickets.push_back(test.arrive(0).ticket);
+        ASSERT_NE(own_tickets.back(), 0u);
+        ASSERT_NE(test.arrive(1).ticket, 0u);
     }
-    std::size_t got = 0;
+    std::size_t served = 0;
     for (int i = 0; i < 80; ++i) {
-        rig.serve_one();
-        for (const Step& step : rig.steps()) got += std::count(its.begin(), its.end(), step.ticket);
-        (void)rig.come(1);
+        test.serve_one();
+        for (const Step& step : test.steps())
+            served += std::count(own_tickets.begin(), own_tickets.end(), step.ticket);
+        (void)test.arrive(1);
     }
-    EXPECT_GE(got, 15u) << "32 go to the other first, then they take turns";
+    EXPECT_GE(served, 15u) << "the other tenant gets 32 first, then both alternate";
 }
 
-// A token takes one call ahead, not all that its client sends with it, nor once more when it is shown again.
-TEST(Token, ShownAgainGainsNothing) {
-    Terms terms = plain();
+// A retry token moves one request ahead: not every request that the client sends with it, and not again when
+// it is reused.
+TEST(Token, ReuseGainsNothing) {
+    Terms terms = default_terms();
     terms.most_entries = 500;
     terms.book.longest = 1s;
-    Rig rig(terms);
-    ASSERT_TRUE(rig.come(0, 1, "x").handed);
-    rig.fill();
-    for (int i = 0; i < 240; ++i) ASSERT_NE(rig.come(0, 1, std::to_string(i % 4)).ticket, 0u);
-    const auto told = rig.door.end(rig.handed.front(), rig.now, Window::End::no_room);
-    ASSERT_TRUE(told);
-    rig.handed.erase(rig.handed.begin());
-    const Time back = rig.now + told->retry_after;
-    while (rig.now < back) {
-        rig.serve_one();
-        (void)rig.steps();
+    QueueTest test(terms);
+    ASSERT_TRUE(test.arrive(0, 1, "x").handed);
+    test.fill();
+    for (int i = 0; i < 240; ++i) ASSERT_NE(test.arrive(0, 1, std::to_string(i % 4)).ticket, 0u);
+    const auto refusal = test.queue.end(test.handed.front(), test.now, Window::End::no_room);
+    ASSERT_TRUE(refusal);
+    test.handed.erase(test.handed.begin());
+    const Time back = test.now + refusal->retry_after;
+    while (test.now < back) {
+        test.serve_one();
+        (void)test.steps();
     }
-    std::vector<Ticket> its;
-    for (int i = 0; i < 20; ++i) its.push_back(rig.come(0, 1, "x", told->token).ticket);
-    EXPECT_EQ(rig.door.figures(rig.now).tenants[0].returned, 20u);
-    std::size_t got = 0, handed = 0;
+    std::vector<Ticket> own_tickets;
+    for (int i = 0; i < 20; ++i) own_tickets.push_back(test.arrive(0, 1, "x", refusal->token).ticket);
+    EXPECT_EQ(test.queue.figures(test.now).tenants[0].returned, 20u);
+    std::size_t served = 0, handed = 0;
     while (handed < 10) {
-        rig.serve_one();
-        for (const Step& step : rig.steps()) {
-            got += std::count(its.begin(), its.end(), step.ticket);
+        test.serve_one();
+        for (const Step& step : test.steps()) {
+            served += std::count(own_tickets.begin(), own_tickets.end(), step.ticket);
             ++handed;
         }
     }
-    EXPECT_GE(got, 1u);
-    EXPECT_LE(got, 4u) << "one ahead, and its turn among five";
+    EXPECT_GE(served, 1u);
+    EXPECT_LE(served, 4u) << "one moved ahead, and the client's turn among five";
 }
 
-TEST(Explain, BrokenScriptsAreNamedByTheirLine) {
+TEST(Explain, InvalidScriptsAreNamedByTheirLine) {
     const struct {
         const char* text;
         std::size_t line;
@@ -430,7 +437,7 @@
         {"load tenant=a rate=1 from=3s to=2s", 1, "make to later than from"},
         {"laod tenant=a", 1, "write seed, servers, slow or load"},
         {"# nothing\n", 1, "add a line: load tenant=NAME rate=100"},
-        {"load tenant=a rate=1000000", 1, "lower the rates, or the spans"},
+        {"load tenant=a rate=1000000", 1, "lower the rates or shorten the time spans"},
     };
     for (const auto& each : cases) {
         const auto read = read_script(each.text);
@@ -441,46 +448,46 @@
     }
     const auto good =
         read_script("servers 2\nload tenant=a rate=400 to=2s\nload tenant=x rate=50 to=2s # unknown");
-    const std::string told = explain(plain(), std::get<Script>(good));
-    EXPECT_NE(told.find("gave_way"), std::string::npos) << told;
-    EXPECT_NE(told.find("others"), std::string::npos);
+    const std::string report = explain(default_terms(), std::get<Script>(good));
+    EXPECT_NE(report.find("gave_way"), std::string::npos) << report;
+    EXPECT_NE(report.find("others"), std::string::npos);
 }
 
-TEST(Token, ForgedOldForeignAndOfAnotherCountAsNone) {
-    Rig rig(plain());
-    rig.fill();
-    const auto told = rig.door.end(rig.handed.front(), rig.now, Window::End::no_room);
-    ASSERT_TRUE(told);
+TEST(Token, ForgedExpiredAndForeignTokensAreInvalid) {
+    QueueTest test(default_terms());
+    test.fill();
+    const auto refusal = test.queue.end(test.handed.front(), test.now, Window::End::no_room);
+    ASSERT_TRUE(refusal);
     const auto unheeded = [&](std::size_t tenant, int class_index, const std::string& client,
                               const std::string& token) {
         const auto sum = [&] {
             std::uint64_t all = 0;
-            for (const auto& each : rig.door.figures(rig.now).tenants) all += each.unheeded;
+            for (const auto& each : test.queue.figures(test.now).tenants) all += each.unheeded;
             return all;
         };
         const auto before = sum();
-        const auto arrival = rig.come(tenant, class_index, client, token);
-        if (arrival.ticket) rig.door.leave(arrival.ticket, rig.now);
+        const auto arrival = test.arrive(tenant, class_index, client, token);
+        if (arrival.ticket) test.queue.leave(arrival.ticket, test.now);
         return sum() - before;
     };
-    EXPECT_EQ(unheeded(0, 1, "c", told->token), 1u) << "early";
-    rig.now += told->retry_after;
-    EXPECT_EQ(unheeded(0, 1, "c", told->token), 0u) << "in its time";
-    for (std::size_t i = 0; i < told->token.size(); ++i) {
-        std::string forged = told->token;
+    EXPECT_EQ(unheeded(0, 1, "c", refusal->token), 1u) << "too early";
+    test.now += refusal->retry_after;
+    EXPECT_EQ(unheeded(0, 1, "c", refusal->token), 0u) << "in time";
+    for (std::size_t i = 0; i < refusal->token.size(); ++i) {
+        std::string forged = refusal->token;
         forged[i] = forged[i] == '0' ? '1' : '0';
         EXPECT_EQ(unheeded(0, 1, "c", forged), 1u) << i;
     }
-    EXPECT_EQ(unheeded(0, 1, "c", told->token + "0"), 1u);
-    EXPECT_EQ(unheeded(0, 1, "c", "zz" + told->token.substr(2)), 1u);
-    EXPECT_EQ(unheeded(1, 1, "c", told->token), 1u) << "of another tenant";
-    EXPECT_EQ(unheeded(0, 0, "c", told->token), 1u) << "of another class";
-    EXPECT_EQ(unheeded(0, 1, "d", told->token), 1u) << "of another client";
+    EXPECT_EQ(unheeded(0, 1, "c", refusal->token + "0"), 1u);
+    EXPECT_EQ(unheeded(0, 1, "c", "zz" + refusal->token.substr(2)), 1u);
+    EXPECT_EQ(unheeded(1, 1, "c", refusal->token), 1u) << "another tenant";
+    EXPECT_EQ(unheeded(0, 0, "c", refusal->token), 1u) << "another class";
+    EXPECT_EQ(unheeded(0, 1, "d", refusal->token), 1u) << "another client";
     Tokens::Secret other{};
     other[0] = 1;
-    EXPECT_EQ(unheeded(0, 1, "c", Tokens(other).seal({})), 1u) << "foreign";
-    rig.now += 2 * plain().book.slot;
-    EXPECT_EQ(unheeded(0, 1, "c", told->token), 1u) << "old";
+    EXPECT_EQ(unheeded(0, 1, "c", Tokens(other).sign({})), 1u) << "another key";
+    test.now += 2 * default_terms().book.slot;
+    EXPECT_EQ(unheeded(0, 1, "c", refusal->token), 1u) << "expired";
 }
 
 }  // namespace
--- a/tests/door/fairness_test.cpp
+++ b/tests/door/fairness_test.cpp
@@ -1,5 +1,5 @@
-// Fairness by an oracle of its own: it sees who had work throughout, and what service each got, and computes
-// the bound of SFQ(D) from the run's own costs.
+// Tests of fairness with an independent oracle: it observes which tenants always had queued requests and the
+// service that each got, and computes the bound of SFQ(D) from the costs of the run.
 #include <gtest/gtest.h>
 
 #include "world.h"
@@ -7,28 +7,32 @@
 namespace flaxdoor::door::testing {
 namespace {
 
-struct Shape {
+struct Scenario {
     const char* name;
-    std::vector<double> weights;  // the last: of all that the terms don't name
+    std::vector<double> weights;  // the last one is the weight of others
     std::vector<Load> loads;
 };
 
-// 8 servers: 800 calls of 10 ms a second.
-const std::vector<Shape>& shapes() {
-    static const std::vector<Shape> all{
-        {"two alike", {1, 1, 1}, {{0, 800, 50}, {1, 800, 50}}},
+// Eight servers handle 800 calls of 10 ms a second.
+const std::vector<Scenario>& scenarios() {
+    static const std::vector<Scenario> all{
+        {"two equal tenants", {1, 1, 1}, {{0, 800, 50}, {1, 800, 50}}},
         {"one to four", {1, 4, 1}, {{0, 900, 50}, {1, 900, 50}}},
         {"small and large calls", {1, 1, 1}, {{0, 4000, 20, 2ms, false, 1}, {1, 400, 20, 40ms, false, 1}}},
-        {"drawn costs told", {1, 2, 1}, {{0, 900, 30, 10ms, true, 1}, {1, 900, 30, 10ms, true, 1}}},
-        {"drawn costs not told", {1, 1, 1}, {{0, 900, 30, 10ms, true}, {1, 900, 30}}},
-        {"told a third", {1, 1, 1}, {{0, 900, 30, 10ms, false, 0.33}, {1, 900, 30, 10ms, false, 1}}},
-        {"told a thousandth", {1, 1, 1}, {{0, 900, 30, 10ms, false, 0.001}, {1, 900, 30, 10ms, false, 1}}},
-        {"told three times", {2, 1, 1}, {{0, 900, 30, 10ms, false, 3}, {1, 900, 30, 10ms, false, 1}}},
-        {"a thousand beside one", {1, 1, 1}, {{0, 3000, 1000}, {1, 800, 1}}},
-        {"one under 100,000 names", {1, 1, 1}, {{0, 3000, 100'000}, {1, 800, 20}}},
-        {"ten times its share", {1, 1, 1, 1}, {{0, 4000, 100}, {1, 500, 10}, {2, 500, 10}}},
-        {"one that nobody knows", {3, 1}, {{0, 900, 30}, {7, 5000, 5000}}},
-        {"on and off beside steady",
+        {"random costs with hints", {1, 2, 1}, {{0, 900, 30, 10ms, true, 1}, {1, 900, 30, 10ms, true, 1}}},
+        {"random costs without hints", {1, 1, 1}, {{0, 900, 30, 10ms, true}, {1, 900, 30}}},
+        {"hints of a third", {1, 1, 1}, {{0, 900, 30, 10ms, false, 0.33}, {1, 900, 30, 10ms, false, 1}}},
+        {"hints of a thousandth",
+         {1, 1, 1},
+         {{0, 900, 30, 10ms, false, 0.001}, {1, 900, 30, 10ms, false, 1}}},
+        {"hints three times too high",
+         {2, 1, 1},
+         {{0, 900, 30, 10ms, false, 3}, {1, 900, 30, 10ms, false, 1}}},
+        {"a thousand clients beside one", {1, 1, 1}, {{0, 3000, 1000}, {1, 800, 1}}},
+        {"one client under 100,000 names", {1, 1, 1}, {{0, 3000, 100'000}, {1, 800, 20}}},
+        {"one tenant at ten times its share", {1, 1, 1, 1}, {{0, 4000, 100}, {1, 500, 10}, {2, 500, 10}}},
+        {"an unknown tenant", {3, 1}, {{0, 900, 30}, {7, 5000, 5000}}},
+        {"intermittent beside steady load",
          {1, 1, 1, 1},
          {{0, 900, 30}, {1, 900, 30}, {2, 3000, 10, 10ms, false, 0, 2s, 2s, 1s}}},
         {"twenty tenants", std::vector<double>(21, 1),
@@ -41,131 +45,138 @@
     return all;
 }
 
-Terms terms_of(const Shape& shape) {
+Terms terms_of(const Scenario& scenario) {
     Terms terms;
-    for (std::size_t i = 0; i + 1 < shape.weights.size(); ++i)
-        terms.tenants.push_back({"t" + std::to_string(i), shape.weights[i], {}});
-    terms.others.weight = shape.weights.back();
+    for (std::size_t i = 0; i + 1 < scenario.weights.size(); ++i)
+        terms.tenants.push_back({"t" + std::to_string(i), scenario.weights[i], {}});
+    terms.others.weight = scenario.weights.back();
     terms.classes = {{"only", 1, 10ms, {}}};
     terms.most_entries = 4000;
     return terms;
 }
 
-struct Judged {
-    double over_bound = 0;   // largest difference over its bound
-    double off_weights = 0;  // largest deviation from the weights, over spans with 200 calls of each
-    std::size_t spans = 0, wasted = 0, late = 0;
+struct Result {
+    double over_bound = 0;  // largest ratio of a difference to its bound
+    double off_weights =
+        0;  // largest deviation from the weights, over time spans with 200 calls of each tenant
+    std::size_t spans = 0, idle_with_queue = 0, late = 0;
 };
 
 template <class Front>
-Judged judge(const Shape& shape, std::uint64_t seed) {
-    World<Front> world(terms_of(shape), 8, seed);
-    const std::size_t n = shape.weights.size();
-    struct Pair {
-        bool both = false;
-        double at_begin[2]{}, least[2]{}, most[2]{};  // of the difference, by service handed over and ended
+Result measure(const Scenario& scenario, std::uint64_t seed) {
+    World<Front> world(terms_of(scenario), 8, seed);
+    const std::size_t n = scenario.weights.size();
+    struct TenantPair {
+        bool both_backlogged = false;
+        double at_begin[2]{}, min_difference[2]{},
+            max_difference[2]{};  // of the difference in dispatched and in ended service
     };
-    std::vector<std::vector<Pair>> pairs(n, std::vector<Pair>(n));
-    std::vector<std::vector<double>> widest(n, std::vector<double>(n));
+    std::vector<std::vector<TenantPair>> pairs(n, std::vector<TenantPair>(n));
+    std::vector<std::vector<double>> widest_range(n, std::vector<double>(n));
     struct Span {
-        std::vector<std::size_t> who;
-        std::vector<double> handed;
-        std::vector<std::size_t> taken;
+        std::vector<std::size_t> backlogged;
+        std::vector<double> dispatched;
+        std::vector<std::size_t> dispatched_calls;
     } span;
-    Judged judged;
+    Result result;
     world.after = [&] {
-        std::vector<std::size_t> who;
+        std::vector<std::size_t> backlogged;
         for (std::size_t i = 0; i < n; ++i) {
-            if (world.tenants_[i].waiting > 0) who.push_back(i);
+            if (world.tenants_[i].waiting > 0) backlogged.push_back(i);
         }
         for (std::size_t i = 0; i < std::min<std::size_t>(n, 6); ++i) {
             for (std::size_t j = 0; j < i; ++j) {
                 const auto &a = world.tenants_[i], &b = world.tenants_[j];
-                Pair& pair = pairs[i][j];
-                const bool both = a.waiting > 0 && b.waiting > 0;
-                const double now[2] = {a.handed / shape.weights[i] - b.handed / shape.weights[j],
-                                       a.ended / shape.weights[i] - b.ended / shape.weights[j]};
-                for (int k = 0; both && k < 2; ++k) {
-                    if (!pair.both) pair.least[k] = pair.most[k] = now[k];
-                    pair.least[k] = std::min(pair.least[k], now[k]);
-                    pair.most[k] = std::max(pair.most[k], now[k]);
-                    widest[i][j] = std::max(widest[i][j], pair.most[k] - pair.least[k]);
+                TenantPair& pair = pairs[i][j];
+                const bool both_backlogged = a.waiting > 0 && b.waiting > 0;
+                const double difference[2] = {
+                    a.dispatched / scenario.weights[i] - b.dispatched / scenario.weights[j],
+                    a.ended / scenario.weights[i] - b.ended / scenario.weights[j]};
+                for (int k = 0; both_backlogged && k < 2; ++k) {
+                    if (!pair.both_backlogged)
+                        pair.min_difference[k] = pair.max_difference[k] = difference[k];
+                    pair.min_difference[k] = std::min(pair.min_difference[k], difference[k]);
+                    pair.max_difference[k] = std::max(pair.max_difference[k], difference[k]);
+                    widest_range[i][j] =
+                        std::max(widest_range[i][j], pair.max_difference[k] - pair.min_difference[k]);
                 }
-                pair.both = both;
+                pair.both_backlogged = both_backlogged;
             }
         }
         const auto open_span = [&] {
-            span = {who, {}, {}};
+            span = {backlogged, {}, {}};
             for (const auto& each : world.tenants_) {
-                span.handed.push_back(each.handed);
-                span.taken.push_back(each.taken);
+                span.dispatched.push_back(each.dispatched);
+                span.dispatched_calls.push_back(each.dispatched_calls);
             }
         };
-        if (who != span.who) return open_span();
-        if (who.size() < 2) return;
-        double all = 0, weights = 0;
-        for (const std::size_t i : who) {
-            if (world.tenants_[i].taken - span.taken[i] < 200) return;
-            all += world.tenants_[i].handed - span.handed[i];
-            weights += shape.weights[i];
+        if (backlogged != span.backlogged) return open_span();
+        if (backlogged.size() < 2) return;
+        double total = 0, weights = 0;
+        for (const std::size_t i : backlogged) {
+            if (world.tenants_[i].dispatched_calls - span.dispatched_calls[i] < 200) return;
+            total += world.tenants_[i].dispatched - span.dispatched[i];
+            weights += scenario.weights[i];
         }
-        for (const std::size_t i : who) {
-            const double got = (world.tenants_[i].handed - span.handed[i]) / all * weights / shape.weights[i];
-            judged.off_weights = std::max(judged.off_weights, std::abs(got - 1));
+        for (const std::size_t i : backlogged) {
+            const double relative_share =
+                (world.tenants_[i].dispatched - span.dispatched[i]) / total * weights / scenario.weights[i];
+            result.off_weights = std::max(result.off_weights, std::abs(relative_share - 1));
         }
-        ++judged.spans;
+        ++result.spans;
         open_span();
     };
-    world.run(shape.loads, shape.weights.size() > 10 ? 12s : 6s);
-    const auto in_hand = static_cast<double>(world.most_in_flight);
+    world.run(scenario.loads, scenario.weights.size() > 10 ? 12s : 6s);
+    const auto max_in_flight = static_cast<double>(world.most_in_flight);
     for (std::size_t i = 0; i < n; ++i) {
         for (std::size_t j = 0; j < i; ++j) {
             const auto &a = world.tenants_[i], &b = world.tenants_[j];
             const double bound =
-                (in_hand + 1) * (a.largest / shape.weights[i] + b.largest / shape.weights[j]) +
-                2 * (in_hand + 1) * (a.error / shape.weights[i] + b.error / shape.weights[j]);
-            if (bound > 0) judged.over_bound = std::max(judged.over_bound, widest[i][j] / bound);
+                (max_in_flight + 1) * (a.largest / scenario.weights[i] + b.largest / scenario.weights[j]) +
+                2 * (max_in_flight + 1) * (a.error / scenario.weights[i] + b.error / scenario.weights[j]);
+            if (bound > 0) result.over_bound = std::max(result.over_bound, widest_range[i][j] / bound);
         }
     }
-    judged.wasted = world.wasted;
-    judged.late = world.late_refusals;
-    return judged;
+    result.idle_with_queue = world.idle_with_queue;
+    result.late = world.late_refusals;
+    return result;
 }
 
 class Fairness : public ::testing::TestWithParam<std::size_t> {};
 
 TEST_P(Fairness, WithinTheBoundAndTheWeights) {
-    const Shape& shape = shapes()[GetParam()];
+    const Scenario& scenario = scenarios()[GetParam()];
     for (const std::uint64_t seed : {1u, 2u}) {
-        SCOPED_TRACE(std::string(shape.name) + ", seed " + std::to_string(seed));
-        const Judged judged = judge<Door>(shape, seed);
-        RecordProperty("bound", std::to_string(judged.over_bound));
-        EXPECT_LE(judged.over_bound, 1);
-        EXPECT_LE(judged.off_weights, 0.05);
-        EXPECT_GE(judged.spans, 2u);
-        EXPECT_EQ(judged.wasted, 0u) << "something waited that the module would have sent";
-        EXPECT_EQ(judged.late, 0u) << "refused later than it was known";
+        SCOPED_TRACE(std::string(scenario.name) + ", seed " + std::to_string(seed));
+        const Result result = measure<Door>(scenario, seed);
+        RecordProperty("bound", std::to_string(result.over_bound));
+        EXPECT_LE(result.over_bound, 1);
+        EXPECT_LE(result.off_weights, 0.05);
+        EXPECT_GE(result.spans, 2u);
+        EXPECT_EQ(result.idle_with_queue, 0u)
+            << "a request was queued although the module would have sent it";
+        EXPECT_EQ(result.late, 0u) << "a request was refused later than necessary";
     }
 }
 
-INSTANTIATE_TEST_SUITE_P(Shapes, Fairness, ::testing::Range<std::size_t>(0, shapes().size()));
+INSTANTIATE_TEST_SUITE_P(Shapes, Fairness, ::testing::Range<std::size_t>(0, scenarios().size()));
 
-// The judge can fail: the same loads before a queue that is first in, first out.
+// Shows that the checks can fail: the same loads with a first-in-first-out queue.
 TEST(Fairness, FirstInFirstOutFails) {
-    for (const std::size_t which : {1u, 7u, 8u, 9u, 10u}) {
-        const Judged judged = judge<Fifo>(shapes()[which], 1);
-        EXPECT_GT(judged.off_weights, 0.05) << shapes()[which].name;
-        EXPECT_GT(judged.over_bound, 1) << shapes()[which].name;
+    for (const std::size_t scenario_index : {1u, 7u, 8u, 9u, 10u}) {
+        const Result result = measure<FifoQueue>(scenarios()[scenario_index], 1);
+        EXPECT_GT(result.off_weights, 0.05) << scenarios()[scenario_index].name;
+        EXPECT_GT(result.over_bound, 1) << scenarios()[scenario_index].name;
     }
 }
 
-// Service of the others beside one at ten times its share, against the run without it.
-TEST(Fairness, OneAtTenTimesItsShareTakesNothingOfTheOthers) {
-    const Shape shape{"", {1, 1, 1, 1, 1}, {}};
+// Compares the service of the other tenants with and without one at ten times its share.
+TEST(Fairness, TenantAtTenTimesItsShareTakesNothingFromOthers) {
+    const Scenario scenario{"", {1, 1, 1, 1, 1}, {}};
     const std::vector<Load> others{{1, 150, 10}, {2, 150, 10}, {3, 150, 10}};
     std::vector<Load> all = others;
     all.push_back({0, 2000, 1000});
-    World<Door> without(terms_of(shape), 8, 3), beside(terms_of(shape), 8, 3);
+    World<Door> without(terms_of(scenario), 8, 3), beside(terms_of(scenario), 8, 3);
     without.run(others, 10s);
     beside.run(all, 10s);
     for (std::size_t i = 1; i < 4; ++i) {
@@ -175,23 +186,25 @@
         };
         EXPECT_NEAR(rate(beside), rate(without), 0.03);
     }
-    World<Door> idle(terms_of(shape), 8, 3);
-    idle.run({{0, 300, 100}, {1, 200, 10}}, 10s);  // with capacity free
+    World<Door> idle(terms_of(scenario), 8, 3);
+    idle.run({{0, 300, 100}, {1, 200, 10}}, 10s);  // with spare capacity
     EXPECT_LT(idle.most_waiting, 40u);
-    EXPECT_EQ(idle.wasted, 0u);
+    EXPECT_EQ(idle.idle_with_queue, 0u);
 }
 
-// A fair client beside a hundred thousand that send once each, and beside one that sends as much under one name:
-// its turn comes within a round of the flows, and of what its own flow holds by chance.
-TEST(Fairness, AFairClientAmongAHundredThousandIsNotStarved) {
+// A moderate client beside a hundred thousand clients that send once each, and beside one client that sends
+// as much under one name: it is served within a round of the flows and of the requests that share its flow by
+// a hash collision.
+TEST(Fairness, ModerateClientAmongAHundredThousandIsNotStarved) {
     for (const std::size_t names : {std::size_t{1}, std::size_t{100'000}}) {
-        Shape shape{"", {1, 1}, {}};
-        World<Door> world(terms_of(shape), 8, 5);
+        Scenario scenario{"", {1, 1}, {}};
+        World<Door> world(terms_of(scenario), 8, 5);
         world.run({{0, 3000, names, 10ms, false, 0, 20s}, {0, 5, 1, 10ms, false, 0, 20s, 1h, 0s, 0, 2s}},
                   20s);
-        std::size_t fair = 0;
-        for (const auto& [ticket, call] : world.open_) fair += call.load == 1 ? 1u : 0u;
-        EXPECT_LE(fair, names == 1 ? 2u : 5u * 9u) << names << " names: calls of the fair one still open";
+        std::size_t open_calls = 0;
+        for (const auto& [ticket, call] : world.open_) open_calls += call.load == 1 ? 1u : 0u;
+        EXPECT_LE(open_calls, names == 1 ? 2u : 5u * 9u)
+            << names << " names: open calls of the moderate client";
     }
 }
 
--- a/tests/door/gate_test.cpp
+++ b/tests/door/gate_test.cpp
@@ -1,5 +1,6 @@
-// The door between a front and a real core under virtual time: each call one answer in its time, nothing
-// handed over twice, who leaves is taken out, a drain answers all.
+// Tests of the admission queue between a front and a real core in virtual time: each call gets one answer
+// before its deadline, none is dispatched twice, a call whose client leaves is removed, and a drain answers
+// all.
 #include "door/gate.h"
 
 #include <gtest/gtest.h>
@@ -22,7 +23,7 @@
     return std::get<settings::Values>(settings::read_text(text, settings::product_schema()));
 }
 
-Settings platform() {
+Settings platform_settings() {
     Settings s = plain_settings();
     s.tenants = {{"a", 0, 0}, {"b", 0, 0}};
     s.retry_after = true;
@@ -30,31 +31,31 @@
     return s;
 }
 
-struct Behind : Stage {
-    explicit Behind(const std::string& file = "[door]\nmax_waiting = 50\n")
-        : back(make_back()), pool(add(*back, platform())) {
+struct GateStage : Stage {
+    explicit GateStage(const std::string& file = "[door]\nmax_waiting = 50\n")
+        : back(make_back()), pool(add(*back, platform_settings())) {
         fleet(pool, 4);
-        door = std::make_unique<door::Gate>(door::Gate::World{*core, clock, door_alarm},
-                                            door_terms(platform(), values(file), [](const auto&) {}),
+        gate = std::make_unique<door::Gate>(door::Gate::World{*core, clock, door_alarm},
+                                            door_terms(platform_settings(), values(file), [](const auto&) {}),
                                             door::Gate::Options{true, seconds(30), false}, 7,
                                             door::Tokens::Secret{});
     }
-    ~Behind() override {
+    ~GateStage() override {
         core->remove_pool(pool);
         back->gone = true;
     }
-    Taken come(std::uint64_t token, int tenant = 0, Micros budget = ms(1000), int class_index = 0) {
+    Taken submit(std::uint64_t token, int tenant = 0, Micros budget = ms(1000), int class_index = 0) {
         core::Call c = call(pool, class_index, budget);
         c.payload = std::make_shared<core::test::Ticket>(token);
         c.name = name_of("c", token);
         c.tenant = {core::Tenant::Kind::known, tenant};
         ids[token] = 0;
-        came[token] = clock.at;
-        const Taken taken = door->take(std::move(c), front, token, &ids[token]);
+        arrived_at[token] = clock.at;
+        const Taken taken = gate->take(std::move(c), front, token, &ids[token]);
         return taken;
     }
-    // Serves both alarms.
-    void go(Micros span) {
+    // Advances the clock and serves both alarms.
+    void advance(Micros span) {
         const Time until = clock.at + span;
         for (;;) {
             const Time next = std::min(alarm.due.value_or(Time::max()), door_alarm.due.value_or(Time::max()));
@@ -62,7 +63,7 @@
             clock.at = std::max(clock.at, next);
             if (door_alarm.due && *door_alarm.due <= next) {
                 door_alarm.due.reset();
-                door->on_alarm();
+                gate->on_alarm();
             } else {
                 alarm.due.reset();
                 core->on_alarm();
@@ -74,109 +75,111 @@
     std::unique_ptr<FakeBack> back;
     core::PoolId pool;
     FakeAlarm door_alarm{trip};
-    std::unique_ptr<door::Gate> door;
+    std::unique_ptr<door::Gate> gate;
     std::map<std::uint64_t, core::CallId> ids;
-    std::map<std::uint64_t, Time> came;
+    std::map<std::uint64_t, Time> arrived_at;
 };
 
-// Calls that are handed over and not sent fill the module's hands; what then waits has lost its wait.
-TEST(Gate, AWaitShrinksTheBudget) {
-    Behind world;
-    for (std::uint64_t i = 1; i <= 2; ++i) ASSERT_EQ(world.come(i), Taken::yes);
-    world.go(ms(10));
-    ASSERT_EQ(world.come(3), Taken::yes);
-    EXPECT_EQ(world.core->figures().taken, 2u) << "it waits";
-    EXPECT_EQ(world.door->figures().waiting, 1u);
-    world.go(ms(200));
+// Dispatched calls that are not sent occupy the module. The time budget of a call that is queued then shrinks
+// by its wait.
+TEST(Gate, WaitReducesTheTimeBudget) {
+    GateStage world;
+    for (std::uint64_t i = 1; i <= 2; ++i) ASSERT_EQ(world.submit(i), Taken::yes);
+    world.advance(ms(10));
+    ASSERT_EQ(world.submit(3), Taken::yes);
+    EXPECT_EQ(world.core->figures().taken, 2u) << "the call is queued";
+    EXPECT_EQ(world.gate->figures().waiting, 1u);
+    world.advance(ms(200));
     world.back->answer(world.back->sent.front().key);
     EXPECT_EQ(world.core->figures().taken, 3u);
-    EXPECT_LE(world.back->sent.back().expires, world.came[3] + ms(1000));
+    EXPECT_LE(world.back->sent.back().expires, world.arrived_at[3] + ms(1000));
     world.back->answer(world.back->sent.back().key);
     EXPECT_EQ(world.front.finals(3), 1u);
 }
 
-TEST(Gate, ANameThatWaitsIsOpen) {
-    Behind world;
-    for (std::uint64_t i = 1; i <= 2; ++i) ASSERT_EQ(world.come(i), Taken::yes);
-    world.go(ms(10));
-    ASSERT_EQ(world.come(3), Taken::yes);
+TEST(Gate, NameOfAQueuedCallIsOpen) {
+    GateStage world;
+    for (std::uint64_t i = 1; i <= 2; ++i) ASSERT_EQ(world.submit(i), Taken::yes);
+    world.advance(ms(10));
+    ASSERT_EQ(world.submit(3), Taken::yes);
     core::Call again = world.call(world.pool, 0);
     again.name = "c3";
-    EXPECT_EQ(world.door->take(again, world.front, 99, nullptr), Taken::name_open);
-    world.door->leave(world.ids[3]);
-    EXPECT_EQ(world.door->figures().waiting, 0u);
-    EXPECT_EQ(world.come(3), Taken::yes) << "it has gone, and may come again";
+    EXPECT_EQ(world.gate->take(again, world.front, 99, nullptr), Taken::name_open);
+    world.gate->leave(world.ids[3]);
+    EXPECT_EQ(world.gate->figures().waiting, 0u);
+    EXPECT_EQ(world.submit(3), Taken::yes) << "the call has left, so its name may be used again";
 }
 
-// A refusal at the door says that nothing ran: not of a name that the core holds open, or has in doubt.
-TEST(Gate, ANameThatMayRunIsNotRefused) {
-    Behind world;
-    for (std::uint64_t i = 1; i <= 2; ++i) ASSERT_EQ(world.come(i), Taken::yes);
-    world.go(ms(10));
-    EXPECT_EQ(world.come(1), Taken::name_open);
-    world.door->stop();
+// A refusal by the queue states that nothing was executed. It must not be given for a name that is open or in
+// doubt at the core.
+TEST(Gate, NameThatMayHaveExecutedIsNotRefused) {
+    GateStage world;
+    for (std::uint64_t i = 1; i <= 2; ++i) ASSERT_EQ(world.submit(i), Taken::yes);
+    world.advance(ms(10));
+    EXPECT_EQ(world.submit(1), Taken::name_open);
+    world.gate->stop();
     EXPECT_EQ(world.front.finals(1), 0u);
 }
 
-// The classes are listed otherwise while calls wait: each stays of its own class, or never runs.
-TEST(Gate, WhatWaitsKeepsItsClassAndTenantByName) {
-    Behind world;
-    for (std::uint64_t i = 1; i <= 2; ++i) ASSERT_EQ(world.come(i), Taken::yes);
-    world.go(ms(10));
-    const Settings old = platform();
-    ASSERT_GE(old.classes.size(), 2u);
+// The classes are reordered while calls are queued: each call keeps its class or is never executed.
+TEST(Gate, QueuedCallsKeepTheirClassAndTenantByName) {
+    GateStage world;
+    for (std::uint64_t i = 1; i <= 2; ++i) ASSERT_EQ(world.submit(i), Taken::yes);
+    world.advance(ms(10));
+    const Settings old_settings = platform_settings();
+    ASSERT_GE(old_settings.classes.size(), 2u);
     for (int c = 0; c < 2; ++c)
-        ASSERT_EQ(world.come(static_cast<std::uint64_t>(3 + c), 1, ms(1000), c), Taken::yes);
-    Settings next = old;
-    next.classes = {old.classes[1]};  // the first has gone
+        ASSERT_EQ(world.submit(static_cast<std::uint64_t>(3 + c), 1, ms(1000), c), Taken::yes);
+    Settings next = old_settings;
+    next.classes = {old_settings.classes[1]};  // the first class is removed
     next.tenants = {{"b", 0, 0}, {"a", 0, 0}};
-    world.door->change(door_terms(next, values("[door]\n"), [](const auto&) {}), {true, seconds(30), false});
+    world.gate->change(door_terms(next, values("[door]\n"), [](const auto&) {}), {true, seconds(30), false});
     world.core->change_pool(world.pool, next);
     for (int i = 0; i < 4 && !world.back->out.empty(); ++i) {
         world.back->answer(*world.back->out.begin());
-        world.go(ms(1));
+        world.advance(ms(1));
     }
     EXPECT_EQ(world.front.of(3)->answer.verdict, core::Verdict::refused);
     EXPECT_FALSE(world.front.of(3)->answer.may_have_run);
     EXPECT_EQ(world.front.of(4)->answer.verdict, core::Verdict::served);
     std::map<std::string, std::uint64_t> handed;
-    for (const auto& each : world.door->figures().tenants) handed[each.name] = each.handed;
+    for (const auto& each : world.gate->figures().tenants) handed[each.name] = each.handed;
     EXPECT_EQ(handed["b"], 2u);
 }
 
-// What a front throws ends its own step: whoever else waits is answered.
-TEST(Gate, AFrontThatThrowsHoldsUpNobody) {
-    Behind world;
-    for (std::uint64_t i = 1; i <= 2; ++i) ASSERT_EQ(world.come(i), Taken::yes);
-    world.go(ms(10));
+// An exception of a front ends its own step only: all other queued calls are answered.
+TEST(Gate, ThrowingFrontAffectsNoOtherCall) {
+    GateStage world;
+    for (std::uint64_t i = 1; i <= 2; ++i) ASSERT_EQ(world.submit(i), Taken::yes);
+    world.advance(ms(10));
     for (std::uint64_t i = 3; i <= 6; ++i)
-        ASSERT_EQ(world.come(i, 0, ms(200 + 20 * static_cast<long>(i))), Taken::yes);
-    ASSERT_EQ(world.door->figures().waiting, 4u);
+        ASSERT_EQ(world.submit(i, 0, ms(200 + 20 * static_cast<long>(i))), Taken::yes);
+    ASSERT_EQ(world.gate->figures().waiting, 4u);
     world.front.when_final = [](std::uint64_t token) {
         if (token == 3) throw std::runtime_error("no memory");
     };
-    world.go(ms(600));
+    world.advance(ms(600));
     for (std::uint64_t i = 3; i <= 6; ++i) EXPECT_EQ(world.front.finals(i), 1u) << i;
-    EXPECT_EQ(world.door->figures().waiting, 0u);
+    EXPECT_EQ(world.gate->figures().waiting, 0u);
 }
 
-TEST(Gate, RandomWorlds) {
+TEST(Gate, RandomEvents) {
     for (std::uint32_t seed = 1; seed <= 40; ++seed) {
         SCOPED_TRACE("seed " + std::to_string(seed));
         std::mt19937 random(seed);
-        Behind world(seed % 2 ? "[door]\nmax_waiting = 20\nclient_rate = 50\nclient_burst = 20\n"
-                              : "[door]\nmax_waiting = 200\nhead_start = \"50ms\"\n"
-                                "[[door_tenant]]\nname = \"b\"\nweight = 4\nmax_open = 30\n");
+        GateStage world(seed % 2 ? "[door]\nmax_waiting = 20\nclient_rate = 50\nclient_burst = 20\n"
+                                 : "[door]\nmax_waiting = 200\nhead_start = \"50ms\"\n"
+                                   "[[door_tenant]]\nname = \"b\"\nweight = 4\nmax_open = 30\n");
         std::set<std::uint64_t> left;
         std::uint64_t token = 0;
         for (int step = 0; step < 400; ++step) {
-            const auto dice = random() % 10;
-            if (dice < 5) {
+            const auto choice = random() % 10;
+            if (choice < 5) {
                 ++token;
-                const Taken taken = world.come(token, static_cast<int>(random() % 3), ms(50 + random() % 900),
-                                               static_cast<int>(random() % 3));
+                const Taken taken = world.submit(token, static_cast<int>(random() % 3),
+                                                 ms(50 + random() % 900), static_cast<int>(random() % 3));
                 ASSERT_EQ(taken, Taken::yes);
-            } else if (dice < 8 && !world.back->out.empty()) {
+            } else if (choice < 8 && !world.back->out.empty()) {
                 auto at = world.back->out.begin();
                 std::advance(at, random() % world.back->out.size());
                 const core::AttemptKey key = *at;
@@ -185,48 +188,49 @@
                 } else {
                     world.back->answer(key, random() % 5 ? Outcome::ok : Outcome::error);
                 }
-            } else if (dice == 8 && token > 0) {
-                const std::uint64_t gone = 1 + random() % token;
-                if (world.front.finals(gone) == 0 && left.insert(gone).second)
-                    world.door->leave(world.ids[gone]);
+            } else if (choice == 8 && token > 0) {
+                const std::uint64_t left_call = 1 + random() % token;
+                if (world.front.finals(left_call) == 0 && left.insert(left_call).second)
+                    world.gate->leave(world.ids[left_call]);
             }
-            if (step == 300) world.door->begin_drain();
-            world.go(ms(random() % 12));
+            if (step == 300) world.gate->begin_drain();
+            world.advance(ms(random() % 12));
         }
-        world.go(ms(5));
-        if (seed % 3 == 0) world.door->stop();
-        world.go(ms(2000));
-        EXPECT_EQ(world.door->figures().waiting, 0u);
-        EXPECT_EQ(world.door->figures().in_flight, 0u);
+        world.advance(ms(5));
+        if (seed % 3 == 0) world.gate->stop();
+        world.advance(ms(2000));
+        EXPECT_EQ(world.gate->figures().waiting, 0u);
+        EXPECT_EQ(world.gate->figures().in_flight, 0u);
         for (std::uint64_t i = 1; i <= token; ++i) {
             ASSERT_EQ(world.front.finals(i), left.contains(i) ? 0u : 1u) << i;
         }
-        for (const auto& told : world.front.told) {
-            EXPECT_LE(told.at, world.came[told.token] + ms(950));
-            EXPECT_LE(told.answer.retry_after, ms(500)) << "never beyond what clients heed";
+        for (const auto& answered : world.front.told) {
+            EXPECT_LE(answered.at, world.arrived_at[answered.token] + ms(950));
+            EXPECT_LE(answered.answer.retry_after, ms(500))
+                << "never beyond the longest delay that clients observe";
         }
-        EXPECT_LE(world.core->figures().taken, token) << "none was handed over twice";
+        EXPECT_LE(world.core->figures().taken, token) << "none was dispatched twice";
     }
 }
 
-// The same with whatever else may come: settings listed otherwise, fronts that throw, stalls, names that come again
-// while they may run, and the drain's very end.
-TEST(Gate, RandomWorldsThatChange) {
+// The same with reordered settings, throwing fronts, stalls, names that are reused while they may be
+// executing, and the end of the drain.
+TEST(Gate, RandomEventsWithChanges) {
     for (std::uint32_t seed = 1; seed <= 60; ++seed) {
         SCOPED_TRACE("seed " + std::to_string(seed));
         std::mt19937 random(seed);
-        Behind world;
+        GateStage world;
         std::set<std::uint64_t> left, taken;
         std::uint64_t token = 0;
         world.front.when_final = [&](std::uint64_t) {
             if (random() % 20 == 0) throw std::runtime_error("no memory");
         };
-        const Settings first = platform();
+        const Settings first = platform_settings();
         Settings now = first;
         for (int step = 0; step < 400; ++step) {
-            const auto dice = random() % 20;
+            const auto choice = random() % 20;
             try {
-                if (dice < 10) {
+                if (choice < 10) {
                     ++token;
                     taken.insert(token);
                     core::Call c = world.call(world.pool, static_cast<int>(random() % now.classes.size()),
@@ -234,11 +238,11 @@
                     c.payload = std::make_shared<core::test::Ticket>(token);
                     c.name = name_of("c", random() % 4 ? token : 1 + random() % token);
                     c.tenant = {core::Tenant::Kind::known, static_cast<int>(random() % 3)};
-                    world.came[token] = world.clock.at;
+                    world.arrived_at[token] = world.clock.at;
                     world.ids[token] = 0;
-                    if (world.door->take(std::move(c), world.front, token, &world.ids[token]) != Taken::yes)
+                    if (world.gate->take(std::move(c), world.front, token, &world.ids[token]) != Taken::yes)
                         taken.erase(token);
-                } else if (dice < 15 && !world.back->out.empty()) {
+                } else if (choice < 15 && !world.back->out.empty()) {
                     auto at = world.back->out.begin();
                     std::advance(at, random() % world.back->out.size());
                     const core::AttemptKey key = *at;
@@ -247,35 +251,36 @@
                     } else {
                         world.back->answer(key, random() % 5 ? Outcome::ok : Outcome::error);
                     }
-                } else if (dice == 15 && token > 0) {
-                    const std::uint64_t gone = 1 + random() % token;
-                    if (taken.contains(gone) && world.front.finals(gone) == 0 && left.insert(gone).second)
-                        world.door->leave(world.ids[gone]);
-                } else if (dice == 16) {
+                } else if (choice == 15 && token > 0) {
+                    const std::uint64_t left_call = 1 + random() % token;
+                    if (taken.contains(left_call) && world.front.finals(left_call) == 0 &&
+                        left.insert(left_call).second)
+                        world.gate->leave(world.ids[left_call]);
+                } else if (choice == 16) {
                     std::shuffle(now.classes.begin(), now.classes.end(), random);
                     std::shuffle(now.tenants.begin(), now.tenants.end(), random);
                     if (random() % 3 == 0 && now.classes.size() > 1) now.classes.pop_back();
                     if (random() % 3 == 0) now = first;
-                    world.door->change(
+                    world.gate->change(
                         door_terms(now, values("[door]\nmax_waiting = " + std::to_string(1 + random() % 40)),
                                    [](const auto&) {}),
                         {true, seconds(30), false});
                     world.core->change_pool(world.pool, now);
-                } else if (dice == 17) {
+                } else if (choice == 17) {
                     world.clock.at += ms(static_cast<int>(random() % 3000));
                 }
             } catch (const std::runtime_error&) {
-                // what its front threw comes back to it from take()
+                // take() passes on an exception of its own front
             }
-            if (step == 350) world.door->begin_drain();
-            world.go(ms(static_cast<int>(random() % 12)));
+            if (step == 350) world.gate->begin_drain();
+            world.advance(ms(static_cast<int>(random() % 12)));
         }
         if (seed % 2) world.core->close();
-        if (seed % 2) world.door->stop();
+        if (seed % 2) world.gate->stop();
         if (seed % 4 == 1) world.core->remove_pool(world.pool);
-        world.go(ms(2000));
-        EXPECT_EQ(world.door->figures().waiting, 0u);
-        EXPECT_EQ(world.door->figures().in_flight, 0u);
+        world.advance(ms(2000));
+        EXPECT_EQ(world.gate->figures().waiting, 0u);
+        EXPECT_EQ(world.gate->figures().in_flight, 0u);
         for (std::uint64_t i = 1; i <= token; ++i)
             ASSERT_EQ(world.front.finals(i), left.contains(i) || !taken.contains(i) ? 0u : 1u) << i;
     }
