--- a/src/budget/allowance.h
+++ b/src/budget/allowance.h
@@ -77,8 +77,8 @@
     Time updated_at_{};  // state is up to date as of this time
     std::int64_t tokens_ = 0;
     std::int64_t reserved_ = 0;  // reserved and not yet committed
-    std::int64_t revoked_ =
-        0;  // reserved permits whose share ended or shrank; a later share does not restore them
+    // Reserved permits whose share ended or shrank. A later share does not restore them.
+    std::int64_t revoked_ = 0;
     std::int64_t in_use_ = 0;      // committed concurrency permits
     std::deque<Time> held_until_;  // release times of permits whose attempts' ends are not known; ascending
     Demand demand_;
--- a/src/budget/authority.h
+++ b/src/budget/authority.h
@@ -88,8 +88,8 @@
         Amount wants;
         std::int64_t in_use = 0;
         Time until{};  // of the last grant
-        std::string_view
-            why;  // reason for counting beyond the share: not yet released, attempts may be running, in use
+        // Why more than the share is counted: not yet released, attempts may be running, or in use.
+        std::string_view why;
     };
     struct Sum {
         std::string budget;
@@ -113,8 +113,8 @@
         std::uint64_t number = 0;
         Time last_request_at{};
         bool leaving = false;
-        int unaccepted_grants =
-            0;  // consecutive requests that reported an older fencing token than the last grant's
+        // Consecutive requests that reported an older fencing token than the last grant's.
+        int unaccepted_grants = 0;
         std::vector<Allocation> allocations;
         std::vector<Amount> wants, reserves;
         std::vector<std::int64_t> in_use;
--- a/src/budget/holder.cpp
+++ b/src/budget/holder.cpp
@@ -179,7 +179,7 @@
     if (reported.size == 0) return true;
     const bool is_concurrency = terms_.budgets[budget].counts == Counts::concurrency;
     if (is_concurrency ? reported.size >= whole.size : reported.rate >= whole.rate)
-        return false;  // the whole is already requested
+        return false;  // the whole is requested
     if (!reported.within(allowances_[budget].in_force(now))) return false;
     if (is_concurrency) return true;
     return is_burst(budget, allowances_[budget].demand().wanted, seconds_since(last_request_at_, now));
--- a/src/coordinator/journal.h
+++ b/src/coordinator/journal.h
@@ -63,8 +63,8 @@
         std::unique_ptr<store::Files> files;  // of the store's directory
         store::Engine::Chance chance;
         std::unique_ptr<Witness> witness;  // may be null; then no start is current
-        std::string
-            boot;  // the machine's boot id; times of the authority's clock are only comparable within one boot
+        // The machine's boot id. Times of the authority's clock are only comparable within one boot.
+        std::string boot;
         Time now{};  // by the authority's clock
         Time unix_now{};
     };
--- a/src/coordinator/service.h
+++ b/src/coordinator/service.h
@@ -44,7 +44,7 @@
     // Applies changed wholes and added or removed budgets. Balancers read all other settings at their own
     // start: lease term, clock drift, number of balancers, attempt duration, reserves and what a budget
     // counts stay unchanged. If it throws, nothing has changed.
-    void change(const budget::Terms& fresh);
+    void change(const budget::Terms& updated);
     const budget::Terms& terms() const { return authority_.terms(); }
 
     [[nodiscard]] View view() const;
--- a/src/door/door.h
+++ b/src/door/door.h
@@ -205,8 +205,8 @@
     std::vector<Class> classes_;
     std::vector<Entry> entries_;
     std::vector<std::uint32_t> free_;
-    std::set<std::pair<Time, std::uint32_t>>
-        latest_starts_;  // of queued requests: latest useful start of service
+    // Latest useful start of service of each queued request.
+    std::set<std::pair<Time, std::uint32_t>> latest_starts_;
     std::deque<std::pair<std::uint32_t, Reason>> evicted_;
     std::size_t waiting_ = 0, waiting_bytes_ = 0;
     double in_flight_cost_ = 0;  // estimated cost of the calls in flight
--- a/src/door/gate.cpp
+++ b/src/door/gate.cpp
@@ -24,8 +24,8 @@
         const auto new_class = old_class < old_terms.classes.size()
                                    ? place_of(new_terms.classes, old_terms.classes[old_class].name)
                                    : std::nullopt;
-        class_index =
-            new_class ? static_cast<int>(*new_class) : -1;  // the call is refused when it is dispatched
+        // A call of a removed class is refused when it is dispatched.
+        class_index = new_class ? static_cast<int>(*new_class) : -1;
         if (held.call.tenant.kind != core::Tenant::Kind::known) continue;
         const auto tenant_index = static_cast<std::size_t>(held.call.tenant.number);
         const auto new_tenant = tenant_index < old_terms.tenants.size()
--- a/tests/coordinator/journal_test.cpp
+++ b/tests/coordinator/journal_test.cpp
@@ -59,7 +59,7 @@
 };
 
 // Runs the service for `requests` requests of three processes, of which one stops and all change their
-// demand.
+// demand. Names are two bytes, as short as possible.
 void play(RunRecord& run, int requests) {
     ServiceParts parts;
     parts.files = std::make_unique<BorrowedFiles>(run.files);
--- a/tests/door/daemon_test.cpp
+++ b/tests/door/daemon_test.cpp
@@ -26,8 +26,8 @@
         wires[i]->say(stage.once(4000));
     };
     for (std::size_t i = 0; i < clients; ++i) send_request(i);
-    std::vector<std::shared_ptr<Wire>>
-        pending_at_servers;  // requests that a server has received and not answered
+    // Requests that a server has received and not answered.
+    std::vector<std::shared_ptr<Wire>> pending_at_servers;
     stage.until([&] {
         for (;;) {
             auto [wire, message] = stage.request_here();
--- a/tests/door/fairness_test.cpp
+++ b/tests/door/fairness_test.cpp
@@ -56,9 +56,10 @@
 }
 
 struct Result {
-    double over_bound = 0;  // largest ratio of a difference to its bound
-    double off_weights =
-        0;  // largest deviation from the weights, over time spans with 200 calls of each tenant
+    // Largest ratio of a difference to its bound.
+    double over_bound = 0;
+    // Largest deviation from the weights, over time spans with 200 calls of each tenant.
+    double off_weights = 0;
     std::size_t spans = 0, idle_with_queue = 0, late = 0;
 };
 
@@ -68,8 +69,8 @@
     const std::size_t n = scenario.weights.size();
     struct TenantPair {
         bool both_backlogged = false;
-        double at_begin[2]{}, min_difference[2]{},
-            max_difference[2]{};  // of the difference in dispatched and in ended service
+        // Of the difference in dispatched and in ended service.
+        double at_begin[2]{}, min_difference[2]{}, max_difference[2]{};
     };
     std::vector<std::vector<TenantPair>> pairs(n, std::vector<TenantPair>(n));
     std::vector<std::vector<double>> widest_range(n, std::vector<double>(n));
