--- a/tests/budget/authority_test.cpp
+++ b/tests/budget/authority_test.cpp
@@ -214,7 +214,7 @@
     now_ += at_authority(term, 0.001);
     const auto reply = ask(second_, {10000, 10});
     EXPECT_EQ(share(reply), (Amount{10000, 10}));
-    EXPECT_EQ(reply.grants[1].share.size, 0) << "its its attempts may still run";
+    EXPECT_EQ(reply.grants[1].share.size, 0) << "its attempts may still run";
 }
 
 TEST_F(AuthorityTest, OfTwoAuthoritiesTheHigherEpochWins) {
