--- a/src/coordinator/agent.cpp
+++ b/src/coordinator/agent.cpp
@@ -124,7 +124,7 @@
         if (result->kind == Kind::unsolicited) return drop();
         if (result->kind != Kind::answered)
             return end(result->kind == Kind::malformed ? "malformed response: " + result->why
-                                                    : "connection lost");
+                                                       : "connection lost");
         timeout_.cancel();
         if (!result->reusable) drop();
         if (result->answer.status != 200) {
