--- a/src/pg/alarms.h
+++ b/src/pg/alarms.h
@@ -1,4 +1,6 @@
-// Calls at their times, on the loop's one alarm. The loop's thread; nothing is called after this has gone.
+// Multiplexes any number of timers on one timer of the event loop.
+//
+// Threading: the loop's thread only. Life: no callback runs after the TimerSet is destroyed.
 #pragma once
 
 #include <functional>
@@ -11,49 +13,50 @@
 
 namespace flaxdoor::pg {
 
-class Alarms {
+class TimerSet {
     using Timers = core::Timers<std::function<void()>>;
 
 public:
-    Alarms(const loop::Executor& executor, const loop::Clock& clock)
+    TimerSet(const loop::Executor& executor, const loop::Clock& clock)
         : clock_(clock), alarm_(executor, clock) {
         alarm_.on_due([this] { run(); });
     }
 
-    // One call that can be set, set anew and taken back. It must go before its Alarms do.
-    class One {
+    // One timer that can be set, reset and cleared. Must be destroyed before its TimerSet.
+    class Timer {
     public:
-        explicit One(Alarms& alarms) : alarms_(alarms) {}
-        ~One() { clear(); }
-        One(const One&) = delete;
-        One& operator=(const One&) = delete;
+        explicit Timer(TimerSet& timer_set) : timer_set_(timer_set) {}
+        ~Timer() { clear(); }
+        Timer(const Timer&) = delete;
+        Timer& operator=(const Timer&) = delete;
 
-        void set(Time at, std::function<void()> call) {
+        void set(Time at, std::function<void()> callback) {
             clear();
-            handle_ = alarms_.set(at, [this, call = std::move(call)] {
-                const auto held = call;  // it may set this anew
+            handle_ = timer_set_.set(at, [this, callback = std::move(callback)] {
+                // The callback may set this timer again, which replaces the stored one.
+                const auto callback_copy = callback;
                 handle_.reset();
-                held();
+                callback_copy();
             });
         }
-        void after(Micros span, std::function<void()> call) {
-            set(alarms_.clock_.now() + span, std::move(call));
+        void after(Micros span, std::function<void()> callback) {
+            set(timer_set_.clock_.now() + span, std::move(callback));
         }
         void clear() {
-            if (handle_) alarms_.timers_.remove(*handle_);
+            if (handle_) timer_set_.timers_.remove(*handle_);
             handle_.reset();
         }
         bool is_set() const { return handle_.has_value(); }
 
     private:
-        Alarms& alarms_;
+        TimerSet& timer_set_;
         std::optional<Timers::Handle> handle_;
     };
 
 private:
-    Timers::Handle set(Time at, std::function<void()> call) {
+    Timers::Handle set(Time at, std::function<void()> callback) {
         const auto first = timers_.next();
-        const auto handle = timers_.set(at, std::move(call));
+        const auto handle = timers_.set(at, std::move(callback));
         if (!first || at < *first) alarm_.set(at);
         return handle;
     }
--- a/src/pg/back.cpp
+++ b/src/pg/back.cpp
@@ -37,8 +37,8 @@
           secrets_(secrets),
           options_(std::move(options)),
           pool_(gate, options_.pool),
-          alarms_(executor, clock),
-          pool_time_(alarms_) {}
+          timers_(executor, clock),
+          pool_timer_(timers_) {}
 
     void set_upstream(UpstreamId id, const std::string& address, bool takes_work) {
         Upstream& upstream = upstreams_[id];
@@ -49,43 +49,43 @@
         upstream.takes_work = takes_work;
         if (moved || stops) drain(id);
         pool_.set_server(id, address, takes_work);
-        if (takes_work) give_ears(id);
+        if (takes_work) release_role_watches(id);
         run();
     }
 
     void remove_upstream(UpstreamId id) {
         drain(id);
-        keep_ear(id);
+        keep_role_watch(id);
         upstreams_.erase(id);
         pool_.remove_server(id);
         run();
     }
 
     void send(const core::Attempt& attempt) {
-        const auto unit = static_cast<UnitPayload&>(*attempt.payload).unit.lock();
-        if (!unit) return end(attempt.key, Outcome::moot, false);
-        unit->on_placed();
-        if (Carrier* const tied = unit->tied()) {
-            Link& link = static_cast<Link&>(*tied);
-            if (link.upstream() != attempt.upstream) return end(attempt.key, Outcome::moot, false);
-            return link.carry(attempt.key, unit);
-        }
-        units_[attempt.key] = unit;
-        pool_.want(attempt.key, attempt.upstream, unit->user(), clock_.now());
+        const auto client = static_cast<ClientPayload&>(*attempt.payload).client.lock();
+        if (!client) return end(attempt.key, Outcome::moot, false);
+        client->on_placed();
+        if (ServerLink* const required = client->required_link()) {
+            Connection& connection = static_cast<Connection&>(*required);
+            if (connection.upstream() != attempt.upstream) return end(attempt.key, Outcome::moot, false);
+            return connection.serve(attempt.key, client);
+        }
+        waiting_clients_[attempt.key] = client;
+        pool_.request_connection(attempt.key, attempt.upstream, client->user(), clock_.now());
         run();
     }
 
     void cancel(core::AttemptKey key) {
-        if (pool_.drop(key)) return end(key, Outcome::cancelled, false);
-        if (const auto link = carrying(key)) link->lose_unit(Outcome::cancelled);
+        if (pool_.cancel_request(key)) return end(key, Outcome::cancelled, false);
+        if (const auto connection = connection_for(key)) connection->withdraw(Outcome::cancelled);
     }
 
     void expire(core::AttemptKey key) {
-        if (pool_.drop(key)) return end(key, Outcome::moot, false);
-        const auto link = carrying(key);
-        if (!link) return;
-        link->read_now();  // the answer may be there, unread
-        if (carrying(key)) link->lose_unit(Outcome::timeout);
+        if (pool_.cancel_request(key)) return end(key, Outcome::moot, false);
+        const auto connection = connection_for(key);
+        if (!connection) return;
+        connection->read_now();  // the answer may have arrived without having been read
+        if (connection_for(key)) connection->withdraw(Outcome::timeout);
     }
 
     void close_idle(UpstreamId id) {
@@ -102,23 +102,23 @@
         pool_.on_gate();
         run();
     }
-    void on_login_end(std::function<void()> call) { login_ended_ = std::move(call); }
-    void on_role(std::function<void(UpstreamId, bool)> call) { on_role_ = std::move(call); }
+    void on_login_end(std::function<void()> call) { login_end_callback_ = std::move(call); }
+    void on_role(std::function<void(UpstreamId, bool)> call) { role_callback_ = std::move(call); }
 
     const std::map<std::string, ServerMachine::Reported>* parameters() const {
         return parameters_.empty() ? nullptr : &parameters_;
     }
     const std::string& login_error() const { return login_error_; }
-    std::size_t links() const { return links_.size(); }
+    std::size_t links() const { return connections_.size(); }
     std::size_t waiting() const { return pool_.waiting(); }
 
     void stop() {
         stopped_ = true;
-        const auto links = std::move(links_);
-        links_.clear();
-        for (const auto& [id, link] : links) link->close();
-        const auto cancels = std::move(cancels_);
-        cancels_.clear();
+        const auto connections = std::move(connections_);
+        connections_.clear();
+        for (const auto& [id, connection] : connections) connection->close();
+        const auto cancels = std::move(cancel_requests_);
+        cancel_requests_.clear();
         for (const auto& each : cancels) each->close();
     }
 
@@ -129,72 +129,75 @@
         bool takes_work = true;
     };
 
-    // A connection by which one cancel is asked for. The server closes it when it has sent its signal.
-    class Cancel;
+    // A connection that sends one cancel request. The server closes it once it has signalled the backend.
+    class CancelRequest;
 
-    class Link final : public Carrier, public StreamOwner, public std::enable_shared_from_this<Link> {
+    class Connection final : public ServerLink,
+                             public StreamOwner,
+                             public std::enable_shared_from_this<Connection> {
     public:
-        Link(Impl& owner, LinkId id, UpstreamId upstream, const std::string& user, Upstream where)
+        Connection(Impl& owner, ConnectionId id, UpstreamId upstream, const std::string& user,
+                   Upstream target)
             : owner_(owner),
               id_(id),
               upstream_(upstream),
-              where_(std::move(where)),
+              target_(std::move(target)),
               machine_(owner.server_options(user)),
               stream_(std::make_shared<Stream>(owner.executor_, *this)),
-              limit_(owner.alarms_) {
+              timer_(owner.timers_) {
             ++owner_.budget_.open;
         }
 
         void open() {
             const auto self = shared_from_this();
-            limit_.after(owner_.options_.login_limit,
+            timer_.after(owner_.options_.login_limit,
                          [this] { login_failed("", "the login took too long"); });
-            stream_->connect(where_.address);
+            stream_->connect(target_.address);
         }
 
-        // ----------------------------------------------------------------------------------------- for units
+        // --- Client units ---
 
-        void carry(core::AttemptKey key, const std::shared_ptr<Unit>& unit) {
+        void serve(core::AttemptKey key, const std::shared_ptr<LinkedClient>& client) {
             const auto self = shared_from_this();
-            key_ = key;
-            unit_ = unit;
-            since_ = owner_.clock_.now();
-            latency_ = Micros{0};
-            owner_.carrying_[key] = self;
-            if (wrong_) {
-                // The server says how things stand with the end of a query, and not while it rests.
-                checking_ = true;
-                machine_.own_query("");
+            attempt_ = key;
+            client_ = client;
+            served_since_ = owner_.clock_.now();
+            answer_latency_ = Micros{0};
+            owner_.connections_by_attempt_[key] = self;
+            if (wrong_role_) {
+                // The server reports in_hot_standby at the end of a query, not while it is idle.
+                checking_role_ = true;
+                machine_.internal_query("");
                 return flush();
             }
             begin_unit();
         }
 
         void begin_unit() {
-            const core::AttemptKey key = *key_;
-            const auto unit = unit_.lock();
-            if (!unit) return give_back(Outcome::moot);
-            if (!owner_.core_.on_attempt_sending(key)) return give_back(Outcome::moot);
-            if (!unit->on_link(*this)) return give_back(Outcome::moot);
+            const core::AttemptKey key = *attempt_;
+            const auto client = client_.lock();
+            if (!client) return end_unsent(Outcome::moot);
+            if (!owner_.core_.on_attempt_sending(key)) return end_unsent(Outcome::moot);
+            if (!client->on_link(*this)) return end_unsent(Outcome::moot);
             flush();
-            unit->after_server();
+            client->after_server();
         }
 
-        // Nothing was sent for the attempt.
-        void give_back(Outcome outcome) {
-            const core::AttemptKey key = *key_;
-            const auto unit = unit_.lock();
-            const bool was_tied = unit && unit->tied() == this;
+        // Ends an attempt for which nothing was sent.
+        void end_unsent(Outcome outcome) {
+            const core::AttemptKey key = *attempt_;
+            const auto client = client_.lock();
+            const bool was_required = client && client->required_link() == this;
             end_attempt(key, outcome, false);
-            if (was_tied || closed_) return;
-            unit_.reset();
+            if (was_required || closed_) return;
+            client_.reset();
             owner_.pool_.on_free(id_, owner_.clock_.now());
             owner_.run();
         }
 
         ServerMachine& machine() override { return machine_; }
         UpstreamId upstream() const override { return upstream_; }
-        bool takes_work() const override { return owner_.takes_work(upstream_, where_.text); }
+        bool takes_work() const override { return owner_.takes_work(upstream_, target_.text); }
         void flush() override {
             if (!closed_) stream_->flush();
         }
@@ -202,20 +205,20 @@
             if (!closed_) stream_->pause(false);
         }
         void started() override {
-            latency_ = owner_.clock_.now() - since_;
-            if (key_) owner_.core_.on_attempt_started(*key_, latency_, nullptr);
+            answer_latency_ = owner_.clock_.now() - served_since_;
+            if (attempt_) owner_.core_.on_attempt_started(*attempt_, answer_latency_, nullptr);
         }
         void served() override {
-            if (key_) end_attempt(*key_, Outcome::ok, true);
+            if (attempt_) end_attempt(*attempt_, Outcome::ok, true);
         }
 
         void release(bool dirty) override {
-            unit_.reset();
+            client_.reset();
             dirty_ = dirty_ || dirty;
             if (pumping_) {
-                settle_due_ = true;  // what has come behind the last answer is looked at first
+                return_due_ = true;  // events behind the last answer are processed first
             } else {
-                settle();
+                try_return_to_pool();
             }
         }
 
@@ -223,53 +226,58 @@
 
         void abandon(Outcome outcome) override {
             const auto self = shared_from_this();
-            const bool ran = machine_.may_have_run();
-            unit_.reset();
+            const bool may_have_executed = machine_.may_have_run();
+            client_.reset();
             dirty_ = true;
-            if (key_) end_attempt(*key_, outcome == Outcome::timeout && !ran ? Outcome::moot : outcome, ran);
-            set_aside();
+            if (attempt_)
+                end_attempt(*attempt_,
+                            outcome == Outcome::timeout && !may_have_executed ? Outcome::moot : outcome,
+                            may_have_executed);
+            await_end();
         }
 
-        // The core takes the attempt away.
-        void lose_unit(Outcome outcome) {
+        // The core withdraws the attempt.
+        void withdraw(Outcome outcome) {
             const auto self = shared_from_this();
-            const auto unit = unit_.lock();
-            const Loss loss = unit ? unit->on_server_lost() : Loss{};
-            unit_.reset();
+            const auto client = client_.lock();
+            const LossReport loss = client ? client->on_server_lost() : LossReport{};
+            client_.reset();
             dirty_ = true;
-            const bool ran = loss.may_have_run || loss.passed;
-            const core::AttemptKey key = *key_;
-            end_attempt(key, ran || outcome == Outcome::cancelled ? outcome : Outcome::moot, ran);
-            set_aside();
-            if (unit) unit->after_server();
+            const bool may_have_executed = loss.may_have_run || loss.answer_started;
+            const core::AttemptKey key = *attempt_;
+            end_attempt(key, may_have_executed || outcome == Outcome::cancelled ? outcome : Outcome::moot,
+                        may_have_executed);
+            await_end();
+            if (client) client->after_server();
         }
 
-        // It serves nobody, and is there to hear what the server says of itself.
-        bool is_ear() const { return ear_; }
-        void set_ear(bool ear) { ear_ = ear; }
+        // The connection serves no client; it stays open to receive the role that the server reports.
+        bool is_role_watch() const { return role_watch_; }
+        void set_role_watch(bool watch) { role_watch_ = watch; }
 
-        void tell_drain(bool at_limit) {
-            if (const auto unit = unit_.lock()) unit->on_drain(at_limit);
+        void notify_drain(bool at_limit) {
+            if (const auto client = client_.lock()) client->on_drain(at_limit);
         }
         void read_now() { stream_->read_now(); }
-        UpstreamId at() const { return upstream_; }
+        UpstreamId upstream_id() const { return upstream_; }
 
         void cancel_ended(bool delivered) {
-            --cancels_;
+            --pending_cancels_;
             if (closed_) return;
-            if (!delivered) cancel_lost_ = true;
-            if (unit_.expired() || aside_) settle();
+            if (!delivered) cancel_undelivered_ = true;
+            if (client_.expired() || awaiting_end_) try_return_to_pool();
         }
-        void cancel_begun() { ++cancels_; }
-        const Upstream& where() const { return where_; }
-        LinkId id() const { return id_; }
+        void cancel_begun() { ++pending_cancels_; }
+        const Upstream& target() const { return target_; }
+        ConnectionId id() const { return id_; }
 
         void close() {
             if (closed_) return;
             closed_ = true;
-            limit_.clear();
-            // Guards against an effect that comes late: what was not handed over was told not to have run.
-            if (machine_.quiet() && machine_.output().empty()) {
+            timer_.clear();
+            // Prevents an effect after the attempt has ended: output that was not written was reported as not
+            // executed.
+            if (machine_.is_idle() && machine_.output().empty()) {
                 machine_.terminate();
                 stream_->flush();
             }
@@ -278,14 +286,13 @@
         }
 
     private:
-        // ------------------------------------------------------------------------------------------ the
-        // stream
+        // --- Stream events ---
 
         void on_connected(const error_code& error) override {
             const auto self = shared_from_this();
             if (closed_) return;
             if (error && loop::own_want(error))
-                return login_ended(LoginEnd::own, "own want: " + error.message());
+                return login_ended(LoginResult::local_failure, "own want: " + error.message());
             if (error) return login_failed("", "it can't be reached: " + error.message());
             stream_->begin();
             stream_->flush();
@@ -301,7 +308,7 @@
             const auto self = shared_from_this();
             if (machine_.state() != ServerState::up)
                 return login_failed("", why.empty() ? "it closed the connection" : why);
-            lost();
+            on_lost();
         }
 
         void on_secured() override {
@@ -311,49 +318,50 @@
         std::string_view pending() override { return machine_.output(); }
         void wrote(std::size_t bytes) override { machine_.wrote(bytes); }
         void on_drained() override {
-            if (const auto unit = unit_.lock()) unit->after_server();
+            if (const auto client = client_.lock()) client->after_server();
         }
 
         void pump() {
-            const auto served = unit_.lock();  // it may have left when its answer was whole
+            const auto served = client_.lock();  // the client may be unlinked once its answer is complete
             pumping_ = true;
-            take_events();
+            process_events();
             pumping_ = false;
-            if (!closed_) mind_role();
-            if (!closed_ && std::exchange(settle_due_, false)) settle();
+            if (!closed_) check_role_change();
+            if (!closed_ && std::exchange(return_due_, false)) try_return_to_pool();
             if (!closed_) stream_->flush();
             if (served) served->after_server();
             if (closed_) return;
-            const auto unit = unit_.lock();
-            if (unit && unit != served) unit->after_server();
-            if (!closed_ && !unit_.expired() && unit->crowded()) stream_->pause(true);
-            if (!closed_ && !unit && aside_) settle();
-        }
-
-        // Behind the empty query the server has said what it is now.
-        void was_checked() {
-            checking_ = false;
-            wrong_ = owner_.wrong_role(machine_);
-            if (!key_) return;  // taken away meanwhile
-            // Told to drain meanwhile: what was placed before that is new work all the same.
-            if (!wrong_ && !takes_work()) return give_back(Outcome::moot);
-            if (!wrong_) return begin_unit();
-            const core::AttemptKey key = *key_;
-            const auto unit = unit_.lock();
-            unit_.reset();
-            ear_ = true;
-            owner_.tell_role(upstream_, false);
-            end_attempt(key, Outcome::moot, false, unit);
-        }
-
-        void mind_role() {
-            if (checking_) return;
-            if (machine_.state() != ServerState::up || owner_.wrong_role(machine_) == wrong_) return;
-            wrong_ = !wrong_;
-            owner_.tell_role(upstream_, !wrong_);
-        }
-
-        void take_events() {
+            const auto client = client_.lock();
+            if (client && client != served) client->after_server();
+            if (!closed_ && !client_.expired() && client->crowded()) stream_->pause(true);
+            if (!closed_ && !client && awaiting_end_) try_return_to_pool();
+        }
+
+        // The empty query has ended, and with it the server has reported its current role.
+        void on_role_checked() {
+            checking_role_ = false;
+            wrong_role_ = owner_.wrong_role(machine_);
+            if (!attempt_) return;  // the attempt was withdrawn meanwhile
+            // A server that has started to drain meanwhile gets no unit: the unit counts as new work although
+            // it was placed before.
+            if (!wrong_role_ && !takes_work()) return end_unsent(Outcome::moot);
+            if (!wrong_role_) return begin_unit();
+            const core::AttemptKey key = *attempt_;
+            const auto client = client_.lock();
+            client_.reset();
+            role_watch_ = true;
+            owner_.report_role(upstream_, false);
+            end_attempt(key, Outcome::moot, false, client);
+        }
+
+        void check_role_change() {
+            if (checking_role_) return;
+            if (machine_.state() != ServerState::up || owner_.wrong_role(machine_) == wrong_role_) return;
+            wrong_role_ = !wrong_role_;
+            owner_.report_role(upstream_, !wrong_role_);
+        }
+
+        void process_events() {
             while (!closed_) {
                 const auto event = machine_.next();
                 if (!event) break;
@@ -361,24 +369,25 @@
                     case ServerEvent::Kind::begin_tls: begin_tls(); break;
                     case ServerEvent::Kind::logged_in: logged_in(); break;
                     case ServerEvent::Kind::failed: return login_failed(event->code, event->text);
-                    case ServerEvent::Kind::spoilt: return lost();
-                    case ServerEvent::Kind::settled:
-                        if (checking_) {
-                            was_checked();
+                    case ServerEvent::Kind::broken: return on_lost();
+                    case ServerEvent::Kind::internal_query_done:
+                        if (checking_role_) {
+                            on_role_checked();
                             break;
                         }
                         if (resetting_) {
-                            was_reset(event->code.empty());
+                            on_reset(event->code.empty());
                             break;
                         }
-                        // The unit itself comes only now: not to a server that was told to drain meanwhile.
-                        if (key_ && !takes_work()) {
-                            lose_unit(Outcome::moot);
+                        // Only now is the unit itself sent, so a server that has started to drain meanwhile
+                        // does not get it.
+                        if (attempt_ && !takes_work()) {
+                            withdraw(Outcome::moot);
                             break;
                         }
                         [[fallthrough]];
                     default:
-                        if (const auto unit = unit_.lock()) unit->on_server(*event);
+                        if (const auto client = client_.lock()) client->on_server(*event);
                 }
             }
         }
@@ -390,174 +399,181 @@
             const auto name = owner_.options_.names.find(upstream_);
             std::string wanted;
             if (verify)
-                wanted =
-                    name == owner_.options_.names.end() ? where_.address.address().to_string() : name->second;
+                wanted = name == owner_.options_.names.end() ? target_.address.address().to_string()
+                                                             : name->second;
             stream_->secure(std::make_unique<tls::Channel>(context, wanted));
         }
 
-        // -------------------------------------------------------------------------------------------- the
-        // login
+        // --- Login ---
 
         void logged_in() {
-            limit_.clear();
+            timer_.clear();
             owner_.login_error_.clear();
             owner_.parameters_ = machine_.parameters();
-            wrong_ = owner_.wrong_role(machine_);
-            ear_ = wrong_;
-            owner_.pool_.on_login(id_, wrong_ ? LoginEnd::apart : LoginEnd::up, owner_.clock_.now());
-            if (wrong_) owner_.tell_role(upstream_, false);
-            owner_.login_over();
+            wrong_role_ = owner_.wrong_role(machine_);
+            role_watch_ = wrong_role_;
+            owner_.pool_.on_login(id_, wrong_role_ ? LoginResult::reserved : LoginResult::succeeded,
+                                  owner_.clock_.now());
+            if (wrong_role_) owner_.report_role(upstream_, false);
+            owner_.on_login_over();
         }
 
         void login_failed(const std::string& code, const std::string& text) {
             const bool full = code == "53300" || code == "53400";
-            login_ended(full ? LoginEnd::full : LoginEnd::down, (code.empty() ? "" : code + " ") + text);
+            login_ended(full ? LoginResult::full : LoginResult::unreachable,
+                        (code.empty() ? "" : code + " ") + text);
         }
 
-        void login_ended(LoginEnd end, const std::string& text) {
+        void login_ended(LoginResult result, const std::string& text) {
             if (closed_) return;
             const auto self = shared_from_this();
             owner_.login_error_ = "login failed: " + text;
-            leave();
-            owner_.pool_.on_login(id_, end, owner_.clock_.now());
-            owner_.login_over();
+            remove();
+            owner_.pool_.on_login(id_, result, owner_.clock_.now());
+            owner_.on_login_over();
         }
 
-        // ------------------------------------------------------------------------------------------------
-        // ends
+        // --- End of the connection or of an attempt ---
 
-        // The connection is gone, whatever it was doing.
-        void lost() {
+        // The connection is closed, whatever it was doing.
+        void on_lost() {
             const auto self = shared_from_this();
-            const auto unit = unit_.lock();
-            const auto key = key_;
-            const Loss loss = unit ? unit->on_server_lost() : Loss{};
-            unit_.reset();
-            leave();
-            owner_.pool_.on_gone(id_);
-            const bool ran = loss.may_have_run || loss.passed;
+            const auto client = client_.lock();
+            const auto key = attempt_;
+            const LossReport loss = client ? client->on_server_lost() : LossReport{};
+            client_.reset();
+            remove();
+            owner_.pool_.on_closed(id_);
+            const bool may_have_executed = loss.may_have_run || loss.answer_started;
             if (key)
-                end_attempt(*key, ran ? Outcome::reset : Outcome::connect_failed, ran, ran ? nullptr : unit);
-            if (unit) unit->after_server();
+                end_attempt(*key, may_have_executed ? Outcome::reset : Outcome::connect_failed,
+                            may_have_executed, may_have_executed ? nullptr : client);
+            if (client) client->after_server();
             owner_.run();
         }
 
-        void leave() {
+        void remove() {
             close();
-            owner_.links_.erase(id_);
-            if (ear_) owner_.tell_role(upstream_, true);  // nobody listens any more
+            owner_.connections_.erase(id_);
+            // No connection is left on which the server could report its role.
+            if (role_watch_) owner_.report_role(upstream_, true);
         }
 
-        void give_up() {
+        void discard() {
             const auto self = shared_from_this();
-            leave();
-            owner_.pool_.on_gone(id_);
+            remove();
+            owner_.pool_.on_closed(id_);
             owner_.run();
         }
 
         void end_attempt(core::AttemptKey key, Outcome outcome, bool whole,
-                         const std::shared_ptr<Unit>& unsent = nullptr) {
-            key_.reset();
-            owner_.carrying_.erase(key);
-            if (unsent) owner_.units_[key] = unsent;
-            // Until the answer began: how long a transaction stays open is its client's doing.
-            const Micros latency = outcome == Outcome::ok ? std::max(latency_, owner_.options_.latency_floor)
-                                                          : owner_.clock_.now() - since_;
+                         const std::shared_ptr<LinkedClient>& unsent = nullptr) {
+            attempt_.reset();
+            owner_.connections_by_attempt_.erase(key);
+            if (unsent) owner_.waiting_clients_[key] = unsent;
+            // Successful attempts are measured until their answer began, because the client determines how
+            // long a transaction stays open.
+            const Micros latency = outcome == Outcome::ok
+                                       ? std::max(answer_latency_, owner_.options_.latency_floor)
+                                       : owner_.clock_.now() - served_since_;
             owner_.end(key, outcome, whole, latency);
         }
 
-        // Nobody hears what still comes; it is used again when that has ended.
-        void set_aside() {
+        // No client is linked any more. The connection is reused once the remaining answers have arrived.
+        void await_end() {
             if (closed_) return;
-            aside_ = true;
-            if (checking_) return;  // it settles with that
+            awaiting_end_ = true;
+            if (checking_role_) return;  // on_role_checked() continues
             stream_->pause(false);
-            if (!machine_.output().empty()) return give_up();
-            if (!machine_.quiet()) {
-                if (!machine_.ends_by_itself()) return give_up();
+            if (!machine_.output().empty()) return discard();
+            if (!machine_.is_idle()) {
+                if (!machine_.ready_will_follow()) return discard();
                 owner_.send_cancel(shared_from_this());
-                limit_.after(owner_.options_.cancel_limit, [this] { give_up(); });
+                timer_.after(owner_.options_.cancel_limit, [this] { discard(); });
             }
-            settle();
+            try_return_to_pool();
         }
 
-        // Back to the pool, once nothing of the last unit is left.
-        void settle() {
+        // Returns the connection to the pool once nothing of the latest unit is left.
+        void try_return_to_pool() {
             if (closed_ || resetting_) return;
             const auto self = shared_from_this();
-            if (machine_.quiet() && machine_.status() != 'I') return give_up();
-            if (!machine_.quiet() || !machine_.between_messages() || cancels_ > 0) {  // comes again
-                aside_ = true;
-                if (!limit_.is_set()) limit_.after(owner_.options_.cancel_limit, [this] { give_up(); });
+            if (machine_.is_idle() && machine_.status() != 'I') return discard();
+            // This function is called again after the next event.
+            if (!machine_.is_idle() || !machine_.between_messages() || pending_cancels_ > 0) {
+                awaiting_end_ = true;
+                if (!timer_.is_set()) timer_.after(owner_.options_.cancel_limit, [this] { discard(); });
                 return;
             }
-            if (cancel_lost_) return give_up();
-            aside_ = false;
-            limit_.clear();
+            if (cancel_undelivered_) return discard();
+            awaiting_end_ = false;
+            timer_.clear();
             if (!dirty_) {
                 owner_.pool_.on_free(id_, owner_.clock_.now());
                 return owner_.run();
             }
             resetting_ = true;
-            machine_.own_query("DISCARD ALL");
-            limit_.after(owner_.options_.cancel_limit, [this] { give_up(); });
+            machine_.internal_query("DISCARD ALL");
+            timer_.after(owner_.options_.cancel_limit, [this] { discard(); });
             stream_->flush();
         }
 
-        void was_reset(bool clean) {
+        void on_reset(bool clean) {
             resetting_ = false;
-            if (!clean) return give_up();
+            if (!clean) return discard();
             dirty_ = false;
-            limit_.clear();
-            settle();
+            timer_.clear();
+            try_return_to_pool();
         }
 
         Impl& owner_;
-        const LinkId id_;
+        const ConnectionId id_;
         const UpstreamId upstream_;
-        const Upstream where_;
+        const Upstream target_;
         ServerMachine machine_;
         std::shared_ptr<Stream> stream_;
-        Alarms::One limit_;
-        std::weak_ptr<Unit> unit_;
-        std::optional<core::AttemptKey> key_;
-        Time since_{};
-        Micros latency_{};
-        int cancels_ = 0;
-        bool cancel_lost_ = false;
-        bool dirty_ = false, aside_ = false, resetting_ = false, closed_ = false;
-        bool pumping_ = false, settle_due_ = false;
-        bool checking_ = false;             // what the server is, before a unit is begun
-        bool wrong_ = false, ear_ = false;  // the server's role; and this is kept for it to say otherwise
+        TimerSet::Timer timer_;
+        std::weak_ptr<LinkedClient> client_;
+        std::optional<core::AttemptKey> attempt_;
+        Time served_since_{};
+        Micros answer_latency_{};
+        int pending_cancels_ = 0;
+        bool cancel_undelivered_ = false;
+        bool dirty_ = false, awaiting_end_ = false, resetting_ = false, closed_ = false;
+        bool pumping_ = false, return_due_ = false;
+        bool checking_role_ = false;  // the server's role is checked before a unit begins
+        // wrong_role_: the server has the wrong role. role_watch_: the connection is kept to learn when that
+        // changes.
+        bool wrong_role_ = false, role_watch_ = false;
     };
 
-    class Cancel final : public StreamOwner, public std::enable_shared_from_this<Cancel> {
+    class CancelRequest final : public StreamOwner, public std::enable_shared_from_this<CancelRequest> {
     public:
-        Cancel(Impl& owner, std::shared_ptr<Link> link)
+        CancelRequest(Impl& owner, std::shared_ptr<Connection> connection)
             : owner_(owner),
-              link_(std::move(link)),
+              connection_(std::move(connection)),
               stream_(std::make_shared<Stream>(owner.executor_, *this)),
-              limit_(owner.alarms_) {
-            write_cancel(out_, link_->machine().key());
+              timer_(owner.timers_) {
+            write_cancel(out_, connection_->machine().key());
             ++owner_.budget_.open;
-            link_->cancel_begun();
+            connection_->cancel_begun();
         }
 
         void open() {
-            limit_.after(owner_.options_.cancel_limit, [this] { end(false); });
-            stream_->connect(link_->where().address);
+            timer_.after(owner_.options_.cancel_limit, [this] { end(false); });
+            stream_->connect(connection_->target().address);
         }
         void close() {
-            if (!link_) return;
-            link_.reset();
-            limit_.clear();
+            if (!connection_) return;
+            connection_.reset();
+            timer_.clear();
             stream_->close();
             --owner_.budget_.open;
         }
 
     private:
         void on_connected(const error_code& error) override {
-            if (error) return end(true);  // it never went out
+            if (error) return end(true);  // the request was not sent
             stream_->begin();
             stream_->flush();
         }
@@ -567,23 +583,22 @@
         void wrote(std::size_t bytes) override { out_.erase(0, bytes); }
 
         void end(bool delivered) {
-            if (!link_) return;
+            if (!connection_) return;
             const auto self = shared_from_this();
-            const auto link = link_;
+            const auto connection = connection_;
             close();
-            owner_.cancels_.erase(self);
-            link->cancel_ended(delivered);
+            owner_.cancel_requests_.erase(self);
+            connection->cancel_ended(delivered);
         }
 
         Impl& owner_;
-        std::shared_ptr<Link> link_;
+        std::shared_ptr<Connection> connection_;
         std::string out_;
         std::shared_ptr<Stream> stream_;
-        Alarms::One limit_;
+        TimerSet::Timer timer_;
     };
 
-    // ---------------------------------------------------------------------------------------------- for
-    // links
+    // --- Operations for connections ---
 
     ServerOptions server_options(const std::string& user) {
         ServerOptions options;
@@ -603,41 +618,42 @@
         return machine.is_standby() != (options_.role == Role::replica);
     }
 
-    void tell_role(UpstreamId id, bool right) {
-        if (on_role_ && !stopped_) on_role_(id, right);
+    void report_role(UpstreamId id, bool right) {
+        if (role_callback_ && !stopped_) role_callback_(id, right);
     }
 
-    std::vector<std::shared_ptr<Link>> links_at(UpstreamId id) const {
-        std::vector<std::shared_ptr<Link>> all;
-        for (const auto& [link_id, link] : links_) {
-            if (link->at() == id) all.push_back(link);
+    std::vector<std::shared_ptr<Connection>> connections_at(UpstreamId id) const {
+        std::vector<std::shared_ptr<Connection>> all;
+        for (const auto& [connection_id, connection] : connections_) {
+            if (connection->upstream_id() == id) all.push_back(connection);
         }
         return all;
     }
 
-    // Of a server that has the wrong role one connection stays.
-    void keep_ear(UpstreamId id) {
-        std::shared_ptr<Link> ear;
-        for (const auto& link : links_at(id)) {
-            if (!wrong_role(link->machine()) || link->machine().state() != ServerState::up) continue;
-            if (!ear && (link->is_ear() || pool_.keep_apart(link->id()))) {
-                ear = link;
-                link->set_ear(true);
-            } else if (link->is_ear()) {
-                link->set_ear(false);
-                pool_.on_gone(link->id());
-                links_.erase(link->id());
-                link->close();
+    // Keeps one connection open to a server that has the wrong role.
+    void keep_role_watch(UpstreamId id) {
+        std::shared_ptr<Connection> watch;
+        for (const auto& connection : connections_at(id)) {
+            if (!wrong_role(connection->machine()) || connection->machine().state() != ServerState::up)
+                continue;
+            if (!watch && (connection->is_role_watch() || pool_.reserve(connection->id()))) {
+                watch = connection;
+                connection->set_role_watch(true);
+            } else if (connection->is_role_watch()) {
+                connection->set_role_watch(false);
+                pool_.on_closed(connection->id());
+                connections_.erase(connection->id());
+                connection->close();
             }
         }
     }
 
-    // It is listed again: those that listened serve.
-    void give_ears(UpstreamId id) {
-        for (const auto& link : links_at(id)) {
-            if (!link->is_ear()) continue;
-            link->set_ear(false);
-            pool_.on_free(link->id(), clock_.now());
+    // The server is listed again: the connections that were kept to learn its role return to the pool.
+    void release_role_watches(UpstreamId id) {
+        for (const auto& connection : connections_at(id)) {
+            if (!connection->is_role_watch()) continue;
+            connection->set_role_watch(false);
+            pool_.on_free(connection->id(), clock_.now());
         }
     }
 
@@ -646,118 +662,121 @@
         return found != upstreams_.end() && found->second.takes_work && found->second.text == address;
     }
 
-    void send_cancel(const std::shared_ptr<Link>& link) {
-        if (budget_.open >= budget_.most) return;  // then its limit ends it
-        const auto cancel = std::make_shared<Cancel>(*this, link);
-        cancels_.insert(cancel);
+    void send_cancel(const std::shared_ptr<Connection>& connection) {
+        if (budget_.open >= budget_.most) return;  // then the connection's time limit ends it
+        const auto cancel = std::make_shared<CancelRequest>(*this, connection);
+        cancel_requests_.insert(cancel);
         cancel->open();
     }
 
-    void login_over() {
+    void on_login_over() {
         run();
-        if (login_ended_) login_ended_();
+        if (login_end_callback_) login_end_callback_();
     }
 
     void end(core::AttemptKey key, Outcome outcome, bool whole, Micros latency = {}, bool own_fault = false) {
-        const auto waiting = units_.find(key);
-        const auto unit = waiting == units_.end() ? nullptr : waiting->second.lock();
-        units_.erase(key);
+        const auto waiting = waiting_clients_.find(key);
+        const auto client = waiting == waiting_clients_.end() ? nullptr : waiting->second.lock();
+        waiting_clients_.erase(key);
         core::AttemptResult result;
         result.key = key;
         result.outcome = outcome;
         result.own_fault = own_fault;
         result.whole = whole;
         result.latency = latency;
-        if (!unit) return core_.on_attempt_end(std::move(result));
-        unit->ended_unsent([&] { core_.on_attempt_end(std::move(result)); });
+        if (!client) return core_.on_attempt_end(std::move(result));
+        client->ended_unsent([&] { core_.on_attempt_end(std::move(result)); });
     }
 
-    std::shared_ptr<Link> carrying(core::AttemptKey key) const {
-        const auto found = carrying_.find(key);
-        return found == carrying_.end() ? nullptr : found->second.lock();
+    std::shared_ptr<Connection> connection_for(core::AttemptKey key) const {
+        const auto found = connections_by_attempt_.find(key);
+        return found == connections_by_attempt_.end() ? nullptr : found->second.lock();
     }
 
     void drain(UpstreamId id) {
-        const std::vector<std::shared_ptr<Link>> there = links_at(id);
+        const std::vector<std::shared_ptr<Connection>> there = connections_at(id);
         if (there.empty()) return;
-        for (const auto& link : there) link->tell_drain(false);
-        auto timer = std::make_shared<Alarms::One>(alarms_);
-        std::vector<std::weak_ptr<Link>> left(there.begin(), there.end());
-        drains_.push_back(timer);
+        for (const auto& connection : there) connection->notify_drain(false);
+        auto timer = std::make_shared<TimerSet::Timer>(timers_);
+        std::vector<std::weak_ptr<Connection>> left(there.begin(), there.end());
+        drain_timers_.push_back(timer);
         timer->after(options_.drain_limit, [this, left, raw = timer.get()] {
             const auto kept = left;
-            std::erase_if(drains_, [&](const auto& each) { return each.get() == raw && drained(kept); });
+            std::erase_if(drain_timers_,
+                          [&](const auto& each) { return each.get() == raw && end_drained(kept); });
         });
     }
 
-    bool drained(const std::vector<std::weak_ptr<Link>>& links) {
-        for (const auto& each : links) {
-            const auto link = each.lock();
-            if (link && !link->takes_work()) link->tell_drain(true);
+    bool end_drained(const std::vector<std::weak_ptr<Connection>>& connections) {
+        for (const auto& each : connections) {
+            const auto connection = each.lock();
+            if (connection && !connection->takes_work()) connection->notify_drain(true);
         }
         return true;
     }
 
-    // Does what the pool wants, one after another, never from within itself.
+    // Performs the pool's actions one after another; a nested call returns at once.
     void run() {
         if (running_ || stopped_) return;
         const auto self = shared_from_this();
         running_ = true;
-        while (const auto action = pool_.next()) carry_out(*action);
+        while (const auto action = pool_.next()) perform(*action);
         running_ = false;
         if (const auto next = pool_.next_time()) {
-            pool_time_.set(*next, [this] {
+            pool_timer_.set(*next, [this] {
                 pool_.on_time(clock_.now());
                 run();
             });
         } else {
-            pool_time_.clear();
+            pool_timer_.clear();
         }
     }
 
-    void carry_out(const PoolAction& action) {
+    void perform(const PoolAction& action) {
         switch (action.kind) {
-            case PoolAction::Kind::open: return open_link(action);
+            case PoolAction::Kind::open: return open_connection(action);
             case PoolAction::Kind::end: return end(action.attempt, action.outcome, false);
             case PoolAction::Kind::close: {
-                const auto found = links_.find(action.link);
-                if (found == links_.end()) return;
-                const auto link = found->second;
-                links_.erase(found);
-                return link->close();
+                const auto found = connections_.find(action.connection);
+                if (found == connections_.end()) return;
+                const auto connection = found->second;
+                connections_.erase(found);
+                return connection->close();
             }
             case PoolAction::Kind::link: {
-                const auto found = links_.find(action.link);
-                const auto wanted = units_.find(action.attempt);
-                const auto unit = wanted == units_.end() ? nullptr : wanted->second.lock();
-                if (found != links_.end() && unit) {
-                    units_.erase(wanted);
-                    const auto link = found->second;
-                    return link->carry(action.attempt, unit);
+                const auto found = connections_.find(action.connection);
+                const auto wanted = waiting_clients_.find(action.attempt);
+                const auto client = wanted == waiting_clients_.end() ? nullptr : wanted->second.lock();
+                if (found != connections_.end() && client) {
+                    waiting_clients_.erase(wanted);
+                    const auto connection = found->second;
+                    return connection->serve(action.attempt, client);
                 }
                 end(action.attempt, Outcome::moot, false);
-                if (found != links_.end()) pool_.on_free(action.link, clock_.now());
+                if (found != connections_.end()) pool_.on_free(action.connection, clock_.now());
                 return;
             }
         }
     }
 
-    void open_link(const PoolAction& action) {
-        const auto where = upstreams_.find(action.upstream);
-        if (where == upstreams_.end()) return pool_.on_login(action.link, LoginEnd::down, clock_.now());
+    void open_connection(const PoolAction& action) {
+        const auto target = upstreams_.find(action.upstream);
+        if (target == upstreams_.end())
+            return pool_.on_login(action.connection, LoginResult::unreachable, clock_.now());
         if (budget_.open >= budget_.most) {
             const auto oldest = pool_.longest_idle();
-            const auto found = oldest ? links_.find(*oldest) : links_.end();
-            if (found == links_.end()) return pool_.on_login(action.link, LoginEnd::own, clock_.now());
-            const auto link = found->second;
-            links_.erase(found);
-            link->close();
-            pool_.on_gone(*oldest);
-        }
-        const auto link =
-            std::make_shared<Link>(*this, action.link, action.upstream, action.user, where->second);
-        links_[action.link] = link;
-        link->open();
+            const auto found = oldest ? connections_.find(*oldest) : connections_.end();
+            if (found == connections_.end())
+                return pool_.on_login(action.connection, LoginResult::local_failure, clock_.now());
+            const auto connection = found->second;
+            connections_.erase(found);
+            connection->close();
+            pool_.on_closed(*oldest);
+        }
+        const auto connection = std::make_shared<Connection>(*this, action.connection, action.upstream,
+                                                             action.user, target->second);
+        connections_[action.connection] = connection;
+        connection->open();
     }
 
     const loop::Executor executor_;
@@ -767,18 +786,20 @@
     Secrets& secrets_;
     BackOptions options_;
     Pool pool_;
-    Alarms alarms_;
-    Alarms::One pool_time_;
+    TimerSet timers_;
+    TimerSet::Timer pool_timer_;
     std::unordered_map<UpstreamId, Upstream> upstreams_;
-    std::unordered_map<LinkId, std::shared_ptr<Link>> links_;
-    std::set<std::shared_ptr<Cancel>> cancels_;
-    std::map<core::AttemptKey, std::weak_ptr<Unit>> units_;     // that wait in the pool's lines
-    std::map<core::AttemptKey, std::weak_ptr<Link>> carrying_;  // that are linked
-    std::vector<std::shared_ptr<Alarms::One>> drains_;
+    std::unordered_map<ConnectionId, std::shared_ptr<Connection>> connections_;
+    std::set<std::shared_ptr<CancelRequest>> cancel_requests_;
+    // Clients of the attempts that wait in the pool's queues.
+    std::map<core::AttemptKey, std::weak_ptr<LinkedClient>> waiting_clients_;
+    // Connections of the attempts that are linked.
+    std::map<core::AttemptKey, std::weak_ptr<Connection>> connections_by_attempt_;
+    std::vector<std::shared_ptr<TimerSet::Timer>> drain_timers_;
     std::map<std::string, ServerMachine::Reported> parameters_;
     std::string login_error_;
-    std::function<void()> login_ended_;
-    std::function<void(UpstreamId, bool)> on_role_;
+    std::function<void()> login_end_callback_;
+    std::function<void(UpstreamId, bool)> role_callback_;
     bool running_ = false, stopped_ = false;
 };
 
--- a/src/pg/back.h
+++ b/src/pg/back.h
@@ -1,7 +1,10 @@
-// The core's back for one database: connections to its servers, given to units as the pool decides.
+// Connections of one database to its PostgreSQL servers. Receives attempts from the core and assigns them to
+// server connections as pg::Pool decides.
 //
-// Threading: the loop's one.   Ownership: all that is handed in is borrowed and outlives it.
-// Life:      units must be gone, or have left, before it is destroyed.
+// Threading: the loop's thread only.
+// Ownership: all references passed in are borrowed and must outlive the object.
+// Life:      client sessions must be destroyed, or have released their server connections, before the object
+//            is destroyed.
 #pragma once
 
 #include <algorithm>
@@ -24,30 +27,31 @@
 
 enum class Role : std::uint8_t { any, primary, replica };
 
-// Connections to servers that are open in the process, cancels among them.
+// Counts the connections to servers that are open in the process, including those for cancel requests.
 struct ServerBudget {
     std::size_t most = 0;
     std::size_t open = 0;
 };
 
 struct BackOptions {
-    std::string database;  // its name at the servers
+    std::string database;  // database name that is sent to the servers
     Role role = Role::any;
     PoolLimits pool;
     ServerOptions::Tls tls = ServerOptions::Tls::off;
     std::shared_ptr<const tls::Context> context;  // null: no TLS
-    std::map<UpstreamId, std::string> names;      // by which a server's certificate is known
+    std::map<UpstreamId, std::string> names;      // name that each server's certificate must carry
     Micros login_limit = std::chrono::seconds(10);
-    Micros cancel_limit = std::chrono::seconds(5);  // until what was told to stop has stopped
-    Micros drain_limit = std::chrono::minutes(1);   // what is open at a server that drains
-    // Answers that begin sooner than this are told to the module as this late: units differ a thousandfold in
-    // their work, and what is that short says nothing of a crowd. See core::latency_floor().
+    Micros cancel_limit = std::chrono::seconds(5);  // until a cancelled query must have ended
+    Micros drain_limit = std::chrono::minutes(1);   // until a draining server's open transactions are ended
+    // Shorter latencies are reported to the policy module as this value. The work of units differs by a
+    // factor of up to a thousand, so that a very short latency says nothing about a server's load. See
+    // core::latency_floor().
     Micros latency_floor{};
     std::size_t prepared_most = 200;
     std::size_t message_most = 16 << 20;
 };
 
-// Passwords by user, shared by all databases.
+// Passwords by user name, shared by all databases.
 using Secrets = std::map<std::string, ScramSecret>;
 
 class Back final : public core::Back {
@@ -64,19 +68,19 @@
     void close_idle(UpstreamId upstream) override;
 
     void set_options(BackOptions options);
-    // A login somewhere has ended.
+    // A login of any database has ended, so that LoginGate may admit another one.
     void on_gate();
-    // Called when one ends here.
+    // `call` runs whenever a login of this database has ended.
     void on_login_end(std::function<void()> call);
 
-    // Called when a server that is listed turns out to have the wrong role, and when it may have the right
-    // one again: it has said so, or nobody listens any more. Until then one connection to it is kept to hear
-    // that.
+    // `call` runs with false when a listed server turns out to have the wrong role. It runs with true when
+    // the server may have the right role again: the server has reported it, or no connection is left on which
+    // it could. Until then, one connection to the server stays open to receive that report.
     void on_role(std::function<void(UpstreamId, bool right)> call);
 
-    // What a server said of itself last; null before that.
+    // Returns the parameters that a server reported at the latest login; null before the first login.
     const std::map<std::string, ServerMachine::Reported>* parameters() const;
-    // Why the last login failed; empty: it did not.
+    // Returns why the latest login failed; empty if it succeeded.
     const std::string& login_error() const;
     std::size_t links() const;
     std::size_t waiting() const;
--- a/src/pg/client_machine.cpp
+++ b/src/pg/client_machine.cpp
@@ -33,37 +33,37 @@
     }
     const auto message = decoder_.next();
     if (!message) {
-        if (!decoder_.error().empty()) return broken("08P01", decoder_.error());
+        if (!decoder_.error().empty()) return protocol_error("08P01", decoder_.error());
         return std::nullopt;
     }
-    if (message->type == 'p') return broken("08P01", "unexpected password message");
+    if (message->type == 'p') return protocol_error("08P01", "unexpected password message");
     return ClientEvent{ClientEvent::Kind::message, {}, *message, {}};
 }
 
 std::optional<ClientEvent> ClientMachine::next_first() {
     const auto body = decoder_.next_startup();
     if (!body) {
-        if (!decoder_.error().empty()) return broken("08P01", decoder_.error());
+        if (!decoder_.error().empty()) return protocol_error("08P01", decoder_.error());
         return std::nullopt;
     }
     Startup startup = read_startup(*body);
     switch (startup.kind) {
         case Startup::Kind::ssl:
-            if (asked_tls_) return broken("08P01", "TLS was asked for twice");
-            asked_tls_ = true;
+            if (tls_requested_) return protocol_error("08P01", "TLS was asked for twice");
+            tls_requested_ = true;
             if (!options_.tls_offered || secure_) {
                 output_ += 'N';
                 return next_first();
             }
-            // What stands in clear behind the question could have been put there by anybody (CVE-2021-23214).
+            // Unencrypted bytes behind the request could have been injected by an attacker (CVE-2021-23214).
             if (decoder_.buffered() > 0)
-                return broken("08P01", "received unencrypted data after SSL request");
+                return protocol_error("08P01", "received unencrypted data after SSL request");
             output_ += 'S';
             state_ = ClientState::securing;
             return ClientEvent{ClientEvent::Kind::begin_tls, {}, {}, {}};
         case Startup::Kind::gss:
-            if (asked_gss_) return broken("08P01", "GSSAPI encryption was asked for twice");
-            asked_gss_ = true;
+            if (gss_requested_) return protocol_error("08P01", "GSSAPI encryption was asked for twice");
+            gss_requested_ = true;
             output_ += 'N';
             return next_first();
         case Startup::Kind::cancel:
@@ -72,16 +72,17 @@
         case Startup::Kind::start: return start(std::move(startup));
         case Startup::Kind::malformed: break;
     }
-    return broken("08P01", startup.version >> 16 == 3
-                               ? "invalid startup packet layout"
-                               : "unsupported frontend protocol " + std::to_string(startup.version >> 16) +
-                                     "." + std::to_string(startup.version & 0xffff));
+    return protocol_error("08P01", startup.version >> 16 == 3
+                                       ? "invalid startup packet layout"
+                                       : "unsupported frontend protocol " +
+                                             std::to_string(startup.version >> 16) + "." +
+                                             std::to_string(startup.version & 0xffff));
 }
 
 std::optional<ClientEvent> ClientMachine::start(Startup startup) {
     if (options_.tls_required && !secure_)
-        return broken("28000", "this server takes encrypted connections only");
-    // A newer minor version, or options of the protocol that are not known: the client is told what there is.
+        return protocol_error("28000", "this server takes encrypted connections only");
+    // The client uses a newer minor version or unknown protocol options: it is told what is supported.
     std::vector<std::string_view> unknown;
     for (const auto& option : startup.options) {
         if (option.name.starts_with("_pq_.")) unknown.push_back(option.name);
@@ -96,9 +97,10 @@
     const std::string* const replication = startup.find("replication");
     if (replication && *replication != "false" && *replication != "off" && *replication != "0" &&
         *replication != "no")
-        return broken("0A000", "replication connections are not served here");
+        return protocol_error("0A000", "replication connections are not served here");
     const std::string* const user = startup.find("user");
-    if (!user || user->empty()) return broken("28000", "no PostgreSQL user name specified in startup packet");
+    if (!user || user->empty())
+        return protocol_error("28000", "no PostgreSQL user name specified in startup packet");
     state_ = ClientState::starting;
     return ClientEvent{ClientEvent::Kind::start, std::move(startup), {}, {}};
 }
@@ -122,31 +124,32 @@
 std::optional<ClientEvent> ClientMachine::next_password() {
     const auto message = decoder_.next();
     if (!message) {
-        if (!decoder_.error().empty()) return broken("08P01", decoder_.error());
+        if (!decoder_.error().empty()) return protocol_error("08P01", decoder_.error());
         return std::nullopt;
     }
     if (message->type == 'X') {
         state_ = ClientState::over;
         return ClientEvent{ClientEvent::Kind::broken, {}, {}, "left while it was asked for its password"};
     }
-    if (message->type != 'p') return broken("08P01", "expected a password message");
+    if (message->type != 'p') return protocol_error("08P01", "expected a password message");
     if (!scram_begun_) {
         Fields fields(message->body);
-        const std::string_view asked = fields.text();
+        const std::string_view requested_mechanism = fields.text();
         const auto length = static_cast<std::int32_t>(fields.i32());
         if (!fields.ok() || length < 0 || static_cast<std::size_t>(length) != fields.rest().size())
-            return broken("08P01", "malformed SASL message");
-        if (asked != mechanism) return broken("08P01", "client selected an invalid SASL mechanism");
+            return protocol_error("08P01", "malformed SASL message");
+        if (requested_mechanism != mechanism)
+            return protocol_error("08P01", "client selected an invalid SASL mechanism");
         const auto reply = scram_->first(fields.rest());
-        if (!reply) return broken("08P01", "malformed SCRAM message");
+        if (!reply) return protocol_error("08P01", "malformed SCRAM message");
         scram_begun_ = true;
         Writer(output_).begin('R').i32(auth_sasl_continue).bytes(*reply).end();
         return next_password();
     }
     std::string proof;
     switch (scram_->final(message->body, proof)) {
-        case ScramServer::Result::malformed: return broken("08P01", "malformed SCRAM message");
-        case ScramServer::Result::refused: return broken("28P01", "password authentication failed");
+        case ScramServer::Result::malformed: return protocol_error("08P01", "malformed SCRAM message");
+        case ScramServer::Result::refused: return protocol_error("28P01", "password authentication failed");
         case ScramServer::Result::accepted: break;
     }
     Writer(output_).begin('R').i32(auth_sasl_final).bytes(proof).end();
@@ -175,7 +178,7 @@
     state_ = ClientState::over;
 }
 
-std::optional<ClientEvent> ClientMachine::broken(std::string_view code, const std::string& text) {
+std::optional<ClientEvent> ClientMachine::protocol_error(std::string_view code, const std::string& text) {
     fail({Severity::fatal, code, text, {}, {}});
     return ClientEvent{ClientEvent::Kind::broken, {}, {}, text};
 }
--- a/src/pg/client_machine.h
+++ b/src/pg/client_machine.h
@@ -1,11 +1,12 @@
-// One client's connection from its first byte on, without its socket: the first packets, authentication, then
-// messages. No clock: the owner minds time.
+// Protocol state machine of one client connection, independent of its socket: start-up packets,
+// authentication, then messages. It uses no clock; the owner enforces time limits.
 //
-// Threading: one thread at a time.   Ownership: views in an event point into the machine, until its next
-//            call.
-// Use:       after receive() and each answer, pull next() until it is empty, then write output(). A message
-//            is pulled only when it can be dealt with: what is not pulled stays here, so look at buffered().
-// Errors:    what breaks the protocol is told to the client here (FATAL 08P01) and ends the connection.
+// Threading: one thread at a time.
+// Ownership: views in an event point into the machine and are valid until its next call.
+// Use: after receive() and after each answer, call next() until it returns nothing, then write output().
+//            Call next() only while a message can be processed: unprocessed bytes stay buffered, so check
+//            buffered().
+// Errors:    on a protocol violation the machine sends FATAL 08P01 to the client and ends the connection.
 // Format:    https://www.postgresql.org/docs/15/protocol-flow.html
 #pragma once
 
@@ -21,24 +22,24 @@
 namespace flaxdoor::pg {
 
 enum class ClientState : std::uint8_t {
-    first,           // the first packet is due
-    securing,        // TLS was promised: the owner shakes hands, then calls secured()
-    starting,        // a start-up packet was handed out; authenticate() or fail() is due
-    authenticating,  // the client's word is due
-    welcoming,       // it is who it says; welcome() or fail() is due
-    session,         // messages
-    over,            // nothing more is read; what is in output() is still to be written
+    first,           // expects the first packet
+    securing,        // TLS was accepted: the owner performs the handshake, then calls secured()
+    starting,        // a start-up packet was returned: the owner calls authenticate() or fail()
+    authenticating,  // expects an authentication message of the client
+    welcoming,       // the client is authenticated: the owner calls welcome() or fail()
+    session,         // expects messages
+    over,            // reads nothing more; output() still has to be written
 };
 [[nodiscard]] std::string_view text_of(ClientState state);
 
 struct ClientEvent {
     enum class Kind : std::uint8_t {
-        begin_tls,  // the 'S' stands in output() and is to be written as it is
-        start,      // a start-up packet: startup
-        cancel,     // a cancel request: startup.key; the connection is over
-        accepted,   // the client is who it says
+        begin_tls,  // output() holds the 'S', which is sent unencrypted
+        start,      // start-up packet, in `startup`
+        cancel,     // cancel request, with startup.key; the connection is over
+        accepted,   // the client is authenticated
         message,
-        broken,  // the protocol was broken, or the password was wrong: text
+        broken,  // protocol violation or wrong password, in `text`
     };
     Kind kind = Kind::message;
     Startup startup{};
@@ -52,11 +53,11 @@
     Limits limits{};
 };
 
-// How a client shows who it is.
+// How a client authenticates.
 struct Authentication {
     enum class Kind : std::uint8_t { trust, scram };
     Kind kind = Kind::trust;
-    ScramVerifier verifier{};  // of `scram`; of a user that is not known: one that nobody's password fits
+    ScramVerifier verifier{};  // of `scram`; for an unknown user, one that no password matches
     std::string nonce{};       // printable, without commas
 };
 
@@ -70,13 +71,14 @@
 
     void secured();
     void authenticate(Authentication how);
-    // What the server said of itself, and the key by which this client can cancel.
+    // Completes the login: sends the server's parameters and the key by which this client can send a cancel
+    // request.
     void welcome(const std::vector<StartupOption>& parameters, Key key);
-    // Tells it why, and ends the connection.
+    // Sends the error to the client with severity FATAL and ends the connection.
     void fail(const ErrorText& error);
     void end() { state_ = ClientState::over; }
 
-    // The owner adds what the server says.
+    // Bytes for the client. The owner appends the server's messages.
     std::string& output() { return output_; }
     const std::string& output() const { return output_; }
 
@@ -87,7 +89,7 @@
 private:
     std::optional<ClientEvent> next_first();
     std::optional<ClientEvent> next_password();
-    std::optional<ClientEvent> broken(std::string_view code, const std::string& text);
+    std::optional<ClientEvent> protocol_error(std::string_view code, const std::string& text);
     std::optional<ClientEvent> start(Startup startup);
 
     const ClientOptions options_;
@@ -95,7 +97,7 @@
     ClientState state_ = ClientState::first;
     std::string output_;
     bool secure_ = false;
-    bool asked_tls_ = false, asked_gss_ = false;
+    bool tls_requested_ = false, gss_requested_ = false;
     std::optional<ScramServer> scram_;
     bool scram_begun_ = false;
 };
--- a/src/pg/front.cpp
+++ b/src/pg/front.cpp
@@ -19,13 +19,13 @@
 
 namespace {
 
-// Beyond this much for a client its server is not read from, until it has gone.
-constexpr std::size_t output_most = 256 << 10;
-// Bytes that are read ahead of what can be dealt with.
-constexpr std::size_t ahead_most = 64 << 10;
-constexpr Micros linger = std::chrono::seconds(1);
-constexpr auto accept_again = std::chrono::milliseconds(50);
-constexpr int accepts_at_once = 64;
+// While more output than this is buffered for a client, its server is not read.
+constexpr std::size_t max_output = 256 << 10;
+// Received bytes that may be buffered before they can be processed.
+constexpr std::size_t max_read_ahead = 64 << 10;
+constexpr Micros linger_time = std::chrono::seconds(1);
+constexpr auto accept_retry_delay = std::chrono::milliseconds(50);
+constexpr int accepts_per_event = 64;
 
 std::string random_bytes(std::size_t count) {
     std::string bytes(count, '\0');
@@ -33,7 +33,8 @@
     return bytes;
 }
 
-// "-c name=value --name=value" of the start-up setting `options`; nothing: it has something else.
+// Parses "-c name=value --name=value" of the start-up setting `options`. Returns nothing if it contains
+// anything else.
 std::optional<std::vector<StartupOption>> command_line(std::string_view text) {
     std::vector<std::string> words;
     std::string word;
@@ -73,25 +74,26 @@
 }  // namespace
 
 class Front::Impl : public std::enable_shared_from_this<Impl> {
-    struct LineState {
-        LineState(Alarms& alarms, std::size_t most, Micros wait) : line(most, wait), timer(alarms) {}
-        Line line;
-        Alarms::One timer;
+    struct QueueState {
+        QueueState(TimerSet& timers, std::size_t max_length, Micros timeout)
+            : queue(max_length, timeout), timer(timers) {}
+        WaitQueue queue;
+        TimerSet::Timer timer;
         bool offering = false;
     };
 
 public:
-    Impl(const loop::Executor& executor, core::Core& core, core::Front& face, const loop::Clock& clock,
+    Impl(const loop::Executor& executor, core::Core& core, core::Front& handler, const loop::Clock& clock,
          FrontOptions options)
         : executor_(executor),
           core_(core),
-          face_(face),
+          handler_(handler),
           clock_(clock),
           options_(std::move(options)),
-          alarms_(executor, clock),
+          timers_(executor, clock),
           acceptor_(executor),
-          accept_again_(alarms_) {
-        nobody_ = make_verifier(random_bytes(32), random_bytes(16), scram_iterations);
+          accept_retry_timer_(timers_) {
+        unknown_user_verifier_ = make_verifier(random_bytes(32), random_bytes(16), scram_iterations);
     }
 
     void listen(const tcp::endpoint& address) {
@@ -107,10 +109,10 @@
     tcp::endpoint address() const { return acceptor_.local_endpoint(); }
     void set_options(FrontOptions options) {
         options_ = std::move(options);
-        for (const auto& [name, state] : lines_) {
+        for (const auto& [name, state] : queues_) {
             const auto known = options_.databases.find(name);
             if (known != options_.databases.end())
-                state->line.set_limits(known->second->line, known->second->line_wait);
+                state->queue.set_limits(known->second->line, known->second->line_wait);
         }
     }
 
@@ -118,8 +120,8 @@
         draining_ = true;
         error_code ignored;
         acceptor_.close(ignored);
-        accept_again_.clear();
-        for (const auto& client : all()) client->on_front_drain();
+        accept_retry_timer_.clear();
+        for (const auto& client : all_clients()) client->on_listener_drain();
     }
     bool busy() const {
         return std::any_of(clients_.begin(), clients_.end(),
@@ -127,8 +129,8 @@
     }
     void stop() {
         begin_drain();
-        for (const auto& client : all()) client->end_now();
-        for (const auto& client : all()) client->close();
+        for (const auto& client : all_clients()) client->terminate_now();
+        for (const auto& client : all_clients()) client->close();
     }
 
     void on_final(std::uint64_t token, core::Final answer) {
@@ -141,14 +143,14 @@
     FrontFigures figures() const {
         FrontFigures figures;
         figures.connections = clients_.size();
-        figures.sessions = clients_.size() - strangers_;
-        figures.units = units_;
+        figures.sessions = clients_.size() - unauthenticated_count_;
+        figures.units = unit_count_;
         return figures;
     }
 
 private:
     class Client final : public SessionHost,
-                         public Unit,
+                         public LinkedClient,
                          public StreamOwner,
                          public std::enable_shared_from_this<Client> {
     public:
@@ -157,24 +159,24 @@
               number_(number),
               machine_(machine_options(owner.options_)),
               stream_(std::make_shared<Stream>(std::move(socket), *this)),
-              login_(owner.alarms_),
-              message_(owner.alarms_),
-              deadline_(owner.alarms_),
-              linger_(owner.alarms_) {
+              login_timer_(owner.timers_),
+              message_timer_(owner.timers_),
+              deadline_timer_(owner.timers_),
+              linger_timer_(owner.timers_) {
             key_.process = number;
             const std::string secret = random_bytes(4);
             for (const char c : secret) key_.secret = key_.secret << 8 | static_cast<unsigned char>(c);
         }
 
         void begin() {
-            login_.after(owner_.options_.limits.login, [this] {
+            login_timer_.after(owner_.options_.limits.login, [this] {
                 machine_.fail({Severity::fatal, "08P01", "the login took too long", {}, {}});
                 pump();
             });
             stream_->begin();
         }
 
-        bool stranger() const { return stranger_; }
+        bool unauthenticated() const { return unauthenticated_; }
         const Key& key() const { return key_; }
         const std::string& user() const override { return user_; }
         const std::string& database() const { return database_; }
@@ -186,48 +188,51 @@
             pump();
         }
 
-        void on_front_drain() {
+        void on_listener_drain() {
             if (closed_ || (session_ && !session_->idle())) return;
-            end_now();
+            terminate_now();
         }
-        void end_now() {
+        void terminate_now() {
             if (closed_ || machine_.state() == ClientState::over) return;
             if (session_) {
-                session_->shut("terminating connection due to administrator command");
+                session_->terminate("terminating connection due to administrator command");
             } else {
                 machine_.fail({Severity::fatal, "57P01", "the balancer is shutting down", {}, {}});
             }
             pump();
         }
 
-        void on_final(std::uint32_t unit, const core::Final& answer) {
-            if (unit != unit_) return;  // of one before, which the session knows to be over
+        void on_final(std::uint32_t unit_number, const core::Final& answer) {
+            if (unit_number != unit_number_) return;  // an earlier unit, which the session has already ended
             const auto self = shared_from_this();
-            call_ = 0;
+            call_id_ = 0;
             if (!session_ || answer.verdict == core::Verdict::served) return;
             const bool at_once = answer.verdict == core::Verdict::refused && !placed_;
-            if (at_once && inside_) {
-                inside_ = false;
-                owner_.line_of(*this).line.given_up();
+            if (at_once && in_policy_) {
+                in_policy_ = false;
+                owner_.queue_of(*this).queue.on_rejected();
                 offer_due_ = true;
             } else {
-                left_line();
+                on_unit_left();
             }
-            bool ran = answer.may_have_run;
-            if (carrier_ && session_->uses_server()) {  // the answer came ahead of the attempt's end
-                Carrier* const carrier = carrier_;
-                const Loss loss = on_server_lost();
-                ran |= loss.may_have_run || loss.passed;
-                carrier->abandon(Outcome::cancelled);
+            bool may_have_run = answer.may_have_run;
+            // The final answer may arrive before the end of the attempt.
+            if (server_link_ && session_->uses_server()) {
+                ServerLink* const server_link = server_link_;
+                const LossReport loss = on_server_lost();
+                may_have_run |= loss.may_have_run || loss.answer_started;
+                server_link->abandon(Outcome::cancelled);
             }
-            if (answer.verdict == core::Verdict::refused || !ran) {
-                Refusal refusal;
-                refusal.reason = core::text_of(answer.cause);
-                const std::string& why = db_ && db_->back ? db_->back->login_error() : std::string();
-                if (!why.empty()) refusal.reason += " (" + why + ")";
-                refusal.retry_after = answer.retry_after;
-                refusal.drains = carrier_ && !carrier_->takes_work();
-                session_->on_refused(refusal);
+            if (answer.verdict == core::Verdict::refused || !may_have_run) {
+                Rejection rejection;
+                rejection.reason = core::text_of(answer.cause);
+                const std::string& why = database_options_ && database_options_->back
+                                             ? database_options_->back->login_error()
+                                             : std::string();
+                if (!why.empty()) rejection.reason += " (" + why + ")";
+                rejection.retry_after = answer.retry_after;
+                rejection.drains = server_link_ && !server_link_->takes_work();
+                session_->on_rejected(rejection);
             } else {
                 const bool late =
                     answer.cause == core::Cause::timed_out || answer.cause == core::Cause::overdue;
@@ -241,26 +246,25 @@
             closed_ = true;
             const auto self = shared_from_this();
             if (session_) session_->on_client_gone();
-            if (std::exchange(offer_due_, false)) owner_.offer_soon(owner_.line_of(*this));
+            if (std::exchange(offer_due_, false)) owner_.offer_queued(owner_.queue_of(*this));
             stream_->close();
-            login_.clear();
-            message_.clear();
-            deadline_.clear();
-            linger_.clear();
-            owner_.forget(*this);
+            login_timer_.clear();
+            message_timer_.clear();
+            deadline_timer_.clear();
+            linger_timer_.clear();
+            owner_.remove_client(*this);
         }
 
     private:
         static ClientOptions machine_options(const FrontOptions& options) {
-            ClientOptions its;
-            its.tls_offered = options.context != nullptr;
-            its.tls_required = options.tls_required;
-            its.limits.whole = options.limits.message_most;
-            return its;
+            ClientOptions client_options;
+            client_options.tls_offered = options.context != nullptr;
+            client_options.tls_required = options.tls_required;
+            client_options.limits.whole = options.limits.message_most;
+            return client_options;
         }
 
-        // ------------------------------------------------------------------------------------------- the
-        // stream
+        // --- Stream events ---
 
         void on_bytes(std::string_view bytes) override {
             const auto self = shared_from_this();
@@ -272,70 +276,73 @@
             machine_.secured();
             pump();
         }
-        std::string_view pending() override { return std::string_view(machine_.output()).substr(out_at_); }
+        std::string_view pending() override {
+            return std::string_view(machine_.output()).substr(output_written_);
+        }
         void wrote(std::size_t bytes) override {
-            out_at_ += bytes;
-            if (out_at_ == machine_.output().size()) {
+            output_written_ += bytes;
+            if (output_written_ == machine_.output().size()) {
                 machine_.output().clear();
-                out_at_ = 0;
-                if (machine_.output().capacity() > ahead_most) machine_.output().shrink_to_fit();
-            } else if (out_at_ > output_most) {
-                machine_.output().erase(0, out_at_);
-                out_at_ = 0;
+                output_written_ = 0;
+                if (machine_.output().capacity() > max_read_ahead) machine_.output().shrink_to_fit();
+            } else if (output_written_ > max_output) {
+                machine_.output().erase(0, output_written_);
+                output_written_ = 0;
             }
         }
         void on_drained() override {
-            if (carrier_) carrier_->resume();
+            if (server_link_) server_link_->resume();
         }
 
-        // Deals with all that can be dealt with now.
+        // Processes everything that can be processed now.
         void pump() {
             const auto self = shared_from_this();
             pump_client();
-            if (!pumping_ && std::exchange(offer_due_, false)) owner_.offer_soon(owner_.line_of(*this));
+            if (!pumping_ && std::exchange(offer_due_, false)) owner_.offer_queued(owner_.queue_of(*this));
         }
 
         void pump_client() {
             if (pumping_ || closed_) return;
             const auto self = shared_from_this();
             pumping_ = true;
-            while (!closed_ && can_take()) {
+            while (!closed_ && can_accept_message()) {
                 const auto event = machine_.next();
                 if (!event) break;
-                take(*event);
+                handle_event(*event);
             }
             pumping_ = false;
             if (closed_) return;
-            if (carrier_) carrier_->flush();
+            if (server_link_) server_link_->flush();
             if (closed_) return;
             if (session_ && session_->over()) machine_.end();
-            mind_message();
+            update_message_timer();
             stream_->flush();
             if (closed_) return;
             if (machine_.state() == ClientState::over) return finish();
-            if (owner_.draining_ && session_ && session_->idle()) return end_now();
-            stream_->pause(!can_take() && machine_.buffered() > ahead_most);
+            if (owner_.draining_ && session_ && session_->idle()) return terminate_now();
+            stream_->pause(!can_accept_message() && machine_.buffered() > max_read_ahead);
         }
 
-        bool can_take() const {
+        bool can_accept_message() const {
             if (machine_.state() != ClientState::session) return machine_.state() != ClientState::over;
-            if (!session_->can_take()) return false;
-            return !carrier_ || carrier_->machine().output().size() < output_most;
+            if (!session_->can_accept_message()) return false;
+            return !server_link_ || server_link_->machine().output().size() < max_output;
         }
 
-        // A message that has begun and does not go on, and a transaction that does not.
-        void mind_message() {
+        // Sets the timer for a message that is partly received, or for a transaction that is idle.
+        void update_message_timer() {
             if (!session_ || machine_.state() != ClientState::session) return;
-            const bool half = session_->can_take() && machine_.buffered() > 0;
+            const bool partial = session_->can_accept_message() && machine_.buffered() > 0;
             const Micros idle = owner_.options_.limits.idle_transaction;
             const bool resting = session_->idle_in_transaction() && idle > Micros{0};
-            if (!half && !resting) return message_.clear();
-            if (message_.is_set() && half == half_) return;
-            half_ = half;
-            message_.after(half ? owner_.options_.limits.message : idle, [this, half] {
-                session_->end_with(half ? "08P01" : "25P03",
-                                   half ? "a message was begun and did not end in time"
-                                        : "terminating connection due to idle-in-transaction timeout");
+            if (!partial && !resting) return message_timer_.clear();
+            if (message_timer_.is_set() && partial == partial_message_) return;
+            partial_message_ = partial;
+            message_timer_.after(partial ? owner_.options_.limits.message : idle, [this, partial] {
+                session_->end_with_error(partial ? "08P01" : "25P03",
+                                         partial
+                                             ? "a message was begun and did not end in time"
+                                             : "terminating connection due to idle-in-transaction timeout");
                 pump();
             });
         }
@@ -343,35 +350,34 @@
         void finish() {
             if (finishing_) return;
             finishing_ = true;
-            message_.clear();
-            login_.clear();
-            linger_.after(linger, [this] { close(); });
+            message_timer_.clear();
+            login_timer_.clear();
+            linger_timer_.after(linger_time, [this] { close(); });
             stream_->finish();
         }
 
-        // -------------------------------------------------------------------------------------------- the
-        // login
+        // --- Login ---
 
-        void take(const ClientEvent& event) {
+        void handle_event(const ClientEvent& event) {
             switch (event.kind) {
                 case ClientEvent::Kind::begin_tls:
                     return stream_->secure(std::make_unique<tls::Channel>(owner_.options_.context));
                 case ClientEvent::Kind::cancel: return owner_.cancel(event.startup.key);
-                case ClientEvent::Kind::start: return admit(event.startup);
-                case ClientEvent::Kind::accepted: return accepted();
-                case ClientEvent::Kind::message: return session_->take(event.message);
+                case ClientEvent::Kind::start: return on_startup(event.startup);
+                case ClientEvent::Kind::accepted: return on_authenticated();
+                case ClientEvent::Kind::message: return session_->on_message(event.message);
                 case ClientEvent::Kind::broken:
                     if (session_) session_->on_client_gone();
                     return;
             }
         }
 
-        void admit(const Startup& startup) {
+        void on_startup(const Startup& startup) {
             user_ = *startup.find("user");
             const std::string* const database = startup.find("database");
             database_ = database && !database->empty() ? *database : user_;
             if (owner_.draining_) return fail("57P01", "the balancer is shutting down");
-            wanted_ = startup.options;
+            start_up_settings_ = startup.options;
             Authentication how;
             const auto known = owner_.options_.users.find(user_);
             if (known != owner_.options_.users.end()) {
@@ -379,47 +385,50 @@
                 how.verifier = known->second.verifier;
             } else {
                 how.kind = Authentication::Kind::scram;
-                how.verifier = owner_.nobody_;
+                how.verifier = owner_.unknown_user_verifier_;
             }
             how.nonce = base64(random_bytes(18));
             machine_.authenticate(std::move(how));
-            if (machine_.state() == ClientState::welcoming) accepted();
+            if (machine_.state() == ClientState::welcoming) on_authenticated();
         }
 
-        void accepted() {
+        void on_authenticated() {
             const auto database = owner_.options_.databases.find(database_);
             if (database == owner_.options_.databases.end())
                 return fail("3D000", "database \"" + database_ + "\" does not exist");
             const auto user = owner_.options_.users.find(user_);
             if (user == owner_.options_.users.end())
                 return fail("28000", "role \"" + user_ + "\" does not exist");
-            db_ = database->second;
-            if (!owner_.has_room(user_, user->second.clients_most, database_, db_->clients_most))
+            database_options_ = database->second;
+            if (!owner_.has_capacity(user_, user->second.clients_most, database_,
+                                     database_options_->clients_most))
                 return fail("53300", "too many connections");
-            class_ = db_->safe || user->second.safe ? safe_class : unsafe_class;
-            if (!take_settings()) return;
-            stranger_ = false;
+            class_index_ = database_options_->safe || user->second.safe ? safe_class : unsafe_class;
+            if (!collect_settings()) return;
+            unauthenticated_ = false;
             owner_.logged_in(*this);
-            login_.clear();
-            session_.emplace(*this, owner_.statements_, db_->session, std::exchange(wanted_, {}));
-            if (const auto* const parameters = db_->back->parameters()) {
+            login_timer_.clear();
+            session_.emplace(*this, owner_.statements_, database_options_->session,
+                             std::exchange(start_up_settings_, {}));
+            if (const auto* const parameters = database_options_->back->parameters()) {
                 session_->begin(*parameters);
                 machine_.welcome(session_->parameters(), key_);
             } else {
-                session_->hello();
-                after_hello();
+                session_->request_parameters();
+                finish_login();
             }
         }
 
-        void after_hello() {
+        void finish_login() {
             if (machine_.state() == ClientState::welcoming && session_->begun())
                 machine_.welcome(session_->parameters(), key_);
         }
 
-        // What of the start-up packet is a setting of the session; false: the client was told what is wrong.
-        bool take_settings() {
+        // Collects the session settings of the start-up packet. Returns false if one is invalid; the client
+        // has then received an error.
+        bool collect_settings() {
             std::vector<StartupOption> all;
-            for (auto& option : wanted_) {
+            for (auto& option : start_up_settings_) {
                 const std::string name = lower(option.name);
                 if (name == "user" || name == "database" || name == "replication") continue;
                 if (name != "options") {
@@ -433,25 +442,27 @@
                 }
                 all.insert(all.end(), more->begin(), more->end());
             }
-            wanted_.clear();
+            start_up_settings_.clear();
             for (auto& option : all) {
                 const std::string name = lower(option.name);
                 if (name == "flaxdoor.effect") {
-                    if (owner_.options_.client_says_safe && option.value == "safe") class_ = safe_class;
+                    if (owner_.options_.client_says_safe && option.value == "safe") class_index_ = safe_class;
                     continue;
                 }
                 if (name == "application_name" && owner_.options_.safe_applications.contains(option.value))
-                    class_ = safe_class;
+                    class_index_ = safe_class;
                 if (owner_.options_.ignored_settings.contains(name)) continue;
                 if (name.find_first_not_of("abcdefghijklmnopqrstuvwxyz0123456789_.") != std::string::npos) {
                     fail("22023", "invalid name of a setting: " + option.name);
                     return false;
                 }
-                wanted_.push_back(std::move(option));
+                start_up_settings_.push_back(std::move(option));
             }
-            if (db_->session.mode == Mode::session || db_->session.unreported == Unreported::pin) return true;
-            for (const auto& option : wanted_) {
-                if (Session::carries(option.name)) continue;
+            if (database_options_->session.mode == Mode::session ||
+                database_options_->session.unreported == Unreported::pin)
+                return true;
+            for (const auto& option : start_up_settings_) {
+                if (Session::is_carried_over(option.name)) continue;
                 fail("0A000", "the start-up setting " + option.name +
                                   " would stay in the session, which clients share here");
                 return false;
@@ -463,120 +474,120 @@
             machine_.fail({Severity::fatal, code, message, {}, {}});
         }
 
-        // ------------------------------------------------------------------------------------------- the
-        // session
+        // --- Session host ---
 
-        void take_unit(UnitKind kind, bool tied) override {
-            ++unit_;
-            call_ = 0;
-            wants_ = {kind, tied, owner_.clock_.now()};
-            switch (
-                owner_.line_of(*this).line.arrive(number_, static_cast<std::size_t>(class_), wants_.since)) {
-                case Line::Arrival::offer: return offer();
-                case Line::Arrival::waits: return owner_.mind_line(owner_.line_of(*this));
-                case Line::Arrival::full:
-                    return session_->on_refused({"too many units wait", Micros{0}, false});
+        void request_server(UnitKind kind, bool linked_only) override {
+            ++unit_number_;
+            call_id_ = 0;
+            pending_unit_ = {kind, linked_only, owner_.clock_.now()};
+            switch (owner_.queue_of(*this).queue.enqueue(number_, static_cast<std::size_t>(class_index_),
+                                                         pending_unit_.since)) {
+                case WaitQueue::EnqueueResult::offer: return offer();
+                case WaitQueue::EnqueueResult::waits: return owner_.schedule_queue(owner_.queue_of(*this));
+                case WaitQueue::EnqueueResult::full:
+                    return session_->on_rejected({"too many units wait", Micros{0}, false});
             }
         }
 
-        // Asks the module.
+        // Offers the unit to the policy module.
         void offer() {
             core::Call call;
-            call.pool = db_->pool;
-            const Settings* const settings = owner_.core_.settings(db_->pool);
-            // A reload may have taken the other class away.
-            const bool there = settings && static_cast<std::size_t>(class_) < settings->classes.size();
-            call.class_index = there ? class_ : unsafe_class;
-            call.budget = db_->deadline;
-            call.received = wants_.since;
-            call.write = class_ == unsafe_class;
-            if (wants_.tied && carrier_) call.pinned = carrier_->upstream();
-            call.payload = std::make_shared<UnitPayload>(std::weak_ptr<Unit>(shared_from_this()));
+            call.pool = database_options_->pool;
+            const Settings* const settings = owner_.core_.settings(database_options_->pool);
+            // A reload may have removed the other class.
+            const bool there = settings && static_cast<std::size_t>(class_index_) < settings->classes.size();
+            call.class_index = there ? class_index_ : unsafe_class;
+            call.budget = database_options_->deadline;
+            call.received = pending_unit_.since;
+            call.write = class_index_ == unsafe_class;
+            if (pending_unit_.linked_only && server_link_) call.pinned = server_link_->upstream();
+            call.payload = std::make_shared<ClientPayload>(std::weak_ptr<LinkedClient>(shared_from_this()));
             placed_ = false;
-            inside_ = true;
-            const std::uint32_t unit = unit_;
-            const std::uint64_t token = std::uint64_t{number_} << 32 | unit;
-            const core::Taken taken = owner_.core_.take(std::move(call), owner_.face_, token, &call_);
+            in_policy_ = true;
+            const std::uint32_t unit_number = unit_number_;
+            const std::uint64_t token = std::uint64_t{number_} << 32 | unit_number;
+            const core::Taken taken = owner_.core_.take(std::move(call), owner_.handler_, token, &call_id_);
             if (taken != core::Taken::yes) {
-                call_ = 0;
-                left_line();
+                call_id_ = 0;
+                on_unit_left();
                 if (taken == core::Taken::shutting_down)
-                    return session_->shut("the balancer is shutting down");
-                return session_->on_refused({"too many units are open", Micros{0}, false});
+                    return session_->terminate("the balancer is shutting down");
+                return session_->on_rejected({"too many units are open", Micros{0}, false});
             }
-            ++owner_.units_;
-            if (unit != unit_ || call_ == 0) return;  // answered from within
-            Line& line = owner_.line_of(*this).line;
-            if (placed_) return line.placed();
-            if (!line.takes_back()) return;
-            // No place now: it stands in the line before the module would have given it up.
-            owner_.core_.leave(std::exchange(call_, 0));
-            inside_ = false;
-            line.back(number_, wants_.since + db_->line_wait);
-            owner_.mind_line(owner_.line_of(*this));
-        }
-
-        // Its time in the line is over.
-        void line_over() {
-            session_->on_refused({"it waited too long for room", Micros{0}, false});
+            ++owner_.unit_count_;
+            if (unit_number != unit_number_ || call_id_ == 0) return;  // the call has ended already
+            WaitQueue& queue = owner_.queue_of(*this).queue;
+            if (placed_) return queue.on_placed();
+            if (!queue.may_requeue()) return;
+            // The unit can't be placed now: it returns to the queue before the policy module would reject it.
+            owner_.core_.leave(std::exchange(call_id_, 0));
+            in_policy_ = false;
+            queue.requeue(number_, pending_unit_.since + database_options_->line_wait);
+            owner_.schedule_queue(owner_.queue_of(*this));
+        }
+
+        // The unit has waited in the queue for too long.
+        void on_queue_timeout() {
+            session_->on_rejected({"it waited too long for room", Micros{0}, false});
             pump();
         }
 
-        // The unit is over, or stands in the line no more.
-        void left_line() {
-            if (!db_) return;
-            LineState& state = owner_.line_of(*this);
-            if (std::exchange(inside_, false)) {
-                state.line.ended(static_cast<std::size_t>(class_));
-                offer_due_ = true;  // once the connection is free
+        // The unit has ended, or has left the queue.
+        void on_unit_left() {
+            if (!database_options_) return;
+            QueueState& state = owner_.queue_of(*this);
+            if (std::exchange(in_policy_, false)) {
+                state.queue.on_ended(static_cast<std::size_t>(class_index_));
+                offer_due_ = true;  // once the server connection is free
             } else {
-                state.line.leave(number_);
+                state.queue.remove(number_);
             }
         }
 
         void leave_unit(bool keep_link) override {
-            ++unit_;
-            if (call_) owner_.core_.leave(std::exchange(call_, 0));
-            left_line();
-            if (carrier_ && !keep_link) std::exchange(carrier_, nullptr)->abandon(Outcome::cancelled);
+            ++unit_number_;
+            if (call_id_) owner_.core_.leave(std::exchange(call_id_, 0));
+            on_unit_left();
+            if (server_link_ && !keep_link) std::exchange(server_link_, nullptr)->abandon(Outcome::cancelled);
         }
         void on_placed() override { placed_ = true; }
-        // The module would try again after gaps that double. It stands in the line instead, where it is
-        // offered as soon as there may be room, or another server.
+        // The policy module would retry the unit with doubling back-off. The unit returns to the queue
+        // instead, where it is offered as soon as there may be capacity or another server.
         void ended_unsent(const std::function<void()>& tell) override {
-            const std::uint32_t unit = unit_;
+            const std::uint32_t unit_number = unit_number_;
             placed_ = false;
             tell();
-            if (unit != unit_ || call_ == 0 || placed_ || !inside_ || carrier_) return;
-            LineState& state = owner_.line_of(*this);
-            if (state.offering || !state.line.takes_back()) return;
-            owner_.core_.leave(std::exchange(call_, 0));
-            inside_ = false;
-            state.line.back(number_, wants_.since + db_->line_wait);
-            owner_.mind_line(state);
+            if (unit_number != unit_number_ || call_id_ == 0 || placed_ || !in_policy_ || server_link_)
+                return;
+            QueueState& state = owner_.queue_of(*this);
+            if (state.offering || !state.queue.may_requeue()) return;
+            owner_.core_.leave(std::exchange(call_id_, 0));
+            in_policy_ = false;
+            state.queue.requeue(number_, pending_unit_.since + database_options_->line_wait);
+            owner_.schedule_queue(state);
         }
         void unit_started() override {
-            if (carrier_) carrier_->started();
+            if (server_link_) server_link_->started();
         }
         void unit_served() override {
-            if (carrier_) carrier_->served();
-            left_line();
+            if (server_link_) server_link_->served();
+            on_unit_left();
         }
         void release(bool dirty) override {
-            if (carrier_) std::exchange(carrier_, nullptr)->release(dirty);
+            if (server_link_) std::exchange(server_link_, nullptr)->release(dirty);
         }
         void cancel_running() override {
-            if (carrier_) carrier_->cancel();
+            if (server_link_) server_link_->cancel();
         }
         void expire_unit() override {
-            Carrier* const carrier = carrier_;
-            if (!carrier) return;
+            ServerLink* const server_link = server_link_;
+            if (!server_link) return;
             (void)on_server_lost();
-            carrier->abandon(Outcome::timeout);
+            server_link->abandon(Outcome::timeout);
         }
         void set_deadline(Micros after) override {
-            if (after <= Micros{0}) return deadline_.clear();
-            deadline_.after(after, [this] {
+            if (after <= Micros{0}) return deadline_timer_.clear();
+            deadline_timer_.after(after, [this] {
                 if (!session_) return;
                 session_->on_deadline();
                 pump();
@@ -584,98 +595,99 @@
         }
         std::string& client_output() override { return machine_.output(); }
 
-        // ---------------------------------------------------------------------------------------------- the
-        // link
+        // --- Link to a server connection ---
 
-        Carrier* tied() const override { return carrier_; }
-        bool on_link(Carrier& carrier) override {
-            const bool was_tied = carrier_ == &carrier;
-            carrier_ = &carrier;
-            const bool taken = session_->on_link(carrier.machine());
-            if (!taken && !was_tied) carrier_ = nullptr;
-            if (taken) after_hello();
+        ServerLink* required_link() const override { return server_link_; }
+        bool on_link(ServerLink& server_link) override {
+            const bool was_linked = server_link_ == &server_link;
+            server_link_ = &server_link;
+            const bool taken = session_->on_link(server_link.machine());
+            if (!taken && !was_linked) server_link_ = nullptr;
+            if (taken) finish_login();
             return taken;
         }
         void on_server(const ServerEvent& event) override { session_->on_server(event); }
         void after_server() override { pump(); }
-        Loss on_server_lost() override {
-            carrier_ = nullptr;
+        LossReport on_server_lost() override {
+            server_link_ = nullptr;
             return session_->on_server_lost();
         }
         void on_drain(bool at_limit) override {
             const auto self = shared_from_this();
             if (at_limit) {
-                session_->shut("terminating connection: its server is being drained");
+                session_->terminate("terminating connection: its server is being drained");
             } else {
                 session_->on_drain();
             }
             pump();
         }
-        bool crowded() const override { return machine_.output().size() - out_at_ > output_most; }
+        bool crowded() const override { return machine_.output().size() - output_written_ > max_output; }
 
         Impl& owner_;
         const std::uint32_t number_;
         Key key_;
         ClientMachine machine_;
-        std::size_t out_at_ = 0;
+        std::size_t output_written_ = 0;
         std::shared_ptr<Stream> stream_;
-        Alarms::One login_, message_, deadline_, linger_;
+        TimerSet::Timer login_timer_, message_timer_, deadline_timer_, linger_timer_;
         std::optional<Session> session_;
         std::string user_, database_;
-        std::shared_ptr<const FrontDatabase> db_;
-        std::vector<StartupOption> wanted_;
-        int class_ = unsafe_class;
-        struct Wanted {
-            UnitKind kind = UnitKind::hello;
-            bool tied = false;
+        std::shared_ptr<const FrontDatabase> database_options_;
+        std::vector<StartupOption> start_up_settings_;
+        int class_index_ = unsafe_class;
+        struct PendingUnit {
+            UnitKind kind = UnitKind::parameters_only;
+            bool linked_only = false;
             Time since{};
         };
-        Wanted wants_;
-        bool inside_ = false;  // the module has its unit
-        bool placed_ = false;  //   and has found it a place
+        PendingUnit pending_unit_;
+        bool in_policy_ = false;  // the policy module holds its unit
+        bool placed_ = false;     // the policy module has chosen an upstream for it
         bool offer_due_ = false;
-        core::CallId call_ = 0;
-        std::uint32_t unit_ = 0;  // its number among the client's
-        Carrier* carrier_ = nullptr;
-        bool stranger_ = true, pumping_ = false, closed_ = false, finishing_ = false, half_ = false;
+        core::CallId call_id_ = 0;
+        std::uint32_t unit_number_ = 0;  // number of the current unit, counted per client
+        ServerLink* server_link_ = nullptr;
+        bool unauthenticated_ = true, pumping_ = false, closed_ = false, finishing_ = false,
+             partial_message_ = false;
 
         friend class Impl;
     };
 
-    // ------------------------------------------------------------------------------------------------- the
-    // lines
+    // --- Wait queues ---
 
-    LineState& line_of(const Client& client) {
-        auto& state = lines_[client.database_];
-        if (!state) state = std::make_unique<LineState>(alarms_, client.db_->line, client.db_->line_wait);
+    QueueState& queue_of(const Client& client) {
+        auto& state = queues_[client.database_];
+        if (!state)
+            state = std::make_unique<QueueState>(timers_, client.database_options_->line,
+                                                 client.database_options_->line_wait);
         return *state;
     }
 
-    void mind_line(LineState& state) {
-        const auto next = state.line.next_time(clock_.now());
+    void schedule_queue(QueueState& state) {
+        const auto next = state.queue.next_time(clock_.now());
         if (!next || state.timer.is_set()) return;
         state.timer.set(*next, [this, &state] {
-            for (const Line::Token token : state.line.on_time(clock_.now())) {
+            for (const WaitQueue::Token token : state.queue.take_expired(clock_.now())) {
                 const auto client = find(token);
-                if (client) client->line_over();
+                if (client) client->on_queue_timeout();
             }
-            offer_soon(state);
-            mind_line(state);
+            offer_queued(state);
+            schedule_queue(state);
         });
     }
 
-    // One after another: what an offer brings about may end further units.
-    void offer_soon(LineState& state) {
+    // Offers units one after another; a nested call returns at once, as an offer may end further units.
+    void offer_queued(QueueState& state) {
         if (state.offering) return;
         state.offering = true;
         const auto self = shared_from_this();
-        while (const auto token = state.line.next()) {
+        while (const auto token = state.queue.next()) {
             const auto client = find(*token);
             if (client) {
                 client->offer();
                 client->pump();
             } else {
-                state.line.given_up();  // it has left
+                state.queue.on_rejected();  // the client has left
             }
         }
         state.offering = false;
@@ -686,8 +698,7 @@
         return found == clients_.end() ? nullptr : found->second;
     }
 
-    // ------------------------------------------------------------------------------------------------
-    // accepting
+    // --- Accepting connections ---
 
     void await_client() {
         acceptor_.async_wait(tcp::acceptor::wait_read, alive_.guard([this](error_code error) {
@@ -697,65 +708,66 @@
     }
 
     void accept_some() {
-        for (int i = 0; i < accepts_at_once; ++i) {
+        for (int i = 0; i < accepts_per_event; ++i) {
             tcp::socket socket(executor_);
             error_code error;
             loop::accept(acceptor_, socket, error);
             if (error == boost::asio::error::would_block) return await_client();
             if (error && loop::own_want(error))
-                return accept_again_.after(accept_again, [this] { await_client(); });
+                return accept_retry_timer_.after(accept_retry_delay, [this] { await_client(); });
             if (!error) add(std::move(socket));
         }
         await_client();
     }
 
-    // Guards against connections that never speak: the oldest of them gives way.
+    // Limits the connections that have not logged in, which prevents silent clients from using up all
+    // connections: the oldest of them is closed.
     void add(tcp::socket socket) {
-        while (!stranger_numbers_.empty() &&
-               (strangers_ >= options_.limits.strangers ||
+        while (!unauthenticated_numbers_.empty() &&
+               (unauthenticated_count_ >= options_.limits.strangers ||
                 clients_.size() >= options_.limits.clients + options_.limits.strangers)) {
-            const auto oldest = clients_.find(*stranger_numbers_.begin());
+            const auto oldest = clients_.find(*unauthenticated_numbers_.begin());
             if (oldest == clients_.end()) break;
             const auto client = oldest->second;
             client->close();
         }
         do {
-            ++last_;
-        } while (last_ == 0 || clients_.contains(last_));
-        const auto client = std::make_shared<Client>(*this, last_, std::move(socket));
-        clients_[last_] = client;
-        stranger_numbers_.insert(last_);
-        ++strangers_;
+            ++last_number_;
+        } while (last_number_ == 0 || clients_.contains(last_number_));
+        const auto client = std::make_shared<Client>(*this, last_number_, std::move(socket));
+        clients_[last_number_] = client;
+        unauthenticated_numbers_.insert(last_number_);
+        ++unauthenticated_count_;
         client->begin();
     }
 
     void logged_in(Client& client) {
-        stranger_numbers_.erase(client.number_);
-        --strangers_;
-        ++of_user_[client.user_];
-        ++of_database_[client.database_];
+        unauthenticated_numbers_.erase(client.number_);
+        --unauthenticated_count_;
+        ++sessions_by_user_[client.user_];
+        ++sessions_by_database_[client.database_];
     }
 
-    void forget(Client& client) {
+    void remove_client(Client& client) {
         if (clients_.erase(client.number_) == 0) return;
-        if (client.stranger_) {
-            stranger_numbers_.erase(client.number_);
-            --strangers_;
+        if (client.unauthenticated_) {
+            unauthenticated_numbers_.erase(client.number_);
+            --unauthenticated_count_;
             return;
         }
-        if (--of_user_[client.user_] == 0) of_user_.erase(client.user_);
-        if (--of_database_[client.database_] == 0) of_database_.erase(client.database_);
+        if (--sessions_by_user_[client.user_] == 0) sessions_by_user_.erase(client.user_);
+        if (--sessions_by_database_[client.database_] == 0) sessions_by_database_.erase(client.database_);
     }
 
-    bool has_room(const std::string& user, std::size_t user_most, const std::string& database,
-                  std::size_t database_most) const {
-        const auto counted = [](const auto& all, const std::string& name) {
+    bool has_capacity(const std::string& user, std::size_t user_max, const std::string& database,
+                      std::size_t database_max) const {
+        const auto count_of = [](const auto& all, const std::string& name) {
             const auto found = all.find(name);
             return found == all.end() ? std::size_t{0} : found->second;
         };
-        if (clients_.size() - strangers_ >= options_.limits.clients) return false;
-        if (user_most > 0 && counted(of_user_, user) >= user_most) return false;
-        return database_most == 0 || counted(of_database_, database) < database_most;
+        if (clients_.size() - unauthenticated_count_ >= options_.limits.clients) return false;
+        if (user_max > 0 && count_of(sessions_by_user_, user) >= user_max) return false;
+        return database_max == 0 || count_of(sessions_by_database_, database) < database_max;
     }
 
     void cancel(const Key& key) {
@@ -765,7 +777,7 @@
         client->cancel();
     }
 
-    std::vector<std::shared_ptr<Client>> all() const {
+    std::vector<std::shared_ptr<Client>> all_clients() const {
         std::vector<std::shared_ptr<Client>> clients;
         for (const auto& [number, client] : clients_) clients.push_back(client);
         return clients;
@@ -773,21 +785,22 @@
 
     const loop::Executor executor_;
     core::Core& core_;
-    core::Front& face_;
+    core::Front& handler_;
     const loop::Clock& clock_;
     FrontOptions options_;
-    Alarms alarms_;
+    TimerSet timers_;
     tcp::acceptor acceptor_;
-    Alarms::One accept_again_;
-    std::unordered_map<std::string, std::unique_ptr<LineState>> lines_;  // by database
+    TimerSet::Timer accept_retry_timer_;
+    std::unordered_map<std::string, std::unique_ptr<QueueState>> queues_;  // by database
     Statements statements_;
-    ScramVerifier nobody_;  // what a user that is not known is checked against
+    ScramVerifier unknown_user_verifier_;  // verifier for unknown users, which no password matches
     std::unordered_map<std::uint64_t, std::shared_ptr<Client>> clients_;
-    std::set<std::uint32_t> stranger_numbers_;  // the oldest first
-    std::size_t strangers_ = 0;
-    std::unordered_map<std::string, std::size_t> of_user_, of_database_;
-    std::uint32_t last_ = 0;
-    std::uint64_t units_ = 0;
+    // Numbers of the connections that have not logged in, the oldest first.
+    std::set<std::uint32_t> unauthenticated_numbers_;
+    std::size_t unauthenticated_count_ = 0;
+    std::unordered_map<std::string, std::size_t> sessions_by_user_, sessions_by_database_;
+    std::uint32_t last_number_ = 0;
+    std::uint64_t unit_count_ = 0;
     bool draining_ = false;
     loop::Alive alive_;
 };
--- a/src/pg/front.h
+++ b/src/pg/front.h
@@ -1,7 +1,9 @@
-// The core's front for PostgreSQL: a listener, and the clients behind it.
+// Listener for PostgreSQL clients, and their sessions.
 //
-// Threading: the loop's one.   Ownership: core and backs are borrowed and outlive it.
-// Bounds:    clients, those of one user or database, those not logged in yet, each one's bytes and time.
+// Threading: the loop's thread only.
+// Ownership: the core and the backs are borrowed and must outlive the object.
+// Bounds: the numbers of clients in all, per user, per database and before login; the buffered bytes and the
+//            time of each client.
 #pragma once
 
 #include <map>
@@ -21,17 +23,17 @@
 
 namespace flaxdoor::pg {
 
-constexpr int unsafe_class = 0, safe_class = 1;  // of each pool's settings
+constexpr int unsafe_class = 0, safe_class = 1;  // class indices of each pool's settings
 
 struct FrontDatabase {
     core::PoolId pool = 0;
     Back* back = nullptr;
     SessionOptions session;
     Micros deadline{};
-    std::size_t line = 1000;  // units that may wait for the module to have room
+    std::size_t line = 1000;  // maximum number of units that wait for the policy module to admit them
     Micros line_wait = std::chrono::seconds(10);
-    std::size_t clients_most = 0;  // 0: no limit of its own
-    bool safe = false;             // by the operator's word: its units may be repeated
+    std::size_t clients_most = 0;  // 0: no limit for this database
+    bool safe = false;             // configured by the operator: units of this database may be retried
 };
 
 struct FrontUser {
@@ -43,9 +45,10 @@
 
 struct FrontLimits {
     std::size_t clients = 1000;
-    std::size_t strangers = 100;  // of them, connections that have not logged in
+    // Maximum number of connections that have not logged in, in addition to `clients`.
+    std::size_t strangers = 100;
     Micros login = std::chrono::seconds(10);
-    Micros message = std::chrono::seconds(30);           // from a message's first byte to its last
+    Micros message = std::chrono::seconds(30);           // from the first byte of a message to its last byte
     Micros idle_transaction = std::chrono::minutes(10);  // zero: no limit
     std::size_t message_most = 16 << 20;
 };
@@ -56,14 +59,14 @@
     bool tls_required = false;
     std::map<std::string, std::shared_ptr<const FrontDatabase>> databases;
     std::map<std::string, FrontUser> users;
-    std::set<std::string> ignored_settings;   // of a start-up packet, in lower case
-    std::set<std::string> safe_applications;  // application names whose units may be repeated
-    bool client_says_safe = false;            // whether the start-up setting flaxdoor.effect is heeded
+    std::set<std::string> ignored_settings;   // names of start-up settings that are ignored, in lower case
+    std::set<std::string> safe_applications;  // application names whose units may be retried
+    bool client_says_safe = false;            // whether the start-up setting flaxdoor.effect is applied
 };
 
 struct FrontFigures {
     std::size_t connections = 0, sessions = 0;
-    std::uint64_t units = 0;  // that were handed to the core
+    std::uint64_t units = 0;  // units that were passed to the core
 };
 
 class Front final : public core::Front {
@@ -71,16 +74,16 @@
     Front(const loop::Executor& executor, core::Core& core, const loop::Clock& clock, FrontOptions options);
     ~Front() override;
 
-    // Throws boost::system::system_error when the address can't be listened on.
+    // Throws boost::system::system_error if the address can't be listened on.
     void listen(const loop::tcp::endpoint& address);
     loop::tcp::endpoint address() const;
     void set_options(FrontOptions options);
 
-    // Takes no more connections; ends clients as they come to rest.
+    // Accepts no more connections and ends each client once it is idle.
     void begin_drain();
-    // Some client is still at work.
+    // Returns true while any client has an open unit.
     bool busy() const;
-    // Ends all that are left.
+    // Ends all remaining clients.
     void stop();
 
     void on_started(std::uint64_t token, std::unique_ptr<core::Payload> head) override;
--- a/src/pg/line.h
+++ b/src/pg/line.h
@@ -1,9 +1,11 @@
-// The line of units that wait for the module of one database to have room, first come, first served. The
-// module has the say: a unit is offered to it when one before has ended, and now and then one more; if it has
-// no place now, the unit stands here again, at the head, before the module would have given it up. What the
-// module has given up is not for this line. No I/O; time is an argument.
+// Queue of units that wait for the policy module of one database to admit them, first come, first served. The
+// policy module decides: a unit is offered to it when an earlier one has ended, and now and then one more. If
+// the policy module can't place the unit now, the unit returns to the head of this queue before the policy
+// module would reject it. A unit that the policy module has rejected does not return to the queue. No I/O;
+// time
+// is an argument.
 //
-// Threading: one thread at a time.   Bounds: so many units, each for so long.
+// Threading: one thread at a time. Bounds: the number of units, and the waiting time of each.
 #pragma once
 
 #include <algorithm>
@@ -19,100 +21,102 @@
 
 namespace flaxdoor::pg {
 
-class Line {
+class WaitQueue {
 public:
     using Token = std::uint64_t;
 
-    Line(std::size_t most, Micros wait) : most_(most), wait_(wait) {}
-    void set_limits(std::size_t most, Micros wait) {
-        most_ = most;
-        wait_ = wait;
+    WaitQueue(std::size_t max_length, Micros timeout) : max_length_(max_length), timeout_(timeout) {}
+    void set_limits(std::size_t max_length, Micros timeout) {
+        max_length_ = max_length;
+        timeout_ = timeout;
     }
 
-    enum class Arrival : std::uint8_t { offer, waits, full };
-    [[nodiscard]] Arrival arrive(Token token, std::size_t its_class, Time now) {
-        // Until a first one of its class has been served, the module knows no time by which others could
-        // wait.
-        const bool may = inside_ == 0 || (served_.at(its_class) && skip_ == 0);
-        if (queue_.empty() && may) {
-            ++inside_;
-            return Arrival::offer;
+    enum class EnqueueResult : std::uint8_t { offer, waits, full };
+    [[nodiscard]] EnqueueResult enqueue(Token token, std::size_t class_index, Time now) {
+        // Until the first unit of its class has been served, the policy module has no latency from which it
+        // could tell whether further units may wait.
+        const bool may_offer =
+            in_policy_ == 0 || (class_served_.at(class_index) && ends_until_extra_offer_ == 0);
+        if (queue_.empty() && may_offer) {
+            ++in_policy_;
+            return EnqueueResult::offer;
         }
-        if (queue_.size() >= most_) return Arrival::full;
-        push(queue_.end(), token, now + wait_);
-        return Arrival::waits;
+        if (queue_.size() >= max_length_) return EnqueueResult::full;
+        push(queue_.end(), token, now + timeout_);
+        return EnqueueResult::waits;
     }
 
-    // ------------------------------------------------------------- what came of the one that was offered
-    // last
-    void placed() {
-        if (credit_ == 0) backoff_ /= 2;
+    // --- Results of the latest offer ---
+    void on_placed() {
+        if (offers_allowed_ == 0) extra_offer_interval_ /= 2;
     }
-    // Whether one that has no place now is to stand here again. Not the only one: nobody's end would bring it
-    // on, and the module has its own way with it.
-    bool takes_back() const { return inside_ > 1; }
-    void back(Token token, Time until) {
-        --inside_;
+    // Returns true if a unit that can't be placed now may return to the queue. The only unit that the policy
+    // module holds may not: no other unit's end would cause it to be offered again, so the policy module
+    // itself retries it.
+    bool may_requeue() const { return in_policy_ > 1; }
+    void requeue(Token token, Time until) {
+        --in_policy_;
         push(queue_.begin(), token, until);
-        hold(std::clamp<std::size_t>(2 * backoff_, 1, longest_));
+        back_off(std::clamp<std::size_t>(2 * extra_offer_interval_, 1, max_offer_interval_));
     }
-    // The module has given it up at once.
-    void given_up() {
-        if (inside_ > 0) --inside_;
-        hold(longest_);
+    // The policy module rejected the unit at once.
+    void on_rejected() {
+        if (in_policy_ > 0) --in_policy_;
+        back_off(max_offer_interval_);
     }
 
-    // A unit that was placed, or waited in the module, is over.
-    void ended(std::size_t its_class) {
-        if (inside_ > 0) --inside_;
-        served_.at(its_class) = true;
-        ++credit_;
-        if (skip_ > 0) {
-            --skip_;
+    // A unit that was placed, or waited in the policy module, has ended.
+    void on_ended(std::size_t class_index) {
+        if (in_policy_ > 0) --in_policy_;
+        class_served_.at(class_index) = true;
+        ++offers_allowed_;
+        if (ends_until_extra_offer_ > 0) {
+            --ends_until_extra_offer_;
         } else {
-            ++credit_;  // there may be room for more
+            ++offers_allowed_;  // offers one unit more than have ended, as there may be capacity
         }
     }
 
-    // The next one to be offered now.
+    // Returns the next unit to be offered now.
     [[nodiscard]] std::optional<Token> next() {
-        if (queue_.empty()) credit_ = 0;
-        if (credit_ == 0 && inside_ > 0) return std::nullopt;
+        if (queue_.empty()) offers_allowed_ = 0;
+        if (offers_allowed_ == 0 && in_policy_ > 0) return std::nullopt;
         if (queue_.empty()) return std::nullopt;
-        if (credit_ > 0) --credit_;
-        ++inside_;
+        if (offers_allowed_ > 0) --offers_allowed_;
+        ++in_policy_;
         const Token token = queue_.front().token;
-        known_.erase(token);
+        positions_.erase(token);
         queue_.pop_front();
         return token;
     }
 
-    // It waits no more. False: it did not.
-    bool leave(Token token) {
-        const auto found = known_.find(token);
-        if (found == known_.end()) return false;
+    // Removes a unit from the queue. Returns false if it was not queued.
+    bool remove(Token token) {
+        const auto found = positions_.find(token);
+        if (found == positions_.end()) return false;
         queue_.erase(found->second);
-        known_.erase(found);
+        positions_.erase(found);
         return true;
     }
 
-    // Those whose time is over; the others may be offered one, as the module's view changes with time.
-    [[nodiscard]] std::vector<Token> on_time(Time now) {
-        std::vector<Token> over;
+    // Removes and returns the units whose waiting time is over. One of the others may then be offered, as the
+    // policy module's view changes with time.
+    [[nodiscard]] std::vector<Token> take_expired(Time now) {
+        std::vector<Token> expired;
         while (!queue_.empty() && queue_.front().until <= now) {
-            over.push_back(queue_.front().token);
-            leave(over.back());
+            expired.push_back(queue_.front().token);
+            remove(expired.back());
         }
-        credit_ = std::max<std::size_t>(credit_, 1);
-        return over;
+        offers_allowed_ = std::max<std::size_t>(offers_allowed_, 1);
+        return expired;
     }
     std::optional<Time> next_time(Time now) const {
         if (queue_.empty()) return std::nullopt;
-        return std::min(queue_.front().until, now + look_again_);
+        return std::min(queue_.front().until, now + recheck_interval_);
     }
 
     std::size_t waiting() const { return queue_.size(); }
-    std::size_t inside() const { return inside_; }
+    std::size_t in_policy() const { return in_policy_; }
 
 private:
     struct Waiting {
@@ -122,24 +126,25 @@
     using Queue = std::list<Waiting>;
 
     void push(Queue::iterator before, Token token, Time until) {
-        known_[token] = queue_.insert(before, {token, until});
+        positions_[token] = queue_.insert(before, {token, until});
     }
-    void hold(std::size_t ends) {
-        credit_ = 0;
-        backoff_ = skip_ = ends;
+    void back_off(std::size_t ends) {
+        offers_allowed_ = 0;
+        extra_offer_interval_ = ends_until_extra_offer_ = ends;
     }
 
-    static constexpr std::size_t longest_ = 16;  // ends between two that are offered beyond those that ended
-    static constexpr Micros look_again_ = std::chrono::milliseconds(20);
+    // Maximum number of ended units between two additional offers.
+    static constexpr std::size_t max_offer_interval_ = 16;
+    static constexpr Micros recheck_interval_ = std::chrono::milliseconds(20);
 
-    std::size_t most_;
-    Micros wait_;
+    std::size_t max_length_;
+    Micros timeout_;
     Queue queue_;
-    std::unordered_map<Token, Queue::iterator> known_;
-    std::size_t inside_ = 0;  // that the module has
-    std::size_t credit_ = 0;  // that may be offered now
-    std::size_t skip_ = 0, backoff_ = 0;
-    std::array<bool, 2> served_{};  // by class
+    std::unordered_map<Token, Queue::iterator> positions_;
+    std::size_t in_policy_ = 0;       // units that the policy module holds
+    std::size_t offers_allowed_ = 0;  // units that may be offered now
+    std::size_t ends_until_extra_offer_ = 0, extra_offer_interval_ = 0;
+    std::array<bool, 2> class_served_{};  // whether a unit of the class has been served
 };
 
 }  // namespace flaxdoor::pg
--- a/src/pg/pool.cpp
+++ b/src/pg/pool.cpp
@@ -11,159 +11,161 @@
     server.takes_work = takes_work;
     if (moved || !takes_work) close_idle(upstream);
     if (takes_work) return;
-    for (auto& [key, place] : places_) {
-        if (key.first == upstream) end_line(place, Outcome::moot, place.line.size());
+    for (auto& [key, user_pool] : user_pools_) {
+        if (key.first == upstream) end_waiting(user_pool, Outcome::moot, user_pool.queue.size());
     }
 }
 
 void Pool::remove_server(UpstreamId upstream) {
     close_idle(upstream);
-    for (auto& [key, place] : places_) {
-        if (key.first == upstream) end_line(place, Outcome::moot, place.line.size());
+    for (auto& [key, user_pool] : user_pools_) {
+        if (key.first == upstream) end_waiting(user_pool, Outcome::moot, user_pool.queue.size());
     }
     servers_.erase(upstream);
 }
 
-void Pool::want(core::AttemptKey attempt, UpstreamId upstream, const std::string& user, Time now) {
+void Pool::request_connection(core::AttemptKey attempt, UpstreamId upstream, const std::string& user,
+                              Time now) {
     now_ = now;
     const auto server = servers_.find(upstream);
     if (server == servers_.end() || !server->second.takes_work) {
         actions_.push_back({PoolAction::Kind::end, 0, attempt, upstream, user, Outcome::moot});
         return;
     }
-    const PlaceKey key{upstream, user};
-    Place& place = places_[key];
-    if (place.line.size() >= limits_.line) {
+    const UserPoolKey key{upstream, user};
+    UserPool& user_pool = user_pools_[key];
+    if (user_pool.queue.size() >= limits_.line) {
         actions_.push_back({PoolAction::Kind::end, 0, attempt, upstream, user, Outcome::full});
         return;
     }
-    place.line.push_back({attempt, now + limits_.wait});
-    waiting_[attempt] = {key, std::prev(place.line.end())};
-    serve(key, place);
+    user_pool.queue.push_back({attempt, now + limits_.wait});
+    waiting_[attempt] = {key, std::prev(user_pool.queue.end())};
+    serve(key, user_pool);
 }
 
-bool Pool::drop(core::AttemptKey attempt) {
+bool Pool::cancel_request(core::AttemptKey attempt) {
     const auto found = waiting_.find(attempt);
     if (found == waiting_.end()) return false;
-    const PlaceKey key = found->second.first;
-    places_.at(key).line.erase(found->second.second);
+    const UserPoolKey key = found->second.first;
+    user_pools_.at(key).queue.erase(found->second.second);
     waiting_.erase(found);
-    forget_place(key);
+    remove_if_unused(key);
     return true;
 }
 
-void Pool::serve(const PlaceKey& key, Place& place) {
+void Pool::serve(const UserPoolKey& key, UserPool& user_pool) {
     const auto server = servers_.find(key.first);
     if (server == servers_.end() || !server->second.takes_work) return;
-    while (!place.line.empty() && !place.idle.empty()) {
-        const LinkId id = place.idle.back();
-        place.idle.pop_back();
-        links_.at(id).state = State::busy;
-        const core::AttemptKey attempt = place.line.front().attempt;
-        place.line.pop_front();
+    while (!user_pool.queue.empty() && !user_pool.idle.empty()) {
+        const ConnectionId id = user_pool.idle.back();
+        user_pool.idle.pop_back();
+        connections_.at(id).state = State::busy;
+        const core::AttemptKey attempt = user_pool.queue.front().attempt;
+        user_pool.queue.pop_front();
         waiting_.erase(attempt);
         actions_.push_back({PoolAction::Kind::link, id, attempt, key.first, key.second, Outcome::ok});
     }
-    while (now_ >= place.no_login_until && place.logging_in < place.line.size() &&
-           place.all < limits_.connections && gate_.begin(server->second.address)) {
-        const LinkId id = ++last_;
-        links_[id] = {key, server->second.address, State::logging_in, now_, now_};
-        ++place.all;
-        ++place.logging_in;
+    while (now_ >= user_pool.login_backoff_until && user_pool.logging_in < user_pool.queue.size() &&
+           user_pool.total < limits_.connections && gate_.begin(server->second.address)) {
+        const ConnectionId id = ++last_id_;
+        connections_[id] = {key, server->second.address, State::logging_in, now_, now_};
+        ++user_pool.total;
+        ++user_pool.logging_in;
         actions_.push_back({PoolAction::Kind::open, id, {}, key.first, key.second, Outcome::ok});
     }
 }
 
-void Pool::end_line(Place& place, Outcome outcome, std::size_t most) {
-    for (; most > 0 && !place.line.empty(); --most) {
-        const core::AttemptKey attempt = place.line.front().attempt;
-        place.line.pop_front();
+void Pool::end_waiting(UserPool& user_pool, Outcome outcome, std::size_t count) {
+    for (; count > 0 && !user_pool.queue.empty(); --count) {
+        const core::AttemptKey attempt = user_pool.queue.front().attempt;
+        user_pool.queue.pop_front();
         waiting_.erase(attempt);
         actions_.push_back({PoolAction::Kind::end, 0, attempt, 0, {}, outcome});
     }
 }
 
-void Pool::on_login(LinkId id, LoginEnd end, Time now) {
+void Pool::on_login(ConnectionId id, LoginResult result, Time now) {
     now_ = now;
-    const auto found = links_.find(id);
-    if (found == links_.end() || found->second.state != State::logging_in) return;
-    if (end == LoginEnd::up || end == LoginEnd::apart) {
+    const auto found = connections_.find(id);
+    if (found == connections_.end() || found->second.state != State::logging_in) return;
+    if (result == LoginResult::succeeded || result == LoginResult::reserved) {
         const std::string address = found->second.address;
-        --places_.at(found->second.place).logging_in;
+        --user_pools_.at(found->second.key).logging_in;
         found->second.state = State::busy;
-        found->second.born = now;
+        found->second.logged_in_at = now;
         gate_.end(address);
-        return end == LoginEnd::up ? on_free(id, now) : void();
+        return result == LoginResult::succeeded ? on_free(id, now) : void();
     }
-    const PlaceKey key = found->second.place;
-    forget(id);
-    const auto place = places_.find(key);
-    if (place == places_.end()) return;
-    if (end == LoginEnd::down) {
-        end_line(place->second, Outcome::connect_failed, place->second.line.size());
-    } else if (place->second.all == 0) {
-        // Somebody else has all its places: nobody here will give one back.
-        end_line(place->second, end == LoginEnd::own ? Outcome::moot : Outcome::full,
-                 place->second.line.size());
+    const UserPoolKey key = found->second.key;
+    remove_connection(id);
+    const auto user_pool = user_pools_.find(key);
+    if (user_pool == user_pools_.end()) return;
+    if (result == LoginResult::unreachable) {
+        end_waiting(user_pool->second, Outcome::connect_failed, user_pool->second.queue.size());
+    } else if (user_pool->second.total == 0) {
+        // All server connections belong to other users, so no connection of this user will become free.
+        end_waiting(user_pool->second, result == LoginResult::local_failure ? Outcome::moot : Outcome::full,
+                    user_pool->second.queue.size());
     }
-    if (end != LoginEnd::down) place->second.no_login_until = now + limits_.login_again;
-    forget_place(key);
+    if (result != LoginResult::unreachable) user_pool->second.login_backoff_until = now + limits_.login_again;
+    remove_if_unused(key);
 }
 
-void Pool::on_free(LinkId id, Time now) {
+void Pool::on_free(ConnectionId id, Time now) {
     now_ = now;
-    const auto found = links_.find(id);
-    if (found == links_.end()) return;
-    Link& link = found->second;
-    if (!takes_work(link) || now - link.born > limits_.age) {
-        const PlaceKey key = link.place;
+    const auto found = connections_.find(id);
+    if (found == connections_.end()) return;
+    Connection& connection = found->second;
+    if (!takes_work(connection) || now - connection.logged_in_at > limits_.age) {
+        const UserPoolKey key = connection.key;
         actions_.push_back({PoolAction::Kind::close, id, {}, key.first, {}, Outcome::ok});
-        return on_gone(id);
+        return on_closed(id);
     }
-    link.state = State::idle;
-    link.since = now;
-    Place& place = places_.at(link.place);
-    place.idle.push_back(id);
-    serve(link.place, place);
+    connection.state = State::idle;
+    connection.idle_since = now;
+    UserPool& user_pool = user_pools_.at(connection.key);
+    user_pool.idle.push_back(id);
+    serve(connection.key, user_pool);
 }
 
-void Pool::on_gone(LinkId id) {
-    const auto found = links_.find(id);
-    if (found == links_.end()) return;
-    const PlaceKey key = found->second.place;
-    forget(id);
-    const auto place = places_.find(key);
-    if (place != places_.end()) serve(key, place->second);
-    forget_place(key);
+void Pool::on_closed(ConnectionId id) {
+    const auto found = connections_.find(id);
+    if (found == connections_.end()) return;
+    const UserPoolKey key = found->second.key;
+    remove_connection(id);
+    const auto user_pool = user_pools_.find(key);
+    if (user_pool != user_pools_.end()) serve(key, user_pool->second);
+    remove_if_unused(key);
 }
 
-bool Pool::keep_apart(LinkId id) {
-    const auto found = links_.find(id);
-    if (found == links_.end() || found->second.state != State::idle) return false;
+bool Pool::reserve(ConnectionId id) {
+    const auto found = connections_.find(id);
+    if (found == connections_.end() || found->second.state != State::idle) return false;
     found->second.state = State::busy;
-    std::erase(places_.at(found->second.place).idle, id);
+    std::erase(user_pools_.at(found->second.key).idle, id);
     return true;
 }
 
 void Pool::on_gate() {
-    for (auto& [key, place] : places_) serve(key, place);
+    for (auto& [key, user_pool] : user_pools_) serve(key, user_pool);
 }
 
 void Pool::on_time(Time now) {
     now_ = now;
-    std::vector<LinkId> old;
-    for (auto& [key, place] : places_) {
-        // All wait equally long: who came first is due first.
-        while (!place.line.empty() && place.line.front().until <= now) end_line(place, Outcome::full, 1);
-        for (const LinkId id : place.idle) {
-            if (links_.at(id).since + limits_.idle <= now) old.push_back(id);
+    std::vector<ConnectionId> old;
+    for (auto& [key, user_pool] : user_pools_) {
+        // All attempts have the same time limit, so they expire in the order of their arrival.
+        while (!user_pool.queue.empty() && user_pool.queue.front().until <= now)
+            end_waiting(user_pool, Outcome::full, 1);
+        for (const ConnectionId id : user_pool.idle) {
+            if (connections_.at(id).idle_since + limits_.idle <= now) old.push_back(id);
         }
     }
-    for (const LinkId id : old) {
+    for (const ConnectionId id : old) {
         actions_.push_back({PoolAction::Kind::close, id, {}, 0, {}, Outcome::ok});
-        on_gone(id);
+        on_closed(id);
     }
-    for (auto& [key, place] : places_) serve(key, place);
+    for (auto& [key, user_pool] : user_pools_) serve(key, user_pool);
 }
 
 std::optional<Time> Pool::next_time() const {
@@ -171,32 +173,33 @@
     const auto take = [&](Time at) {
         if (!next || at < *next) next = at;
     };
-    for (const auto& [key, place] : places_) {
-        if (!place.line.empty()) take(place.line.front().until);
-        if (!place.line.empty() && place.no_login_until > now_) take(place.no_login_until);
-        if (!place.idle.empty()) take(links_.at(place.idle.front()).since + limits_.idle);
+    for (const auto& [key, user_pool] : user_pools_) {
+        if (!user_pool.queue.empty()) take(user_pool.queue.front().until);
+        if (!user_pool.queue.empty() && user_pool.login_backoff_until > now_)
+            take(user_pool.login_backoff_until);
+        if (!user_pool.idle.empty()) take(connections_.at(user_pool.idle.front()).idle_since + limits_.idle);
     }
     return next;
 }
 
-std::optional<LinkId> Pool::longest_idle() const {
-    std::optional<LinkId> oldest;
-    for (const auto& [key, place] : places_) {
-        if (place.idle.empty()) continue;
-        const LinkId id = place.idle.front();
-        if (!oldest || links_.at(id).since < links_.at(*oldest).since) oldest = id;
+std::optional<ConnectionId> Pool::longest_idle() const {
+    std::optional<ConnectionId> oldest;
+    for (const auto& [key, user_pool] : user_pools_) {
+        if (user_pool.idle.empty()) continue;
+        const ConnectionId id = user_pool.idle.front();
+        if (!oldest || connections_.at(id).idle_since < connections_.at(*oldest).idle_since) oldest = id;
     }
     return oldest;
 }
 
 void Pool::close_idle(UpstreamId upstream) {
-    std::vector<LinkId> idle;
-    for (const auto& [key, place] : places_) {
-        if (key.first == upstream) idle.insert(idle.end(), place.idle.begin(), place.idle.end());
+    std::vector<ConnectionId> idle;
+    for (const auto& [key, user_pool] : user_pools_) {
+        if (key.first == upstream) idle.insert(idle.end(), user_pool.idle.begin(), user_pool.idle.end());
     }
-    for (const LinkId id : idle) {
+    for (const ConnectionId id : idle) {
         actions_.push_back({PoolAction::Kind::close, id, {}, upstream, {}, Outcome::ok});
-        forget(id);
+        remove_connection(id);
     }
 }
 
@@ -207,28 +210,30 @@
     return action;
 }
 
-void Pool::forget(LinkId id) {
-    const auto found = links_.find(id);
-    if (found == links_.end()) return;
-    Link& link = found->second;
-    Place& place = places_.at(link.place);
-    --place.all;
-    if (link.state == State::logging_in) {
-        --place.logging_in;
-        gate_.end(link.address);
+void Pool::remove_connection(ConnectionId id) {
+    const auto found = connections_.find(id);
+    if (found == connections_.end()) return;
+    Connection& connection = found->second;
+    UserPool& user_pool = user_pools_.at(connection.key);
+    --user_pool.total;
+    if (connection.state == State::logging_in) {
+        --user_pool.logging_in;
+        gate_.end(connection.address);
     }
-    std::erase(place.idle, id);
-    links_.erase(found);
+    std::erase(user_pool.idle, id);
+    connections_.erase(found);
 }
 
-void Pool::forget_place(const PlaceKey& key) {
-    const auto found = places_.find(key);
-    if (found != places_.end() && found->second.all == 0 && found->second.line.empty()) places_.erase(found);
+void Pool::remove_if_unused(const UserPoolKey& key) {
+    const auto found = user_pools_.find(key);
+    if (found != user_pools_.end() && found->second.total == 0 && found->second.queue.empty())
+        user_pools_.erase(found);
 }
 
-bool Pool::takes_work(const Link& link) const {
-    const auto server = servers_.find(link.place.first);
-    return server != servers_.end() && server->second.takes_work && server->second.address == link.address;
+bool Pool::takes_work(const Connection& connection) const {
+    const auto server = servers_.find(connection.key.first);
+    return server != servers_.end() && server->second.takes_work &&
+           server->second.address == connection.address;
 }
 
 }  // namespace flaxdoor::pg
--- a/src/pg/prepared.h
+++ b/src/pg/prepared.h
@@ -1,4 +1,5 @@
-// A prepared statement as its text and types, apart from the names that clients and servers have for it.
+// A prepared statement as its text and parameter types, independent of the names that clients and servers
+// have for it.
 #pragma once
 
 #include <cstdint>
@@ -13,40 +14,40 @@
 
 struct Prepared {
     std::uint64_t id = 0;
-    std::string text, types;  // types: the part of Parse behind the text
+    std::string text, types;  // `types` is the part of Parse behind the text
     SqlFacts facts;
 };
 using PreparedPtr = std::shared_ptr<const Prepared>;
 
-// One Prepared for each text with its types, as long as anybody holds it. One thread; the table is swept as
-// it grows, so it holds at most twice as many as are held.
+// Shares one Prepared among all holders of the same text and types. Expired entries are removed whenever the
+// table has doubled, which bounds it to about twice the number of statements in use. Threading: one thread.
 class Statements {
 public:
-    PreparedPtr take(std::string_view text, std::string_view types) {
+    PreparedPtr intern(std::string_view text, std::string_view types) {
         std::string key(text);
         key += '\0';
         key += types;
-        const auto found = known_.find(key);
-        if (found != known_.end()) {
-            if (auto held = found->second.lock()) return held;
+        const auto found = by_text_.find(key);
+        if (found != by_text_.end()) {
+            if (auto existing = found->second.lock()) return existing;
         }
-        if (known_.size() >= sweep_at_) {
-            std::erase_if(known_, [](const auto& each) { return each.second.expired(); });
-            sweep_at_ = 2 * known_.size() + 64;
+        if (by_text_.size() >= sweep_at_) {
+            std::erase_if(by_text_, [](const auto& entry) { return entry.second.expired(); });
+            sweep_at_ = 2 * by_text_.size() + 64;
         }
-        auto made = std::make_shared<Prepared>();
-        made->id = ++last_;
-        made->text = text;
-        made->types = types;
-        made->facts = facts_of(text);
-        known_[std::move(key)] = made;
-        return made;
+        auto created = std::make_shared<Prepared>();
+        created->id = ++last_id_;
+        created->text = text;
+        created->types = types;
+        created->facts = facts_of(text);
+        by_text_[std::move(key)] = created;
+        return created;
     }
 
 private:
-    std::unordered_map<std::string, std::weak_ptr<const Prepared>> known_;
+    std::unordered_map<std::string, std::weak_ptr<const Prepared>> by_text_;
     std::size_t sweep_at_ = 64;
-    std::uint64_t last_ = 0;
+    std::uint64_t last_id_ = 0;
 };
 
 }  // namespace flaxdoor::pg
--- a/src/pg/scram.cpp
+++ b/src/pg/scram.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-// A server that asks for more would hold up this program.
-constexpr int iterations_most = 1'000'000;
+// Upper bound for the iterations that a server may request: more would block the event loop.
+constexpr int max_iterations = 1'000'000;
 
 const unsigned char* bytes_of(std::string_view text) {
     return reinterpret_cast<const unsigned char*>(text.data());
@@ -33,7 +33,7 @@
     return out;
 }
 
-std::string salted(std::string_view password, std::string_view salt, int iterations) {
+std::string salted_password(std::string_view password, std::string_view salt, int iterations) {
     std::string out(SHA256_DIGEST_LENGTH, '\0');
     PKCS5_PBKDF2_HMAC(password.data(), static_cast<int>(password.size()), bytes_of(salt),
                       static_cast<int>(salt.size()), iterations, EVP_sha256(), static_cast<int>(out.size()),
@@ -46,11 +46,11 @@
     return a;
 }
 
-bool same_secret(std::string_view a, std::string_view b) {
+bool constant_time_equal(std::string_view a, std::string_view b) {
     return a.size() == b.size() && CRYPTO_memcmp(a.data(), b.data(), a.size()) == 0;
 }
 
-// The value of the attribute that stands at the begin, and what follows its comma.
+// Returns the value of the attribute `name` at the start of `rest`, and removes it with its comma.
 std::optional<std::string_view> attribute(std::string_view& rest, char name) {
     if (rest.size() < 2 || rest[0] != name || rest[1] != '=') return std::nullopt;
     const std::size_t comma = rest.find(',');
@@ -94,12 +94,12 @@
 }
 
 ScramVerifier make_verifier(std::string_view password, std::string_view salt, int iterations) {
-    const std::string secret = salted(password, salt, iterations);
+    const std::string secret = salted_password(password, salt, iterations);
     return {std::string(salt), iterations, sha256(hmac(secret, "Client Key")), hmac(secret, "Server Key")};
 }
 
 std::optional<std::string> ScramServer::first(std::string_view client_first) {
-    // gs2-header: "n,," or "y,," (no channel binding), an authorisation name is not for PostgreSQL.
+    // gs2-header "n,," or "y,," (no channel binding); PostgreSQL does not use an authorization name.
     if (!client_first.starts_with("n,,") && !client_first.starts_with("y,,")) return std::nullopt;
     header_ = client_first.substr(0, 3);
     client_first_bare_ = client_first.substr(3);
@@ -125,7 +125,7 @@
     if (*binding != base64(header_) || *nonce != nonce_) return Result::malformed;
     const std::string message = client_first_bare_ + "," + server_first_ + "," + std::string(without_proof);
     const std::string client_key = exclusive_or(hmac(verifier_.stored_key, message), *proof);
-    if (!same_secret(sha256(client_key), verifier_.stored_key)) return Result::refused;
+    if (!constant_time_equal(sha256(client_key), verifier_.stored_key)) return Result::refused;
     server_final = "v=" + base64(hmac(verifier_.server_key, message));
     return Result::accepted;
 }
@@ -148,11 +148,11 @@
     const auto [end, error] = std::from_chars(iterations_text->data(),
                                               iterations_text->data() + iterations_text->size(), iterations);
     if (!salt || error != std::errc() || end != iterations_text->data() + iterations_text->size() ||
-        iterations < 1 || iterations > iterations_most) {
+        iterations < 1 || iterations > max_iterations) {
         return std::nullopt;
     }
     if (secret_.iterations != iterations || secret_.salt != *salt) {
-        secret_.salted = salted(secret_.password, *salt, iterations);
+        secret_.salted = salted_password(secret_.password, *salt, iterations);
         secret_.salt = *salt;
         secret_.iterations = iterations;
     }
--- a/src/pg/scram.h
+++ b/src/pg/scram.h
@@ -1,9 +1,10 @@
-// SCRAM-SHA-256 (RFC 5802, RFC 7677) on both sides, without channel binding, and MD5 as PostgreSQL has it. No
-// I/O; nonces and salts are arguments.
+// SCRAM-SHA-256 (RFC 5802, RFC 7677), client and server side, without channel binding; and PostgreSQL's MD5
+// authentication. No I/O; nonces and salts are arguments.
 //
-// Threading: one thread at a time.   Errors: what can't be is told by the result; nothing throws.
-// Cost:      a SaltedPassword takes some milliseconds: ScramSecret keeps the last one, a Verifier is made
-//            once.
+// Threading: one thread at a time. Errors: reported by the result; no function throws.
+// Cost: deriving a SaltedPassword takes milliseconds: ScramSecret caches the latest one, and a ScramVerifier
+//            is
+//            made once per password.
 #pragma once
 
 #include <optional>
@@ -14,7 +15,7 @@
 
 constexpr int scram_iterations = 4096;
 
-// What a server keeps of a password.
+// What a server stores in place of a password.
 struct ScramVerifier {
     std::string salt;
     int iterations = scram_iterations;
@@ -22,15 +23,16 @@
 };
 [[nodiscard]] ScramVerifier make_verifier(std::string_view password, std::string_view salt, int iterations);
 
-// The side of the server, for one login.
+// Server side of one login.
 class ScramServer {
 public:
     ScramServer(ScramVerifier verifier, std::string nonce)
         : verifier_(std::move(verifier)), nonce_(std::move(nonce)) {}
-    // The client's first message in, the server's first out. Nothing: it is malformed.
+    // Returns the server's first message for the client's first message; nothing if that is malformed.
     [[nodiscard]] std::optional<std::string> first(std::string_view client_first);
     enum class Result { accepted, refused, malformed };
-    // On `accepted`, `server_final` is what proves the server to the client.
+    // Checks the client's final message. On `accepted`, `server_final` receives the message that proves to
+    // the client that the server knows the secret.
     [[nodiscard]] Result final(std::string_view client_final, std::string& server_final);
 
 private:
@@ -39,20 +41,20 @@
     std::string header_, client_first_bare_, server_first_;
 };
 
-// A password, and what was worked out of it last.
+// A password, and the SaltedPassword that was derived from it last.
 struct ScramSecret {
     std::string password;
     std::string salt, salted;
     int iterations = 0;
 };
 
-// The side of the client. The secret is borrowed.
+// Client side of one login. The secret is borrowed.
 class ScramClient {
 public:
     ScramClient(ScramSecret& secret, std::string nonce) : secret_(secret), nonce_(std::move(nonce)) {}
     [[nodiscard]] std::string first();
     [[nodiscard]] std::optional<std::string> final(std::string_view server_first);
-    // Whether the server has shown that it knows the secret.
+    // Returns true if the server has proven that it knows the secret.
     [[nodiscard]] bool proven(std::string_view server_final) const;
 
 private:
@@ -60,7 +62,7 @@
     std::string nonce_, client_first_bare_, server_signature_;
 };
 
-// "md5" and 32 hexadecimal digits.
+// Returns "md5" and 32 hexadecimal digits.
 [[nodiscard]] std::string md5_answer(std::string_view user, std::string_view password, std::string_view salt);
 
 [[nodiscard]] std::string base64(std::string_view bytes);
--- a/src/pg/server_machine.cpp
+++ b/src/pg/server_machine.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-// Output that was handed over is let go of beyond so many bytes.
-constexpr std::size_t spent_most = 64 << 10;
+// Written output beyond this size is released.
+constexpr std::size_t max_written_bytes = 64 << 10;
 constexpr std::string_view mechanism = "SCRAM-SHA-256";
 
 }  // namespace
@@ -20,7 +20,7 @@
         case ServerState::securing: return "securing";
         case ServerState::logging_in: return "logging_in";
         case ServerState::up: return "up";
-        case ServerState::spoilt: return "spoilt";
+        case ServerState::broken: return "spoilt";
     }
     return "unknown";
 }
@@ -28,7 +28,7 @@
 ServerMachine::ServerMachine(ServerOptions options)
     : options_(std::move(options)), decoder_(Sender::server, options_.limits) {
     if (options_.tls == ServerOptions::Tls::off) {
-        state_ = ServerState::asking_tls;  // for a moment
+        state_ = ServerState::asking_tls;  // until secured() below
         secured();
         return;
     }
@@ -42,15 +42,15 @@
 }
 
 void ServerMachine::wrote(std::size_t bytes) {
-    written_ += bytes;
-    written_here_ += bytes;
-    if (written_here_ == output_.size()) {
+    total_written_ += bytes;
+    output_written_ += bytes;
+    if (output_written_ == output_.size()) {
         output_.clear();
-        written_here_ = 0;
-        if (output_.capacity() > spent_most) output_.shrink_to_fit();
-    } else if (written_here_ > spent_most) {
-        output_.erase(0, written_here_);
-        written_here_ = 0;
+        output_written_ = 0;
+        if (output_.capacity() > max_written_bytes) output_.shrink_to_fit();
+    } else if (output_written_ > max_written_bytes) {
+        output_.erase(0, output_written_);
+        output_written_ = 0;
     }
 }
 
@@ -59,17 +59,17 @@
     return found != parameters_.end() && found->second.value == "on";
 }
 
-bool ServerMachine::ends_by_itself() const {
-    return std::any_of(dues_.begin(), dues_.end(), [](const Due& due) {
-        return due.kind == Expect::sync || due.kind == Expect::query || due.kind == Expect::own ||
-               due.kind == Expect::function;
+bool ServerMachine::ready_will_follow() const {
+    return std::any_of(expected_answers_.begin(), expected_answers_.end(), [](const ExpectedAnswer& answer) {
+        return answer.kind == AnswerKind::sync || answer.kind == AnswerKind::query ||
+               answer.kind == AnswerKind::internal || answer.kind == AnswerKind::function;
     });
 }
 
-// --------------------------------------------------------------------------------------------------- login
+// --- Login ---
 
-ServerEvent ServerMachine::failed(std::string code, std::string text) {
-    state_ = ServerState::spoilt;
+ServerEvent ServerMachine::login_failed(std::string code, std::string text) {
+    state_ = ServerState::broken;
     return {ServerEvent::Kind::failed, {}, std::move(text), std::move(code), 'I'};
 }
 
@@ -77,334 +77,353 @@
     if (state_ == ServerState::asking_tls) {
         const auto byte = decoder_.next_byte();
         if (!byte) return std::nullopt;
-        // What stands in clear behind the answer could have been put there by anybody (CVE-2021-23222).
-        if (decoder_.buffered() > 0) return failed("08P01", "received unencrypted data after SSL response");
+        // Unencrypted bytes behind the answer could have been injected by an attacker (CVE-2021-23222).
+        if (decoder_.buffered() > 0)
+            return login_failed("08P01", "received unencrypted data after SSL response");
         if (*byte == 'S') {
             state_ = ServerState::securing;
             return ServerEvent{ServerEvent::Kind::begin_tls, {}, {}, {}, 'I'};
         }
-        if (*byte != 'N') return failed("08P01", "received an invalid response to SSL negotiation");
+        if (*byte != 'N') return login_failed("08P01", "received an invalid response to SSL negotiation");
         if (options_.tls == ServerOptions::Tls::verify_full)
-            return failed("08001", "the server does not support TLS");
+            return login_failed("08001", "the server does not support TLS");
         secured();
     }
     while (state_ == ServerState::logging_in) {
         const auto message = decoder_.next();
         if (!message) {
-            if (!decoder_.error().empty()) return failed("08P01", decoder_.error());
+            if (!decoder_.error().empty()) return login_failed("08P01", decoder_.error());
             return std::nullopt;
         }
-        if (auto event = login(*message)) return event;
+        if (auto event = handle_login_message(*message)) return event;
     }
     return std::nullopt;
 }
 
-std::optional<ServerEvent> ServerMachine::login(const Message& message) {
+std::optional<ServerEvent> ServerMachine::handle_login_message(const Message& message) {
     switch (message.type) {
         case 'R': {
             Fields fields(message.body);
             const std::uint32_t kind = fields.i32();
-            if (!fields.ok()) return failed("08P01", "malformed authentication request");
-            return sasl(kind, fields.rest());
+            if (!fields.ok()) return login_failed("08P01", "malformed authentication request");
+            return handle_authentication(kind, fields.rest());
         }
-        case 'S': report(message); return std::nullopt;
+        case 'S': store_parameter(message); return std::nullopt;
         case 'K': {
             Fields fields(message.body);
             key_.process = fields.i32();
             key_.secret = fields.i32();
-            if (!fields.done()) return failed("08P01", "malformed key");
+            if (!fields.done()) return login_failed("08P01", "malformed key");
             return std::nullopt;
         }
         case 'N':
         case 'v': return std::nullopt;
         case 'E': {
             const auto error = read_error(message.body);
-            if (!error) return failed("08P01", "malformed error");
-            return failed(std::string(error->code), std::string(error->message));
+            if (!error) return login_failed("08P01", "malformed error");
+            return login_failed(std::string(error->code), std::string(error->message));
         }
         case 'Z':
-            if (!authenticated_ || message.body != "I") return failed("08P01", "ready before its time");
+            if (!authenticated_ || message.body != "I") return login_failed("08P01", "ready before its time");
             state_ = ServerState::up;
             status_ = 'I';
             return ServerEvent{ServerEvent::Kind::logged_in, {}, {}, {}, 'I'};
-        default: return failed("08P01", std::string("message out of turn in a login: ") + message.type);
+        default: return login_failed("08P01", std::string("message out of turn in a login: ") + message.type);
     }
 }
 
-std::optional<ServerEvent> ServerMachine::sasl(std::uint32_t kind, std::string_view body) {
+std::optional<ServerEvent> ServerMachine::handle_authentication(std::uint32_t kind, std::string_view body) {
     switch (kind) {
         case 0:
             if (scram_ && !scram_proven_)
-                return failed("08P01", "the server has not shown that it knows the secret");
+                return login_failed("08P01", "the server has not shown that it knows the secret");
             authenticated_ = true;
             return std::nullopt;
         case 5:
-            if (!options_.secret) return failed("28000", "the server asks for a password, and none is set");
-            if (body.size() != 4) return failed("08P01", "malformed salt");
+            if (!options_.secret)
+                return login_failed("28000", "the server asks for a password, and none is set");
+            if (body.size() != 4) return login_failed("08P01", "malformed salt");
             Writer(output_).begin('p').text(md5_answer(options_.user, options_.secret->password, body)).end();
             return std::nullopt;
         case 10: {
-            if (!options_.secret) return failed("28000", "the server asks for a password, and none is set");
+            if (!options_.secret)
+                return login_failed("28000", "the server asks for a password, and none is set");
             Fields fields(body);
             bool offered = false;
             for (auto name = fields.text(); !name.empty(); name = fields.text()) offered |= name == mechanism;
-            if (!offered) return failed("28000", "the server offers no SCRAM-SHA-256");
+            if (!offered) return login_failed("28000", "the server offers no SCRAM-SHA-256");
             scram_.emplace(*options_.secret, options_.nonce);
-            const std::string first = scram_->first();
+            const std::string client_first = scram_->first();
             Writer(output_)
                 .begin('p')
                 .text(mechanism)
-                .i32(static_cast<std::uint32_t>(first.size()))
-                .bytes(first)
+                .i32(static_cast<std::uint32_t>(client_first.size()))
+                .bytes(client_first)
                 .end();
             return std::nullopt;
         }
         case 11: {
             const auto final = scram_ ? scram_->final(body) : std::nullopt;
-            if (!final) return failed("08P01", "malformed SCRAM message");
+            if (!final) return login_failed("08P01", "malformed SCRAM message");
             Writer(output_).begin('p').bytes(*final).end();
             return std::nullopt;
         }
         case 12:
             if (!scram_ || !scram_->proven(body))
-                return failed("28P01", "the server does not know the secret");
+                return login_failed("28P01", "the server does not know the secret");
             scram_proven_ = true;
             return std::nullopt;
-        default: return failed("28000", "the server asks for authentication of kind " + std::to_string(kind));
+        default:
+            return login_failed("28000",
+                                "the server asks for authentication of kind " + std::to_string(kind));
     }
 }
 
-void ServerMachine::report(const Message& message) {
+void ServerMachine::store_parameter(const Message& message) {
     const auto setting = read_setting(message.body);
     if (setting)
         parameters_[lower(setting->name)] = {std::string(setting->name), std::string(setting->value)};
 }
 
-// -------------------------------------------------------------------------------------------------- answers
+// --- Answers ---
 
-ServerEvent ServerMachine::spoil(std::string text, std::string code) {
-    state_ = ServerState::spoilt;
-    return {ServerEvent::Kind::spoilt, {}, std::move(text), std::move(code), status_};
+ServerEvent ServerMachine::break_connection(std::string text, std::string code) {
+    state_ = ServerState::broken;
+    return {ServerEvent::Kind::broken, {}, std::move(text), std::move(code), status_};
 }
 
 std::optional<ServerEvent> ServerMachine::next() {
     if (state_ == ServerState::asking_tls || state_ == ServerState::logging_in) return next_login();
     while (state_ == ServerState::up) {
-        if (!dues_.empty() && dues_.front().kind == Expect::local && !row_open_) {
-            ServerEvent event{ServerEvent::Kind::local, {}, std::move(dues_.front().text), {}, status_};
-            dues_.pop_front();
+        if (!expected_answers_.empty() && expected_answers_.front().kind == AnswerKind::local &&
+            !message_open_) {
+            ServerEvent event{
+                ServerEvent::Kind::local_answer, {}, std::move(expected_answers_.front().text), {}, status_};
+            expected_answers_.pop_front();
             return event;
         }
         const auto message = decoder_.next();
         if (!message) {
-            if (!decoder_.error().empty()) return spoil(decoder_.error(), "08P01");
+            if (!decoder_.error().empty()) return break_connection(decoder_.error(), "08P01");
             return std::nullopt;
         }
-        bool passes = true;
+        bool passes_on = true;
         if (message->first) {
-            if (auto event = take(*message, passes)) return event;
+            if (auto event = handle_message(*message, passes_on)) return event;
         } else {
-            passes = row_passes_;
+            passes_on = message_passes_;
         }
-        row_open_ = !message->last;
-        row_passes_ = passes;
-        if (passes) return ServerEvent{ServerEvent::Kind::message, *message, {}, {}, status_};
+        message_open_ = !message->last;
+        message_passes_ = passes_on;
+        if (passes_on) return ServerEvent{ServerEvent::Kind::message, *message, {}, {}, status_};
     }
     return std::nullopt;
 }
 
-bool ServerMachine::pop(Expect kind) {
-    if (dues_.empty() || dues_.front().kind != kind) return false;
-    dues_.pop_front();
+bool ServerMachine::pop_if(AnswerKind kind) {
+    if (expected_answers_.empty() || expected_answers_.front().kind != kind) return false;
+    expected_answers_.pop_front();
     return true;
 }
 
-// An event where the message is not, or not only, one to be passed on.
-std::optional<ServerEvent> ServerMachine::take(const Message& message, bool& passes) {
-    const bool any = !dues_.empty();
-    const Expect head = any ? dues_.front().kind : Expect::query;
-    const auto due_now = [&](std::initializer_list<Expect> kinds) {
-        return any && std::find(kinds.begin(), kinds.end(), head) != kinds.end();
+// Returns an event if the message is not simply passed on.
+std::optional<ServerEvent> ServerMachine::handle_message(const Message& message, bool& passes_on) {
+    const bool has_expected = !expected_answers_.empty();
+    const AnswerKind first = has_expected ? expected_answers_.front().kind : AnswerKind::query;
+    const auto expecting = [&](std::initializer_list<AnswerKind> kinds) {
+        return has_expected && std::find(kinds.begin(), kinds.end(), first) != kinds.end();
     };
-    const bool own = any && head == Expect::own;
-    const bool hidden = any && dues_.front().hidden;
-    passes = !own && !hidden;
+    const bool own = has_expected && first == AnswerKind::internal;
+    const bool hidden = has_expected && expected_answers_.front().hidden;
+    passes_on = !own && !hidden;
     bool in_turn = true;
     switch (message.type) {
         case 'N':
-        case 'A': passes = !own; return std::nullopt;
+        case 'A': passes_on = !own; return std::nullopt;
         case 'S':
-            report(message);
-            passes = !own;
+            store_parameter(message);
+            passes_on = !own;
             return std::nullopt;
-        case 'E': return take_error(message);
-        case 'Z': return take_ready(message);
+        case 'E': return handle_error(message);
+        case 'Z': return handle_ready(message);
         case '1':
-            if (in_turn = due_now({Expect::parse}); in_turn) {
-                const auto known = known_.find(dues_.front().text);
-                if (known != known_.end()) known->second.confirmed = true;
-                dues_.pop_front();
+            if (in_turn = expecting({AnswerKind::parse}); in_turn) {
+                const auto entry = prepared_.find(expected_answers_.front().text);
+                if (entry != prepared_.end()) entry->second.confirmed = true;
+                expected_answers_.pop_front();
             }
             break;
-        case '2': in_turn = pop(Expect::bind); break;
-        case '3': in_turn = pop(Expect::close); break;
-        case 't': in_turn = due_now({Expect::describe}); break;
-        case 'T': in_turn = due_now({Expect::query, Expect::own}) || pop(Expect::describe); break;
-        case 'n': in_turn = pop(Expect::describe); break;
+        case '2': in_turn = pop_if(AnswerKind::bind); break;
+        case '3': in_turn = pop_if(AnswerKind::close); break;
+        case 't': in_turn = expecting({AnswerKind::describe}); break;
+        case 'T':
+            in_turn = expecting({AnswerKind::query, AnswerKind::internal}) || pop_if(AnswerKind::describe);
+            break;
+        case 'n': in_turn = pop_if(AnswerKind::describe); break;
         case 'D':
         case 'G':
         case 'H':
         case 'W':
         case 'd':
-        case 'c': in_turn = due_now({Expect::query, Expect::own, Expect::execute}); break;
+        case 'c': in_turn = expecting({AnswerKind::query, AnswerKind::internal, AnswerKind::execute}); break;
         case 'I':
         case 'C': {
-            in_turn = due_now({Expect::query, Expect::own}) || pop(Expect::execute);
+            in_turn = expecting({AnswerKind::query, AnswerKind::internal}) || pop_if(AnswerKind::execute);
             const auto tag = message.type == 'C' ? read_text(message.body) : std::string_view();
-            if (!tag) return spoil("malformed command tag", "08P01");
-            if (*tag == "DISCARD ALL" || *tag == "DEALLOCATE ALL") forget_all();
+            if (!tag) return break_connection("malformed command tag", "08P01");
+            if (*tag == "DISCARD ALL" || *tag == "DEALLOCATE ALL") clear_prepared();
             break;
         }
-        case 's': in_turn = pop(Expect::execute); break;
-        case 'V': in_turn = due_now({Expect::function}); break;
+        case 's': in_turn = pop_if(AnswerKind::execute); break;
+        case 'V': in_turn = expecting({AnswerKind::function}); break;
         default: in_turn = false; break;
     }
-    if (!in_turn) return spoil(std::string("message out of turn: '") + message.type + "'", "08P01");
+    if (!in_turn)
+        return break_connection(std::string("message out of turn: '") + message.type + "'", "08P01");
     return std::nullopt;
 }
 
-std::optional<ServerEvent> ServerMachine::take_error(const Message& message) {
+std::optional<ServerEvent> ServerMachine::handle_error(const Message& message) {
     const auto error = read_error(message.body);
-    if (!error) return spoil("malformed error", "08P01");
+    if (!error) return break_connection("malformed error", "08P01");
     const bool fatal = error->severity == "FATAL" || error->severity == "PANIC";
-    if (fatal || dues_.empty()) return spoil(std::string(error->message), std::string(error->code));
-    Due& head = dues_.front();
-    if (head.kind == Expect::own) {
-        own_code_ = error->code;
-        own_text_ = error->message;
+    if (fatal || expected_answers_.empty())
+        return break_connection(std::string(error->message), std::string(error->code));
+    ExpectedAnswer& first = expected_answers_.front();
+    if (first.kind == AnswerKind::internal) {
+        internal_error_code_ = error->code;
+        internal_error_text_ = error->message;
         return std::nullopt;
     }
-    std::optional<ServerEvent> instead;
-    if (!head.instead.empty()) instead = {ServerEvent::Kind::local, {}, std::move(head.instead), {}, status_};
-    if (head.kind == Expect::query || head.kind == Expect::function || head.kind == Expect::sync)
-        return instead;
-    // Guards against a plan that the server will never take again: the statement is prepared anew next time.
+    std::optional<ServerEvent> replacement_error;
+    if (!first.replacement_error.empty())
+        replacement_error = {
+            ServerEvent::Kind::local_answer, {}, std::move(first.replacement_error), {}, status_};
+    if (first.kind == AnswerKind::query || first.kind == AnswerKind::function ||
+        first.kind == AnswerKind::sync)
+        return replacement_error;
+    // Prevents a plan that the server will reject forever: the statement is prepared anew next time.
     if (error->code == "0A000" && error->routine == "RevalidateCachedQuery") {
-        for (const Due& each : dues_) {
-            if (each.kind == Expect::sync) break;
-            const auto known = each.kind == Expect::bind ? known_.find(each.text) : known_.end();
-            if (known == known_.end()) continue;
-            known->second.stale = true;
+        for (const ExpectedAnswer& each : expected_answers_) {
+            if (each.kind == AnswerKind::sync) break;
+            const auto entry = each.kind == AnswerKind::bind ? prepared_.find(each.text) : prepared_.end();
+            if (entry == prepared_.end()) continue;
+            entry->second.stale = true;
             break;
         }
     }
-    skipping_ = true;
-    while (!dues_.empty() && dues_.front().kind != Expect::sync) {
-        const Due& dropped = dues_.front();
-        if (dropped.kind == Expect::parse) {
-            const auto known = known_.find(dropped.text);
-            if (known != known_.end() && !known->second.confirmed) forget(dropped.text);
+    skipping_to_sync_ = true;
+    while (!expected_answers_.empty() && expected_answers_.front().kind != AnswerKind::sync) {
+        const ExpectedAnswer& dropped = expected_answers_.front();
+        if (dropped.kind == AnswerKind::parse) {
+            const auto entry = prepared_.find(dropped.text);
+            if (entry != prepared_.end() && !entry->second.confirmed) remove_prepared(dropped.text);
             if (dropped.text.empty()) unnamed_.reset();
         }
-        dues_.pop_front();
+        expected_answers_.pop_front();
     }
-    if (!dues_.empty()) skipping_ = false;
-    return instead;
+    if (!expected_answers_.empty()) skipping_to_sync_ = false;
+    return replacement_error;
 }
 
-std::optional<ServerEvent> ServerMachine::take_ready(const Message& message) {
+std::optional<ServerEvent> ServerMachine::handle_ready(const Message& message) {
     const char status = message.body.front();
-    if (status != 'I' && status != 'T' && status != 'E') return spoil("malformed status", "08P01");
-    if (dues_.empty()) return spoil("ready out of turn", "08P01");
-    const Expect kind = dues_.front().kind;
-    if (kind != Expect::query && kind != Expect::own && kind != Expect::sync && kind != Expect::function)
-        return spoil("ready out of turn", "08P01");
-    dues_.pop_front();
+    if (status != 'I' && status != 'T' && status != 'E') return break_connection("malformed status", "08P01");
+    if (expected_answers_.empty()) return break_connection("ready out of turn", "08P01");
+    const AnswerKind kind = expected_answers_.front().kind;
+    if (kind != AnswerKind::query && kind != AnswerKind::internal && kind != AnswerKind::sync &&
+        kind != AnswerKind::function)
+        return break_connection("ready out of turn", "08P01");
+    expected_answers_.pop_front();
     status_ = status;
-    if (kind != Expect::own) return ServerEvent{ServerEvent::Kind::ready, {}, {}, {}, status};
-    ServerEvent event{ServerEvent::Kind::settled, {}, std::move(own_text_), std::move(own_code_), status};
-    own_text_.clear();
-    own_code_.clear();
+    if (kind != AnswerKind::internal) return ServerEvent{ServerEvent::Kind::ready, {}, {}, {}, status};
+    ServerEvent event{ServerEvent::Kind::internal_query_done,
+                      {},
+                      std::move(internal_error_text_),
+                      std::move(internal_error_code_),
+                      status};
+    internal_error_text_.clear();
+    internal_error_code_.clear();
     return event;
 }
 
-// ---------------------------------------------------------------------------------------------------- units
+// --- Units ---
 
 void ServerMachine::begin_unit() {
-    runs_.reset();
-    commits_.reset();
+    executing_offset_.reset();
+    committing_offset_.reset();
 }
 
 void ServerMachine::mark(bool runs, bool commits) {
-    if (runs && !runs_) runs_ = offset();
-    if (commits && !commits_) commits_ = offset();
+    if (runs && !executing_offset_) executing_offset_ = offset();
+    if (commits && !committing_offset_) committing_offset_ = offset();
 }
 
-void ServerMachine::due(Expect kind, bool hidden, std::string text) {
-    if (kind == Expect::sync) {
-        skipping_ = false;
-    } else if (skipping_) {
-        return;  // the server drops it
+void ServerMachine::expect_answer(AnswerKind kind, bool hidden, std::string text) {
+    if (kind == AnswerKind::sync) {
+        skipping_to_sync_ = false;
+    } else if (skipping_to_sync_) {
+        return;  // the server discards the message
     }
-    dues_.push_back({kind, hidden, std::move(text), {}});
+    expected_answers_.push_back({kind, hidden, std::move(text), {}});
 }
 
 void ServerMachine::query(std::string_view body) {
     Writer(output_).begin('Q').bytes(body).end();
-    due(Expect::query);
-    unnamed_.reset();  // a simple query ends the unnamed statement
+    expect_answer(AnswerKind::query);
+    unnamed_.reset();  // a simple query destroys the unnamed statement
 }
 
 void ServerMachine::parse(const std::string& name, const PreparedPtr& statement, bool hidden) {
-    const auto known = known_.find(name);
-    if (known != known_.end() && known->second.stale) {
+    const auto entry = prepared_.find(name);
+    if (entry != prepared_.end() && entry->second.stale) {
         Writer(output_).begin('C').i8('S').text(name).end();
-        due(Expect::close, true);
-        forget(name);
+        expect_answer(AnswerKind::close, true);
+        remove_prepared(name);
     }
     Writer(output_).begin('P').text(name).text(statement->text).bytes(statement->types).end();
-    due(Expect::parse, hidden, name);
-    if (skipping_) return;
+    expect_answer(AnswerKind::parse, hidden, name);
+    if (skipping_to_sync_) return;
     if (name.empty()) {
         unnamed_ = statement;
     } else {
-        remember(name, statement);
+        record_prepared(name, statement);
     }
 }
 
 void ServerMachine::bind(std::string_view portal, const std::string& statement, std::string_view rest) {
     Writer(output_).begin('B').text(portal).text(statement).bytes(rest).end();
-    due(Expect::bind, false, statement);
+    expect_answer(AnswerKind::bind, false, statement);
 }
 
 void ServerMachine::describe(char kind, std::string_view name) {
     Writer(output_).begin('D').i8(kind).text(name).end();
-    due(Expect::describe);
+    expect_answer(AnswerKind::describe);
 }
 
 void ServerMachine::execute(std::string_view body) {
     Writer(output_).begin('E').bytes(body).end();
-    due(Expect::execute);
+    expect_answer(AnswerKind::execute);
 }
 
 void ServerMachine::close(char kind, std::string_view name) {
     Writer(output_).begin('C').i8(kind).text(name).end();
-    due(Expect::close);
+    expect_answer(AnswerKind::close);
     if (kind != 'S') return;
     if (name.empty()) unnamed_.reset();
-    forget(std::string(name));
+    remove_prepared(std::string(name));
 }
 
 void ServerMachine::flush() { Writer(output_).empty('H'); }
 
 void ServerMachine::sync() {
     Writer(output_).empty('S');
-    due(Expect::sync);
+    expect_answer(AnswerKind::sync);
 }
 
 void ServerMachine::function_call(std::string_view body) {
     Writer(output_).begin('F').bytes(body).end();
-    due(Expect::function);
+    expect_answer(AnswerKind::function);
 }
 
 void ServerMachine::copy(const Message& piece) {
@@ -412,83 +431,85 @@
     output_ += piece.body;
 }
 
-void ServerMachine::answer_locally(std::string bytes) { due(Expect::local, false, std::move(bytes)); }
+void ServerMachine::answer_locally(std::string bytes) {
+    expect_answer(AnswerKind::local, false, std::move(bytes));
+}
 
-void ServerMachine::unsend_sync() {
-    for (auto each = dues_.rbegin(); each != dues_.rend(); ++each) {
-        if (each->kind != Expect::sync) continue;
-        dues_.erase(std::next(each).base());
+void ServerMachine::forget_sync() {
+    for (auto each = expected_answers_.rbegin(); each != expected_answers_.rend(); ++each) {
+        if (each->kind != AnswerKind::sync) continue;
+        expected_answers_.erase(std::next(each).base());
         return;
     }
 }
 
 namespace {
-// No statement: the parser of no version takes it.
-constexpr std::string_view no_statement = "refused before it came here";
+// Not valid SQL in any version.
+constexpr std::string_view invalid_statement = "refused before it came here";
 }  // namespace
 
 void ServerMachine::fail_query(std::string error) {
-    Writer(output_).begin('Q').text(no_statement).end();
-    due(Expect::query);
+    Writer(output_).begin('Q').text(invalid_statement).end();
+    expect_answer(AnswerKind::query);
     unnamed_.reset();
-    dues_.back().instead = std::move(error);
+    expected_answers_.back().replacement_error = std::move(error);
 }
 
 void ServerMachine::fail_segment(std::string error) {
-    Writer(output_).begin('P').text("").text(no_statement).i16(0).end();
-    if (skipping_) return;
-    due(Expect::parse);
+    Writer(output_).begin('P').text("").text(invalid_statement).i16(0).end();
+    if (skipping_to_sync_) return;
+    expect_answer(AnswerKind::parse);
     unnamed_.reset();
-    dues_.back().instead = std::move(error);
+    expected_answers_.back().replacement_error = std::move(error);
 }
 
-void ServerMachine::own_query(std::string_view text) {
+void ServerMachine::internal_query(std::string_view text) {
     Writer(output_).begin('Q').text(text).end();
-    due(Expect::own);
+    expect_answer(AnswerKind::internal);
     unnamed_.reset();
 }
 
 void ServerMachine::terminate() { Writer(output_).empty('X'); }
 
-// ------------------------------------------------------------------------------------------------ statements
+// --- Prepared statements ---
 
-bool ServerMachine::has(const std::string& name, const PreparedPtr& statement) const {
+bool ServerMachine::is_prepared(const std::string& name, const PreparedPtr& statement) const {
     if (name.empty()) return unnamed_ == statement;
-    const auto known = known_.find(name);
-    return known != known_.end() && known->second.statement == statement && !known->second.stale;
+    const auto entry = prepared_.find(name);
+    return entry != prepared_.end() && entry->second.statement == statement && !entry->second.stale;
 }
 
-void ServerMachine::ensure(const std::string& name, const PreparedPtr& statement) {
-    if (!has(name, statement)) return parse(name, statement, true);
-    const auto known = known_.find(name);
-    if (known != known_.end()) order_.splice(order_.end(), order_, known->second.place);
+void ServerMachine::ensure_prepared(const std::string& name, const PreparedPtr& statement) {
+    if (!is_prepared(name, statement)) return parse(name, statement, true);
+    const auto entry = prepared_.find(name);
+    if (entry != prepared_.end()) lru_order_.splice(lru_order_.end(), lru_order_, entry->second.position);
 }
 
-void ServerMachine::remember(const std::string& name, const PreparedPtr& statement) {
-    if (known_.contains(name)) return;  // the server keeps what it has
-    order_.push_back(name);
-    known_[name] = {statement, false, false, std::prev(order_.end())};
+void ServerMachine::record_prepared(const std::string& name, const PreparedPtr& statement) {
+    if (prepared_.contains(name)) return;  // the server keeps the existing statement
+    lru_order_.push_back(name);
+    prepared_[name] = {statement, false, false, std::prev(lru_order_.end())};
 }
 
-void ServerMachine::forget(const std::string& name) {
-    const auto known = known_.find(name);
-    if (known == known_.end()) return;
-    order_.erase(known->second.place);
-    known_.erase(known);
+void ServerMachine::remove_prepared(const std::string& name) {
+    const auto entry = prepared_.find(name);
+    if (entry == prepared_.end()) return;
+    lru_order_.erase(entry->second.position);
+    prepared_.erase(entry);
 }
 
-void ServerMachine::forget_oldest() {
-    while (known_.size() > options_.prepared_most) {
-        const std::string name = order_.front();
+void ServerMachine::close_least_recently_used() {
+    while (prepared_.size() > options_.prepared_most) {
+        const std::string name = lru_order_.front();
         Writer(output_).begin('C').i8('S').text(name).end();
-        due(Expect::close, true);
-        forget(name);
+        expect_answer(AnswerKind::close, true);
+        remove_prepared(name);
     }
 }
 
-void ServerMachine::forget_all() {
-    known_.clear();
-    order_.clear();
+void ServerMachine::clear_prepared() {
+    prepared_.clear();
+    lru_order_.clear();
     unnamed_.reset();
 }
 
