--- a/src/pg/server_machine.h
+++ b/src/pg/server_machine.h
@@ -1,13 +1,18 @@
-// One connection to a server, without its socket: login as a client of it, then units, each of which is a
-// stream of messages out and answers in. It knows which answers are due, so that one out of turn is seen, and
-// at which byte of its output each message that matters for the rules begins.
+// Protocol state machine of one server connection, independent of its socket: login as a client of the
+// server,
+// then units. A unit is a sequence of messages to the server and its answers. The machine tracks which
+// answers
+// are expected, which detects answers out of order. It also tracks the byte offset in the output at which
+// each
+// message starts that may execute or commit something.
 //
-// Threading: one thread at a time.   Ownership: views in an event point into the machine, until its next
-//            call; the secret in the options is borrowed.
-// Use:       after receive() and every call that may bring something, pull next() until it is empty; then
-//            write output() and tell wrote().
-// Errors:    `failed` before the login is over, `spoilt` after: the connection is of no use any more, for
-//            whatever reason; nothing comes after that.
+// Threading: one thread at a time.
+// Ownership: views in an event point into the machine and are valid until its next call; the secret in the
+//            options is borrowed.
+// Use: after receive() and every call that may cause an event, call next() until it returns nothing; then
+//            write output() and report the written bytes by wrote().
+// Errors:    `failed` before the login has completed, `broken` afterwards: the connection can't be used any
+//            more, whatever the reason, and no event follows.
 // Format:    https://www.postgresql.org/docs/15/protocol-flow.html
 #pragma once
 
@@ -28,33 +33,33 @@
 namespace flaxdoor::pg {
 
 enum class ServerState : std::uint8_t {
-    asking_tls,  // the server's one byte is due
-    securing,    // the owner shakes hands, then calls secured()
+    asking_tls,  // expects the server's one-byte answer
+    securing,    // the owner performs the handshake, then calls secured()
     logging_in,
     up,
-    spoilt,
+    broken,
 };
 [[nodiscard]] std::string_view text_of(ServerState state);
 
 struct ServerOptions {
     std::string user, database;
-    ScramSecret* secret = nullptr;  // null: no password is known
+    ScramSecret* secret = nullptr;  // null: no password is configured
     enum class Tls : std::uint8_t { off, prefer, verify_full } tls = Tls::off;
     std::string nonce;
     Limits limits{};
-    std::size_t prepared_most = 200;  // statements that are kept prepared there
+    std::size_t prepared_most = 200;  // statements that stay prepared at the server
 };
 
 struct ServerEvent {
     enum class Kind : std::uint8_t {
-        begin_tls,  // shake hands; what stands in output() must have gone before
+        begin_tls,  // the owner performs the handshake once output() has been written
         logged_in,
-        failed,   // the login: code (empty where there is none) and text
-        message,  // for the client, as it came
-        local,    // bytes for the client that stand in the place of an answer
-        ready,    // a unit's end for the client: status
-        settled,  // an own query has ended; code and text where it failed
-        spoilt,   // code and text
+        failed,               // the login failed: `text`, and `code` if the server sent one
+        message,              // for the client, unchanged
+        local_answer,         // bytes for the client in place of a server's answer
+        ready,                // end of a unit or segment for the client: `status`
+        internal_query_done,  // an internal query has ended; `code` and `text` if it failed
+        broken,               // the connection is unusable: `code` and `text`
     };
     Kind kind = Kind::message;
     Message message{};
@@ -70,36 +75,39 @@
     [[nodiscard]] std::optional<ServerEvent> next();
     void secured();
 
-    std::string_view output() const { return std::string_view(output_).substr(written_here_); }
+    std::string_view output() const { return std::string_view(output_).substr(output_written_); }
     void wrote(std::size_t bytes);
 
     ServerState state() const { return state_; }
-    char status() const { return status_; }  // of the last ReadyForQuery
+    char status() const { return status_; }  // of the latest ReadyForQuery
     Key key() const { return key_; }
-    // What the server reported last, by its name in lower case.
+    // A parameter that the server has reported; parameters() has the latest ones by name in lower case.
     struct Reported {
         std::string name, value;
     };
     const std::map<std::string, Reported>& parameters() const { return parameters_; }
     bool is_standby() const;
-    // No answer is due: it can be put by, or closed politely.
-    bool quiet() const { return state_ == ServerState::up && dues_.empty(); }
-    // A ReadyForQuery is due without another word to the server.
-    bool ends_by_itself() const;
-    // Bytes of a message stand half read: whoever the connection is given to would get the rest.
+    // Returns true if no answer is expected: the connection can become idle, or be closed by Terminate.
+    bool is_idle() const { return state_ == ServerState::up && expected_answers_.empty(); }
+    // Returns true if a ReadyForQuery will follow without another message to the server.
+    bool ready_will_follow() const;
+    // Returns false while a message is partly read: the next client of the connection would receive the rest
+    // of it.
     bool between_messages() const { return decoder_.between_messages(); }
 
-    // ------------------------------------------------------------------------------------------------- a
-    // unit Forgets the marks of the unit before.
+    // --- One unit ---
+
+    // Clears the offsets of the previous unit.
     void begin_unit();
-    // Within a transaction that is open by the server's word: nothing of it has been committed.
-    void begin_segment() { commits_.reset(); }
-    // Whether the server may have begun to run something of the unit, or to end a transaction of it otherwise
-    // than by rollback: whether a byte of such a message was handed over.
-    bool may_have_run() const { return runs_ && written_ > *runs_; }
-    bool may_have_committed() const { return commits_ && written_ > *commits_; }
-
-    // The next message that is written runs something, or may commit.
+    // Starts a segment within a transaction that the server has reported as open, so that nothing of the
+    // transaction has been committed.
+    void begin_segment() { committing_offset_.reset(); }
+    // Returns whether the server may have begun to execute something of the unit, or to end its transaction
+    // other than by rollback: whether any byte of such a message was written.
+    bool may_have_run() const { return executing_offset_ && total_written_ > *executing_offset_; }
+    bool may_have_committed() const { return committing_offset_ && total_written_ > *committing_offset_; }
+
+    // Records that the next message to be written executes something, or may commit.
     void mark(bool runs, bool commits);
     void query(std::string_view body);
     void parse(const std::string& name, const PreparedPtr& statement, bool hidden);
@@ -110,34 +118,36 @@
     void flush();
     void sync();
     void function_call(std::string_view body);
-    // CopyData (in pieces), CopyDone, CopyFail.
+    // Passes on CopyData (in pieces), CopyDone or CopyFail.
     void copy(const Message& piece);
-    // Stands in the place of an answer: handed out when all that is due before has come.
+    // Queues `bytes` in place of an answer; they are returned after all answers that were expected before.
     void answer_locally(std::string bytes);
-    // The Sync that was sent last has been read by a COPY, which takes no notice of it.
-    void unsend_sync();
-    // Makes the server fail, as it would have to for what is refused here: the client gets `error` for its
-    // word.
+    // The server was in COPY mode when it read the latest Sync and ignored it, so no answer to it is
+    // expected.
+    void forget_sync();
+    // Makes the server fail, as if it had rejected what the balancer rejects, so that its transaction state
+    // matches the client's. The client receives `error` in place of the server's error.
     void fail_query(std::string error);
     void fail_segment(std::string error);
-    // A query of our own: its answers are not for the client.
-    void own_query(std::string_view text);
+    // Sends a query of the balancer itself; its answers are not passed to the client.
+    void internal_query(std::string_view text);
     void terminate();
 
-    // ----------------------------------------------------------------------------------------------
-    // statements Whether this statement is prepared there under this name and good.
-    bool has(const std::string& name, const PreparedPtr& statement) const;
-    // Prepares it, unseen by the client, where it is not.
-    void ensure(const std::string& name, const PreparedPtr& statement);
-    // So that no more than allowed are kept; between units.
-    void forget_oldest();
-    void forget_all();
+    // --- Prepared statements ---
+
+    // Returns true if the statement is prepared at the server under this name and usable.
+    bool is_prepared(const std::string& name, const PreparedPtr& statement) const;
+    // Prepares the statement unless it is prepared already; the client does not see the answer.
+    void ensure_prepared(const std::string& name, const PreparedPtr& statement);
+    // Closes the least recently used statements beyond the limit; only between units.
+    void close_least_recently_used();
+    void clear_prepared();
     PreparedPtr unnamed() const { return unnamed_; }
 
 private:
-    enum class Expect : std::uint8_t {
+    enum class AnswerKind : std::uint8_t {
         query,
-        own,
+        internal,
         parse,
         bind,
         describe,
@@ -147,53 +157,55 @@
         function,
         local
     };
-    struct Due {
-        Expect kind = Expect::query;
+    struct ExpectedAnswer {
+        AnswerKind kind = AnswerKind::query;
         bool hidden = false;
-        std::string text;     // local: the bytes; parse, bind: the statement's name there
-        std::string instead;  // for the client, in the place of the error that is sure to come
+        std::string text;               // local: the bytes; parse, bind: the statement's name at the server
+        std::string replacement_error;  // sent to the client in place of the error that is certain to follow
     };
-    struct Known {
+    struct PreparedEntry {
         PreparedPtr statement;
         bool confirmed = false, stale = false;
-        std::list<std::string>::iterator place;
+        std::list<std::string>::iterator position;
     };
 
     std::optional<ServerEvent> next_login();
-    std::optional<ServerEvent> login(const Message& message);
-    std::optional<ServerEvent> sasl(std::uint32_t kind, std::string_view body);
-    std::optional<ServerEvent> take(const Message& message, bool& passed);
-    std::optional<ServerEvent> take_error(const Message& message);
-    std::optional<ServerEvent> take_ready(const Message& message);
-    ServerEvent failed(std::string code, std::string text);
-    ServerEvent spoil(std::string text, std::string code = {});
-    void report(const Message& message);
-    bool pop(Expect kind);
-    void due(Expect kind, bool hidden = false, std::string text = {});
-    void remember(const std::string& name, const PreparedPtr& statement);
-    void forget(const std::string& name);
+    std::optional<ServerEvent> handle_login_message(const Message& message);
+    std::optional<ServerEvent> handle_authentication(std::uint32_t kind, std::string_view body);
+    std::optional<ServerEvent> handle_message(const Message& message, bool& passes_on);
+    std::optional<ServerEvent> handle_error(const Message& message);
+    std::optional<ServerEvent> handle_ready(const Message& message);
+    ServerEvent login_failed(std::string code, std::string text);
+    ServerEvent break_connection(std::string text, std::string code = {});
+    void store_parameter(const Message& message);
+    bool pop_if(AnswerKind kind);
+    void expect_answer(AnswerKind kind, bool hidden = false, std::string text = {});
+    void record_prepared(const std::string& name, const PreparedPtr& statement);
+    void remove_prepared(const std::string& name);
     void unconfirm();
-    std::size_t offset() const { return written_ + output_.size() - written_here_; }
+    std::size_t offset() const { return total_written_ + output_.size() - output_written_; }
 
     ServerOptions options_;
     Decoder decoder_;
     ServerState state_;
     std::string output_;
-    std::size_t written_here_ = 0;  // of output_
-    std::size_t written_ = 0;       // since the begin
+    std::size_t output_written_ = 0;  // bytes of output_ that were written
+    std::size_t total_written_ = 0;   // bytes that were written since the connection was opened
     std::optional<ScramClient> scram_;
     bool scram_proven_ = false, authenticated_ = false;
     char status_ = 'I';
     Key key_;
     std::map<std::string, Reported> parameters_;
-    std::deque<Due> dues_;
-    std::string own_code_, own_text_;  // how the own query under way has failed
-    bool skipping_ = false;            // an error came: the server drops all up to the Sync
-    bool row_open_ = false;            // a message is coming in pieces, and whether it is for the client
-    bool row_passes_ = false;
-    std::optional<std::size_t> runs_, commits_;  // offsets in the output
-    std::unordered_map<std::string, Known> known_;
-    std::list<std::string> order_;  // the one used last stands last
+    std::deque<ExpectedAnswer> expected_answers_;
+    std::string internal_error_code_, internal_error_text_;  // error of the internal query in progress
+    bool skipping_to_sync_ = false;  // after an error, the server discards all messages up to the Sync
+    // message_open_: a message is arriving in pieces. message_passes_: that message is for the client.
+    bool message_open_ = false;
+    bool message_passes_ = false;
+    // Offsets in the output, counted as in total_written_.
+    std::optional<std::size_t> executing_offset_, committing_offset_;
+    std::unordered_map<std::string, PreparedEntry> prepared_;
+    std::list<std::string> lru_order_;  // the most recently used one is last
     PreparedPtr unnamed_;
 };
 
--- a/src/pg/service.h
+++ b/src/pg/service.h
@@ -1,8 +1,10 @@
-// All of PostgreSQL put together: a front, and for each database a pool of the core with its back.
+// PostgreSQL service of the balancer: one listener, and for each database a pool of the core with its server
+// connections.
 //
-// Threading: the loop's one.   Ownership: core, clock and log are borrowed and outlive it.
-// Errors:    the constructor throws std::invalid_argument when a pool's settings contradict themselves, and
-//            boost::system::system_error when the address can't be listened on.
+// Threading: the loop's thread only.
+// Ownership: core, clock and log are borrowed and must outlive the object.
+// Errors:    the constructor throws std::invalid_argument if a pool's settings contradict each other, and
+//            boost::system::system_error if the address can't be listened on.
 #pragma once
 
 #include <map>
@@ -22,20 +24,20 @@
 namespace flaxdoor::pg {
 
 struct DatabaseOptions {
-    std::string name;  // as clients ask for it
+    std::string name;  // database name that clients request
     Settings settings;
     BackOptions back;
-    FrontDatabase front;  // pool and back are filled in here
+    FrontDatabase front;  // pool and back are set by Service
     std::vector<core::Member> members;
 };
 
 struct ServiceOptions {
     loop::tcp::endpoint listen;
-    FrontOptions front;  // databases are filled in here
+    FrontOptions front;  // databases are set by Service
     std::vector<DatabaseOptions> databases;
     Secrets secrets;
-    std::size_t logins_at_once = 4;   // at one server, over all pools
-    std::size_t servers_most = 1000;  // connections to servers
+    std::size_t logins_at_once = 4;   // maximum number of concurrent logins at one server, over all pools
+    std::size_t servers_most = 1000;  // maximum number of connections to servers
     std::uint64_t seed = 0;
     Micros role_again = std::chrono::seconds(1);  // until a server of the wrong role is listed again
 };
@@ -44,11 +46,11 @@
 public:
     Service(const loop::Executor& executor, core::Core& core, const loop::Clock& clock,
             ServiceOptions options);
-    // Answers what is open.
+    // Ends all clients with an error.
     ~Service();
 
     loop::tcp::endpoint address() const { return front_->address(); }
-    // Servers, limits, users and files; databases that come or go take a restart.
+    // Applies servers, limits, users and files. Adding or removing a database takes effect at a restart.
     void change(ServiceOptions options);
 
     void begin_drain() { front_->begin_drain(); }
@@ -57,7 +59,7 @@
 
     FrontFigures figures() const { return front_->figures(); }
     std::size_t links() const { return budget_.open; }
-    Micros longest_deadline() const { return longest_; }
+    Micros longest_deadline() const { return longest_deadline_; }
 
 private:
     struct Database {
@@ -65,20 +67,20 @@
         std::unique_ptr<Back> back;
         std::uint64_t version = 0;
         std::vector<core::Member> members;
-        // Of these, those that have said to have another role, and when they are listed again.
-        std::map<UpstreamId, std::unique_ptr<Alarms::One>> wrong;
+        // Those of `members` that have reported another role; the timer lists each again.
+        std::map<UpstreamId, std::unique_ptr<TimerSet::Timer>> wrong_role;
     };
 
-    void give_front(FrontOptions& front, DatabaseOptions& options, Database& database);
-    void tell_members(Database& database);
+    void add_to_listener(FrontOptions& front, DatabaseOptions& options, Database& database);
+    void publish_members(Database& database);
     void on_role(Database& database, UpstreamId upstream, bool right);
-    void list_again(Database& database, UpstreamId upstream);
+    void relist(Database& database, UpstreamId upstream);
 
     core::Core& core_;
-    Alarms alarms_;
+    TimerSet timers_;
     LoginGate gate_;
     ServerBudget budget_;
-    Micros longest_{};
+    Micros longest_deadline_{};
     Micros role_again_{};
     Secrets secrets_;
     std::map<std::string, Database> databases_;
--- a/src/pg/session.cpp
+++ b/src/pg/session.cpp
@@ -9,11 +9,12 @@
 
 namespace {
 
-// Settings that the server reports and that a client may choose: they go with it from server to server.
-constexpr std::array carried{"client_encoding", "datestyle",        "timezone",
-                             "intervalstyle",   "application_name", "standard_conforming_strings"};
+// Settings that the server reports and a client may choose: they are carried over from server to server.
+constexpr std::array carried_over_settings{"client_encoding",  "datestyle",
+                                           "timezone",         "intervalstyle",
+                                           "application_name", "standard_conforming_strings"};
 
-// As an E'' string, which reads the same whatever standard_conforming_strings says.
+// Quotes the text as an E'' string, whose meaning does not depend on standard_conforming_strings.
 std::string quoted(std::string_view text) {
     std::string out = "E'";
     for (const char c : text) {
@@ -28,7 +29,7 @@
     sql += "pg_catalog.set_config(" + quoted(name) + ", " + quoted(value) + ", false)";
 }
 
-// Of a transaction that was lost, or can't be told what came of it.
+// The error of statements in a transaction that was lost or whose outcome is unknown.
 constexpr std::string_view in_failed_transaction =
     "current transaction is aborted, commands ignored until end of transaction block";
 
@@ -39,30 +40,31 @@
 
 }  // namespace
 
-bool Session::carries(std::string_view setting) {
+bool Session::is_carried_over(std::string_view setting) {
     const std::string name = lower(setting);
-    return std::any_of(carried.begin(), carried.end(), [&](const char* each) { return name == each; });
+    return std::any_of(carried_over_settings.begin(), carried_over_settings.end(),
+                       [&](const char* each) { return name == each; });
 }
 
 Session::Session(SessionHost& host, Statements& statements, SessionOptions options,
-                 std::vector<StartupOption> wanted)
-    : host_(host), statements_(statements), options_(options), wanted_(std::move(wanted)) {}
+                 std::vector<StartupOption> client_settings)
+    : host_(host), statements_(statements), options_(options), client_settings_(std::move(client_settings)) {}
 
-void Session::hello() {
-    kind_ = UnitKind::hello;
-    hello_ = true;
+void Session::request_parameters() {
+    unit_kind_ = UnitKind::parameters_only;
+    requesting_parameters_ = true;
     phase_ = Phase::waiting;
-    take_unit(false);
+    request_server(false);
 }
 
 void Session::begin(const std::map<std::string, ServerMachine::Reported>& parameters) {
     parameters_ = parameters;
-    for (const auto& option : wanted_) {
+    for (const auto& option : client_settings_) {
         const auto known = parameters_.find(lower(option.name));
-        if (known != parameters_.end() && carries(known->first)) known->second.value = option.value;
+        if (known != parameters_.end() && is_carried_over(known->first)) known->second.value = option.value;
     }
-    std::erase_if(wanted_, [&](const auto& option) {
-        return carries(option.name) && parameters_.contains(lower(option.name));
+    std::erase_if(client_settings_, [&](const auto& option) {
+        return is_carried_over(option.name) && parameters_.contains(lower(option.name));
     });
     begun_ = true;
 }
@@ -73,37 +75,37 @@
     return all;
 }
 
-// -------------------------------------------------------------------------------------------------- the
-// client
+// --- Client messages ---
 
-bool Session::can_take() const {
+bool Session::can_accept_message() const {
     switch (phase_) {
         case Phase::idle: return begun_;
         case Phase::skipping: return true;
-        case Phase::waiting: return begun_ && held_bytes_ < options_.held_most && !held_whole();
+        case Phase::waiting: return begun_ && buffered_bytes_ < options_.held_most && !unit_is_complete();
         case Phase::running: return segment_.copying || (!segment_.sync_sent && !segment_.query_sent);
         case Phase::over: return false;
     }
     return false;
 }
 
-void Session::take(const Message& message) {
+void Session::on_message(const Message& message) {
     if (phase_ == Phase::over) return;
     if (message.type == 'X') return on_client_gone();
-    if (!well_formed(message)) return violated(std::string("malformed message '") + message.type + "'");
+    if (!is_well_formed(message))
+        return protocol_violation(std::string("malformed message '") + message.type + "'");
     switch (phase_) {
-        case Phase::idle: return take_idle(message);
-        case Phase::waiting: return hold(message);
-        case Phase::running: hold(message); return forward(message);
+        case Phase::idle: return handle_idle(message);
+        case Phase::waiting: return buffer_message(message);
+        case Phase::running: buffer_message(message); return forward(message);
         case Phase::skipping:
             if (message.type != 'S') return;
             phase_ = Phase::idle;
-            return write_ready(out(), status_);
+            return write_ready(output(), status_);
         case Phase::over: return;
     }
 }
 
-bool Session::well_formed(const Message& message) const {
+bool Session::is_well_formed(const Message& message) const {
     switch (message.type) {
         case 'Q':
         case 'f': return read_text(message.body).has_value();
@@ -121,50 +123,50 @@
     }
 }
 
-void Session::take_idle(const Message& message) {
+void Session::handle_idle(const Message& message) {
     switch (message.type) {
         case 'd':
         case 'c':
-        case 'f': return;  // of a COPY that has failed: as the server, we drop it
+        case 'f': return;  // of a COPY that has failed: dropped, as PostgreSQL does
         case 'H': return;
-        case 'S': return write_ready(out(), status_);
+        case 'S': return write_ready(output(), status_);
         default: break;
     }
-    if (lost_error_) {
-        const ErrorText error = *lost_error_;
-        lost_error_.reset();
-        write_error(out(), error);
-        if (message.type == 'Q' || message.type == 'F') return write_ready(out(), status_);
+    if (pending_loss_error_) {
+        const ErrorText error = *pending_loss_error_;
+        pending_loss_error_.reset();
+        write_error(output(), error);
+        if (message.type == 'Q' || message.type == 'F') return write_ready(output(), status_);
         phase_ = Phase::skipping;
         return;
     }
-    if (lost_) return take_lost(message);
+    if (transaction_lost_) return handle_in_lost_transaction(message);
     start(message);
 }
 
 void Session::start(const Message& message) {
-    held_.clear();
-    held_bytes_ = 0;
+    buffered_.clear();
+    buffered_bytes_ = 0;
     replayable_ = true;
     unconfirmed_.clear();
-    kind_ = message.type == 'Q' || message.type == 'F' ? UnitKind::simple : UnitKind::segment;
-    if (unit_open_) {  // the next of a transaction
+    unit_kind_ = message.type == 'Q' || message.type == 'F' ? UnitKind::simple : UnitKind::segment;
+    if (unit_open_) {  // the next segment of a transaction
         phase_ = Phase::running;
         begin_segment(message.type);
         host_.set_deadline(options_.deadline);
         return forward(message);
     }
-    started_ = expired_ = lost_commit_ = state_lost_ = false;
+    answer_started_ = deadline_passed_ = commit_in_doubt_ = state_lost_ = false;
     lost_status_ = status_;
     phase_ = Phase::waiting;
-    hold(message);
-    take_unit(server_ != nullptr);
+    buffer_message(message);
+    request_server(server_ != nullptr);
 }
 
-void Session::take_unit(bool tied) {
+void Session::request_server(bool linked_only) {
     unit_open_ = true;
-    tied_unit_ = tied;
-    host_.take_unit(kind_, tied);
+    requires_linked_server_ = linked_only;
+    host_.request_server(unit_kind_, linked_only);
 }
 
 void Session::begin_segment(char first) {
@@ -173,16 +175,17 @@
     segment_.in_transaction = status_ != 'I';
 }
 
-// So that the unit can be sent when it is linked, and again where it may go elsewhere.
-void Session::hold(const Message& message) {
-    if (started_ && phase_ == Phase::running) return;
+// Buffers the unit until it is linked, and for sending it again to another server.
+void Session::buffer_message(const Message& message) {
+    if (answer_started_ && phase_ == Phase::running) return;
     if (phase_ == Phase::running && (unit_open_ && status_ != 'I')) return;
-    if (phase_ == Phase::running && held_bytes_ + message.body.size() > options_.held_most) {
+    if (phase_ == Phase::running && buffered_bytes_ + message.body.size() > options_.held_most) {
         replayable_ = false;
         return;
     }
-    held_.push_back({message.type, message.length, message.first, message.last, std::string(message.body)});
-    held_bytes_ += message.body.size() + 16;
+    buffered_.push_back(
+        {message.type, message.length, message.first, message.last, std::string(message.body)});
+    buffered_bytes_ += message.body.size() + 16;
 }
 
 void Session::on_client_gone() {
@@ -201,20 +204,20 @@
 
 void Session::on_cancel() {
     if (phase_ == Phase::running && server_) return host_.cancel_running();
-    if (phase_ != Phase::waiting || hello_) return;
-    const bool keep = tied_unit_ && server_ && !settling_;
+    if (phase_ != Phase::waiting || requesting_parameters_) return;
+    const bool keep = requires_linked_server_ && server_ && !applying_settings_;
     if (!keep) unlink();
     unit_open_ = false;
     host_.leave_unit(keep);
     answer_unit("57014", "canceling statement due to user request", {}, status_after_loss());
 }
 
-// ---------------------------------------------------------------------------------------------------- linked
+// --- Linking ---
 
 bool Session::on_link(ServerMachine& server) {
     if (phase_ != Phase::waiting || !unit_open_) return false;
-    if (hello_) {
-        hello_ = false;
+    if (requesting_parameters_) {
+        requesting_parameters_ = false;
         begin(server.parameters());
         phase_ = Phase::idle;
         unit_open_ = false;
@@ -225,70 +228,74 @@
     if (!replayable_) return false;
     server_ = &server;
     server.begin_unit();
-    settling_ = adapt_server();
-    if (!settling_) run_held();
+    applying_settings_ = apply_settings();
+    if (!applying_settings_) forward_buffered();
     return true;
 }
 
-bool Session::adapt_server() {
-    server_->forget_oldest();
+bool Session::apply_settings() {
+    server_->close_least_recently_used();
     std::string sql;
-    for (auto& [name, mine] : parameters_) {
-        const auto there = server_->parameters().find(name);
-        if (there == server_->parameters().end() || there->second.value == mine.value) continue;
-        if (carries(name)) {
-            add_setting(sql, name, mine.value);
+    for (auto& [name, client_value] : parameters_) {
+        const auto reported = server_->parameters().find(name);
+        if (reported == server_->parameters().end() || reported->second.value == client_value.value) continue;
+        if (is_carried_over(name)) {
+            add_setting(sql, name, client_value.value);
         } else {
-            mine = there->second;  // not the client's to choose: it is told
-            Writer(out()).begin('S').text(mine.name).text(mine.value).end();
+            // The client can't choose this parameter, so it is told the server's value.
+            client_value = reported->second;
+            Writer(output()).begin('S').text(client_value.name).text(client_value.value).end();
         }
     }
-    for (const auto& option : wanted_) {
+    for (const auto& option : client_settings_) {
         add_setting(sql, option.name, option.value);
     }
     if (sql.empty()) return false;
-    server_->own_query(sql);
+    server_->internal_query(sql);
     return true;
 }
 
-// The server has its own way to write what it was told ("utc" is "UTC").
+// Adopts the server's spelling of the values it was set to ("utc" becomes "UTC").
 void Session::adopt_parameters() {
-    for (auto& [name, mine] : parameters_) {
-        const auto there = server_->parameters().find(name);
-        if (there == server_->parameters().end() || there->second.value == mine.value) continue;
-        mine = there->second;
-        Writer(out()).begin('S').text(mine.name).text(mine.value).end();
+    for (auto& [name, client_value] : parameters_) {
+        const auto reported = server_->parameters().find(name);
+        if (reported == server_->parameters().end() || reported->second.value == client_value.value) continue;
+        client_value = reported->second;
+        Writer(output()).begin('S').text(client_value.name).text(client_value.value).end();
     }
 }
 
-void Session::on_settled(const ServerEvent& event) {
-    if (!settling_ || !server_) return;
-    settling_ = false;
+void Session::on_settings_applied(const ServerEvent& event) {
+    if (!applying_settings_ || !server_) return;
+    applying_settings_ = false;
     if (!event.code.empty()) {
-        pinned_ = true;  // what it has taken of it is not known: it is made clean
-        return close_with(event.code, event.text);
+        // Which settings were applied is not known, so the server's session must be reset.
+        pinned_ = true;
+        return end_session(event.code, event.text);
     }
-    if (!wanted_.empty()) pinned_ = true;  // what it does not report stays with this connection
-    wanted_.clear();
+    // Settings that the server does not report stay with this connection.
+    if (!client_settings_.empty()) pinned_ = true;
+    client_settings_.clear();
     adopt_parameters();
-    run_held();
+    forward_buffered();
 }
 
-void Session::run_held() {
+void Session::forward_buffered() {
     phase_ = Phase::running;
-    begin_segment(held_.empty() ? 'S' : held_.front().type);
+    begin_segment(buffered_.empty() ? 'S' : buffered_.front().type);
     host_.set_deadline(options_.deadline);
-    // What is held stays so until the client has a part of the answer.
-    for (std::size_t i = 0; i < held_.size() && phase_ == Phase::running; ++i) forward(held_[i].message());
+    // The messages stay buffered until the client receives a part of the answer.
+    for (std::size_t i = 0; i < buffered_.size() && phase_ == Phase::running; ++i)
+        forward(buffered_[i].message());
 }
 
-bool Session::held_whole() const {
+bool Session::unit_is_complete() const {
     if (segment_.sync_sent || segment_.query_sent) return true;
-    return !held_.empty() && (kind_ == UnitKind::simple || held_.back().type == 'S');
+    return !buffered_.empty() && (unit_kind_ == UnitKind::simple || buffered_.back().type == 'S');
 }
 
-bool Session::held_begins() const {
-    return std::any_of(held_.begin(), held_.end(), [&](const Held& held) {
+bool Session::buffered_begins_transaction() const {
+    return std::any_of(buffered_.begin(), buffered_.end(), [&](const BufferedMessage& held) {
         if (held.type == 'Q') {
             const auto facts = facts_of(*read_text(held.body));
             return facts.begins || !facts.parsed;
@@ -303,8 +310,7 @@
     });
 }
 
-// --------------------------------------------------------------------------------------------------
-// forwarding
+// --- Forwarding to the server ---
 
 std::string Session::server_name(std::string_view name, const PreparedPtr& statement) const {
     if (name.empty() || options_.mode == Mode::session) return std::string(name);
@@ -313,7 +319,7 @@
 
 void Session::forward(const Message& message) {
     if (message.type == 'S') return forward_sync();
-    if (segment_.refused) return;  // the server has been made to fail: it would drop it too
+    if (segment_.rejected) return;  // the server has been made to fail and would discard the message too
     switch (message.type) {
         case 'Q': return forward_query(message);
         case 'F':
@@ -332,37 +338,37 @@
     }
 }
 
-void Session::pin(const SqlFacts& facts) {
+void Session::pin_if_needed(const SqlFacts& facts) {
     if (facts.pins) pinned_ = true;
 }
 
-void Session::fail_there(std::string_view code, std::string message, std::string hint) {
+void Session::fail_at_server(std::string_view code, std::string message, std::string hint) {
     std::string error;
     write_error(error, {Severity::error, code, message, {}, std::move(hint)});
     if (segment_.simple) {
         server_->fail_query(std::move(error));
     } else {
-        segment_.refused = true;
+        segment_.rejected = true;
         server_->fail_segment(std::move(error));
     }
 }
 
-bool Session::refuse_state(const SqlFacts& facts) {
+bool Session::reject_session_state(const SqlFacts& facts) {
     if (!facts.pins || options_.unreported == Unreported::pin || options_.mode == Mode::session) return false;
-    fail_there("0A000",
-               facts.parsed
-                   ? "this would leave something in the session, which clients share here"
-                   : "this can't be understood here, so it might leave something in the session, which "
-                     "clients share",
-               "Use SET LOCAL, transaction-level locks and ON COMMIT DROP, or a database in session mode.");
+    fail_at_server(
+        "0A000",
+        facts.parsed ? "this would leave something in the session, which clients share here"
+                     : "this can't be understood here, so it might leave something in the session, which "
+                       "clients share",
+        "Use SET LOCAL, transaction-level locks and ON COMMIT DROP, or a database in session mode.");
     return true;
 }
 
 void Session::forward_query(const Message& message) {
     const SqlFacts facts = facts_of(*read_text(message.body));
     segment_.query_sent = true;
-    if (refuse_state(facts)) return;
-    pin(facts);
+    if (reject_session_state(facts)) return;
+    pin_if_needed(facts);
     const bool only_begins = facts.begins && facts.statements == 1;
     segment_.begins |= facts.begins;
     segment_.ends |= facts.ends && facts.leaves_failed;
@@ -375,21 +381,21 @@
 void Session::forward_parse(const Message& message) {
     const ParseBody parse = *read_parse(message.body);
     const std::string name(parse.name);
-    const PreparedPtr statement = statements_.take(parse.text, parse.types);
-    if (refuse_state(statement->facts)) return;
+    const PreparedPtr statement = statements_.intern(parse.text, parse.types);
+    if (reject_session_state(statement->facts)) return;
     if (!name.empty() && prepared_.contains(name))
-        return fail_there("42P05", "prepared statement \"" + name + "\" already exists");
+        return fail_at_server("42P05", "prepared statement \"" + name + "\" already exists");
     if (prepared_.size() >= options_.statements_most)
-        return fail_there("53400", "too many prepared statements in one session");
-    const std::string there = server_name(name, statement);
+        return fail_at_server("53400", "too many prepared statements in one session");
+    const std::string name_at_server = server_name(name, statement);
     prepared_[name] = statement;
-    if (!name.empty() && server_->has(there, statement)) {
+    if (!name.empty() && server_->is_prepared(name_at_server, statement)) {
         std::string complete;
         Writer(complete).empty('1');
         return server_->answer_locally(std::move(complete));
     }
     unconfirmed_.push_back(name);
-    server_->parse(there, statement, false);
+    server_->parse(name_at_server, statement, false);
 }
 
 void Session::forward_bind(const Message& message) {
@@ -399,10 +405,10 @@
         portals_.erase(std::string(bind.portal));
         return server_->bind(bind.portal, std::string(bind.statement), bind.rest);
     }
-    const std::string there = server_name(bind.statement, known->second);
-    server_->ensure(there, known->second);
+    const std::string name_at_server = server_name(bind.statement, known->second);
+    server_->ensure_prepared(name_at_server, known->second);
     portals_[std::string(bind.portal)] = known->second;
-    server_->bind(bind.portal, there, bind.rest);
+    server_->bind(bind.portal, name_at_server, bind.rest);
 }
 
 void Session::forward_execute(const Message& message) {
@@ -411,17 +417,17 @@
     if (known != portals_.end()) {
         facts = known->second->facts;
     } else {
-        facts.pins = false;  // a cursor that SQL declared, or none: nothing new begins
+        facts.pins = false;  // a cursor declared by SQL, or an unknown portal: it leaves no new session state
     }
-    pin(facts);
+    pin_if_needed(facts);
     server_->mark(true, facts.may_commit);
-    segment_.executes = true;
+    segment_.executes_uncommitted = true;
     if (facts.begins) {
         segment_.begins = segment_.in_transaction = true;
     }
     if (facts.ends) {
         segment_.ends = true;
-        segment_.begins = segment_.in_transaction = segment_.executes = false;
+        segment_.begins = segment_.in_transaction = segment_.executes_uncommitted = false;
     }
     server_->execute(message.body);
 }
@@ -432,9 +438,9 @@
     const auto known = target.kind == 'S' ? prepared_.find(name) : prepared_.end();
     if (message.type == 'D') {
         if (known == prepared_.end()) return server_->describe(target.kind, name);
-        const std::string there = server_name(name, known->second);
-        server_->ensure(there, known->second);
-        return server_->describe('S', there);
+        const std::string name_at_server = server_name(name, known->second);
+        server_->ensure_prepared(name_at_server, known->second);
+        return server_->describe('S', name_at_server);
     }
     if (target.kind == 'P') {
         portals_.erase(name);
@@ -442,14 +448,14 @@
     }
     if (known != prepared_.end()) prepared_.erase(known);
     if (name.empty() || options_.mode == Mode::session) return server_->close('S', name);
-    std::string complete;  // others may use it there
+    std::string complete;  // other sessions may use the statement there
     Writer(complete).empty('3');
     server_->answer_locally(std::move(complete));
 }
 
 void Session::forward_copy(const Message& message) {
     if (message.type != 'd') {
-        // A COPY that is a Query of its own can end with this message at the earliest.
+        // A COPY that is a Query of its own can't end before this message.
         if (message.type == 'c') server_->mark(false, segment_.simple && !segment_.in_transaction);
         segment_.copying = false;
         segment_.copy_ended = true;
@@ -458,26 +464,26 @@
 }
 
 void Session::forward_sync() {
-    if (segment_.copying) return;  // the server takes no notice of it either
+    if (segment_.copying) return;  // the server ignores Sync in COPY mode too
     if (segment_.simple) return;
     segment_.sync_sent = true;
-    server_->mark(false, segment_.executes && !segment_.in_transaction);
+    server_->mark(false, segment_.executes_uncommitted && !segment_.in_transaction);
     server_->sync();
 }
 
-// --------------------------------------------------------------------------------------------------- answers
+// --- Server answers ---
 
 void Session::on_server(const ServerEvent& event) {
     if (phase_ == Phase::over || !server_) return;
     switch (event.kind) {
-        case ServerEvent::Kind::message: return pass(event.message);
-        case ServerEvent::Kind::local:
-            if (!started_) {
-                started_ = true;
-                held_.clear();
+        case ServerEvent::Kind::message: return pass_to_client(event.message);
+        case ServerEvent::Kind::local_answer:
+            if (!answer_started_) {
+                answer_started_ = true;
+                buffered_.clear();
                 host_.unit_started();
             }
-            out() += event.text;
+            output() += event.text;
             if (!event.text.empty() && event.text.front() == 'E') {
                 for (const auto& name : unconfirmed_) prepared_.erase(name);
                 unconfirmed_.clear();
@@ -485,16 +491,16 @@
             }
             return;
         case ServerEvent::Kind::ready: return on_ready(event.status);
-        case ServerEvent::Kind::settled: return on_settled(event);
+        case ServerEvent::Kind::internal_query_done: return on_settings_applied(event);
         default: return;
     }
 }
 
-void Session::pass(const Message& message) {
+void Session::pass_to_client(const Message& message) {
     const bool unasked = message.type == 'N' || message.type == 'A' || message.type == 'S';
-    if (!started_ && !unasked && phase_ == Phase::running) {
-        started_ = true;
-        held_.clear();
+    if (!answer_started_ && !unasked && phase_ == Phase::running) {
+        answer_started_ = true;
+        buffered_.clear();
         host_.unit_started();
     }
     if (message.first) {
@@ -520,7 +526,7 @@
                 segment_.copying = true;
                 if (segment_.sync_sent) {
                     segment_.sync_sent = false;
-                    server_->unsend_sync();
+                    server_->forget_sync();
                 }
                 break;
             case 'C': {
@@ -531,25 +537,25 @@
             }
             default: break;
         }
-        Writer(out()).header(message.type, message.length);
+        Writer(output()).header(message.type, message.length);
     }
-    out() += message.body;
-    mid_message_ = !message.last;
+    output() += message.body;
+    inside_message_ = !message.last;
 }
 
 void Session::on_ready(char status) {
-    if (!started_) {
-        started_ = true;
-        held_.clear();
+    if (!answer_started_) {
+        answer_started_ = true;
+        buffered_.clear();
         host_.unit_started();
     }
     status_ = status;
-    write_ready(out(), status);
+    write_ready(output(), status);
     host_.set_deadline(Micros{0});
     phase_ = Phase::idle;
     segment_ = Segment{};
-    held_.clear();
-    held_bytes_ = 0;
+    buffered_.clear();
+    buffered_bytes_ = 0;
     if (status != 'I') return server_->begin_segment();
     portals_.clear();
     unit_open_ = false;
@@ -560,21 +566,20 @@
     host_.release(false);
 }
 
-// -----------------------------------------------------------------------------------------------------
-// losses
+// --- Lost servers, rejections and ends ---
 
 void Session::unlink() {
     server_ = nullptr;
-    settling_ = false;
+    applying_settings_ = false;
 }
 
-Loss Session::on_server_lost() {
+LossReport Session::on_server_lost() {
     if (!server_) return {};
-    Loss loss;
-    loss.may_have_run = unit_open_ && !settling_ && server_->may_have_run();
-    loss.passed = unit_open_ && started_;
+    LossReport loss;
+    loss.may_have_run = unit_open_ && !applying_settings_ && server_->may_have_run();
+    loss.answer_started = unit_open_ && answer_started_;
     const bool was_open = status_ != 'I';
-    lost_commit_ = unit_open_ && !settling_ && server_->may_have_committed();
+    commit_in_doubt_ = unit_open_ && !applying_settings_ && server_->may_have_committed();
     const bool open_after = segment_.begins || (was_open && !segment_.ends);
     lost_status_ = phase_ == Phase::idle ? status_ : open_after ? 'E' : 'I';
     state_lost_ = pinned_;
@@ -583,39 +588,41 @@
     portals_.clear();
     unlink();
     if (phase_ == Phase::running) phase_ = Phase::waiting;
-    if (!unit_open_ && state_lost_) close_with("08006", "the server that held this session's state has gone");
+    if (!unit_open_ && state_lost_)
+        end_session("08006", "the server that held this session's state has gone");
     return loss;
 }
 
-void Session::on_refused(const Refusal& refusal) {
+void Session::on_rejected(const Rejection& rejection) {
     if (phase_ == Phase::over || !unit_open_) return;
     unit_open_ = false;
     host_.set_deadline(Micros{0});
     std::string detail = "It has not run: a repeat is harmless.";
-    if (refusal.retry_after > Micros{0}) detail += " Come back in " + in_seconds(refusal.retry_after) + ".";
-    if (hello_)
-        return close_with("57P03", "no server of this database is to be had: " + refusal.reason, detail);
-    if (tied_unit_ && server_ && refusal.drains) {
-        if (pinned_) return close_with("57P01", "the server that holds this session's state drains");
+    if (rejection.retry_after > Micros{0})
+        detail += " Come back in " + in_seconds(rejection.retry_after) + ".";
+    if (requesting_parameters_)
+        return end_session("57P03", "no server of this database is to be had: " + rejection.reason, detail);
+    if (requires_linked_server_ && server_ && rejection.drains) {
+        if (pinned_) return end_session("57P01", "the server that holds this session's state drains");
         server_ = nullptr;
         host_.release(true);
-        return take_unit(false);
+        return request_server(false);
     }
     if (state_lost_ && !server_)
-        return close_with("08006", "the server that held this session's state has gone");
-    answer_unit("53000", "no server took this: " + refusal.reason, detail, status_after_loss());
+        return end_session("08006", "the server that held this session's state has gone");
+    answer_unit("53000", "no server took this: " + rejection.reason, detail, status_after_loss());
 }
 
 void Session::on_failed(Failure failure) {
     if (phase_ == Phase::over || !unit_open_) return;
     unit_open_ = false;
     host_.set_deadline(Micros{0});
-    if (hello_) return close_with("57P03", "no server of this database is to be had");
-    const bool timed_out = expired_ || failure == Failure::timed_out;
-    std::string_view code = lost_commit_ ? "08007" : "08006";
+    if (requesting_parameters_) return end_session("57P03", "no server of this database is to be had");
+    const bool timed_out = deadline_passed_ || failure == Failure::timed_out;
+    std::string_view code = commit_in_doubt_ ? "08007" : "08006";
     std::string message = "the server was lost; its transaction was rolled back";
     std::string detail = "What was sent since the transaction began has had no effect.";
-    if (lost_commit_) {
+    if (commit_in_doubt_) {
         message = "the server was lost; whether its transaction was committed is not known";
         detail = "It may have run: look before it is repeated.";
     }
@@ -623,11 +630,11 @@
         code = "57014";
         message = "canceling statement due to the time limit of this database";
     }
-    if (state_lost_) return close_with(code, message, detail);
-    if (phase_ == Phase::idle) {  // between the units of a transaction
-        lost_ = true;
+    if (state_lost_) return end_session(code, message, detail);
+    if (phase_ == Phase::idle) {  // between the segments of a transaction
+        transaction_lost_ = true;
         status_ = 'E';
-        lost_error_ = ErrorText{
+        pending_loss_error_ = ErrorText{
             Severity::error, code, "the server was lost; its transaction was rolled back", detail, {}};
         return;
     }
@@ -635,32 +642,34 @@
 }
 
 void Session::answer_unit(std::string_view code, std::string message, std::string detail, char status) {
-    if (mid_message_) {  // nothing can be said within a row
+    if (inside_message_) {  // no error can be inserted within a message
         phase_ = Phase::over;
         return;
     }
-    if (!segment_.failed) write_error(out(), {Severity::error, code, message, std::move(detail), {}});
+    if (!segment_.failed) write_error(output(), {Severity::error, code, message, std::move(detail), {}});
     status_ = status;
-    lost_ = status != 'I';
-    const bool synced = segment_.sync_sent ||
-                        std::any_of(held_.begin(), held_.end(), [](const Held& h) { return h.type == 'S'; });
-    const bool simple = kind_ == UnitKind::simple;
-    held_.clear();
-    held_bytes_ = 0;
+    transaction_lost_ = status != 'I';
+    const bool synced =
+        segment_.sync_sent || std::any_of(buffered_.begin(), buffered_.end(),
+                                          [](const BufferedMessage& held) { return held.type == 'S'; });
+    const bool simple = unit_kind_ == UnitKind::simple;
+    buffered_.clear();
+    buffered_bytes_ = 0;
     segment_ = Segment{};
     portals_.clear();
     phase_ = simple || synced ? Phase::idle : Phase::skipping;
-    if (phase_ == Phase::idle) write_ready(out(), status_);
+    if (phase_ == Phase::idle) write_ready(output(), status_);
 }
 
 void Session::on_deadline() {
-    if (phase_ != Phase::running || !unit_open_ || !started_) return;  // else the core minds it
-    expired_ = true;
+    // The core enforces the time limit until the answer has started.
+    if (phase_ != Phase::running || !unit_open_ || !answer_started_) return;
+    deadline_passed_ = true;
     host_.expire_unit();
 }
 
-void Session::end_with(std::string_view code, std::string_view reason) {
-    close_with(code, std::string(reason));
+void Session::end_with_error(std::string_view code, std::string_view reason) {
+    end_session(code, std::string(reason));
 }
 
 void Session::on_drain() {
@@ -669,81 +678,81 @@
     host_.release(true);
 }
 
-void Session::close_with(std::string_view code, std::string message, std::string detail) {
+void Session::end_session(std::string_view code, std::string message, std::string detail) {
     if (phase_ == Phase::over) return;
-    if (!mid_message_) write_error(out(), {Severity::fatal, code, message, std::move(detail), {}});
+    if (!inside_message_) write_error(output(), {Severity::fatal, code, message, std::move(detail), {}});
     on_client_gone();
 }
 
-void Session::violated(const std::string& message) { close_with("08P01", message); }
+void Session::protocol_violation(const std::string& message) { end_session("08P01", message); }
 
-// ------------------------------------------------------------------------------------------ a lost
-// transaction
+// --- Lost transactions ---
 
-void Session::take_lost(const Message& message) {
+void Session::handle_in_lost_transaction(const Message& message) {
     if (message.type == 'Q') {
         const std::string_view text = *read_text(message.body);
         const SqlFacts facts = facts_of(text);
         if (facts.leaves_failed) {
-            lost_ = false;
+            transaction_lost_ = false;
             status_ = 'I';
-            Writer(out()).begin('C').text("ROLLBACK").end();
+            Writer(output()).begin('C').text("ROLLBACK").end();
         } else if (facts.parsed && facts.statements == 0) {
-            Writer(out()).empty('I');
+            Writer(output()).empty('I');
         } else {
-            write_error(out(), {Severity::error, "25P02", in_failed_transaction, {}, {}});
+            write_error(output(), {Severity::error, "25P02", in_failed_transaction, {}, {}});
         }
-        return write_ready(out(), status_);
+        return write_ready(output(), status_);
     }
     if (message.type == 'F') {
-        write_error(out(), {Severity::error, "25P02", in_failed_transaction, {}, {}});
-        return write_ready(out(), status_);
+        write_error(output(), {Severity::error, "25P02", in_failed_transaction, {}, {}});
+        return write_ready(output(), status_);
     }
-    take_lost_segment(message);
+    handle_extended_in_lost_transaction(message);
 }
 
-// Only a ROLLBACK or COMMIT is taken, as the server does in a failed transaction.
-void Session::take_lost_segment(const Message& message) {
-    const auto refuse = [&] {
-        write_error(out(), {Severity::error, "25P02", in_failed_transaction, {}, {}});
+// Accepts only ROLLBACK or COMMIT, as PostgreSQL does in a failed transaction.
+void Session::handle_extended_in_lost_transaction(const Message& message) {
+    const auto reject = [&] {
+        write_error(output(), {Severity::error, "25P02", in_failed_transaction, {}, {}});
         phase_ = Phase::skipping;
     };
-    const auto leaves = [](const auto& known, const auto& all) {
+    const auto ends_failed = [](const auto& known, const auto& all) {
         return known != all.end() && known->second->facts.leaves_failed;
     };
     switch (message.type) {
         case 'P': {
             const ParseBody parse = *read_parse(message.body);
-            const PreparedPtr statement = statements_.take(parse.text, parse.types);
+            const PreparedPtr statement = statements_.intern(parse.text, parse.types);
             if (!statement->facts.leaves_failed || prepared_.size() >= options_.statements_most)
-                return refuse();
+                return reject();
             prepared_[std::string(parse.name)] = statement;
-            return Writer(out()).empty('1');
+            return Writer(output()).empty('1');
         }
         case 'B': {
             const BindBody bind = *read_bind(message.body);
             const auto known = prepared_.find(std::string(bind.statement));
-            if (!leaves(known, prepared_)) return refuse();
+            if (!ends_failed(known, prepared_)) return reject();
             portals_[std::string(bind.portal)] = known->second;
-            return Writer(out()).empty('2');
+            return Writer(output()).empty('2');
         }
         case 'D': {
             const TargetBody target = *read_target(message.body);
             const auto& all = target.kind == 'S' ? prepared_ : portals_;
-            if (!leaves(all.find(std::string(target.name)), all)) return refuse();
-            if (target.kind == 'S') Writer(out()).begin('t').i16(0).end();
-            return Writer(out()).empty('n');
+            if (!ends_failed(all.find(std::string(target.name)), all)) return reject();
+            if (target.kind == 'S') Writer(output()).begin('t').i16(0).end();
+            return Writer(output()).empty('n');
         }
         case 'E': {
-            if (!leaves(portals_.find(std::string(Fields(message.body).text())), portals_)) return refuse();
-            lost_ = false;
+            if (!ends_failed(portals_.find(std::string(Fields(message.body).text())), portals_))
+                return reject();
+            transaction_lost_ = false;
             status_ = 'I';
-            return Writer(out()).begin('C').text("ROLLBACK").end();
+            return Writer(output()).begin('C').text("ROLLBACK").end();
         }
         case 'C': {
             const TargetBody target = *read_target(message.body);
             (target.kind == 'S' ? prepared_ : portals_).erase(std::string(target.name));
-            return Writer(out()).empty('3');
+            return Writer(output()).empty('3');
         }
         default: return;
     }
--- a/src/pg/session.h
+++ b/src/pg/session.h
@@ -1,15 +1,20 @@
-// One client's session behind its login: cuts what the client says into units, passes each on to the server
-// that the module chose, and says what the client is told when that server dies, nobody has room, or the time
-// is up. No I/O and no clock.
+// One client's session after its login: divides the client's messages into units, passes each unit to the
+// server that the policy module has chosen, and decides which error the client receives when that server is
+// lost, no server accepts the unit, or the time limit is reached. No I/O and no clock.
 //
-// Threading:   one thread at a time.   Ownership: the host and the statements are borrowed; the server's
-//              machine is borrowed between on_link() and release() or the loss of it.
-// Re-entrancy: the host may link, refuse or fail from within take_unit(); it must not destroy the session
-//              from within any call.
-// Use:         while can_take(), hand in the client's messages; hand in all events of the linked server.
-//              After each, look at over(): then nothing more is read, and the connection ends once its output
-//              is out.
-// Answers:     each unit gets one: what a server answered, or one ErrorResponse at its first unanswered
+// A unit occupies one server connection: it is a transaction, or a statement outside of one. A segment is the
+// part of a unit up to one ReadyForQuery. A session is linked to a server connection while a unit runs. It is
+// pinned while the server's session holds state of the client that can't be moved to another server.
+//
+// Threading:   one thread at a time.
+// Ownership: the host and the statements are borrowed; the server's machine is borrowed from on_link() until
+//              release() or the loss of the server.
+// Re-entrancy: the host may call on_link(), on_refused() or on_failed() from within request_server(); it must
+//              not destroy the session from within any call.
+// Use: while can_take(), pass in the client's messages; pass in all events of the linked server. After
+//              each call, check over(): if it is true, nothing more is read, and the connection ends once its
+//              output is written.
+// Answers:     each unit gets exactly one: the server's answer, or one ErrorResponse at its first unanswered
 //              message.
 #pragma once
 
@@ -35,130 +40,136 @@
 struct SessionOptions {
     Mode mode = Mode::transaction;
     Unreported unreported = Unreported::pin;
-    std::size_t held_most = 1 << 20;  // of a unit, before it is linked and to be sent again elsewhere
+    // Bytes of a unit that are buffered until it is linked, and for sending it again to another server.
+    std::size_t held_most = 1 << 20;
     std::size_t statements_most = 10'000;
-    Micros deadline{};  // of a unit that has begun to be answered or stands in a transaction; zero: none
+    Micros deadline{};  // of a unit that has been answered in part or is in a transaction; zero: none
 };
 
 enum class UnitKind : std::uint8_t {
-    hello,    // carries nothing: only what the server says of itself is wanted
-    simple,   // begins with a Query or FunctionCall
-    segment,  // begins with a message of the extended protocol
+    parameters_only,  // carries no messages: only the server's parameters are needed
+    simple,           // begins with a Query or FunctionCall
+    segment,          // begins with a message of the extended protocol
 };
 
-// Why nobody serves a unit, for the client.
-struct Refusal {
+// Why no server accepts a unit, for the error to the client.
+struct Rejection {
     std::string reason;    // a clause
     Micros retry_after{};  // zero: no advice
-    bool drains = false;   // the server that the session is tied to drains or has gone
+    bool drains = false;   // the server to which the session is linked is draining or has been removed
 };
 enum class Failure : std::uint8_t { lost, timed_out, error };
 
-// What of a unit a lost server may have run.
-struct Loss {
+// What a lost server may have executed of a unit.
+struct LossReport {
     bool may_have_run = false;
-    bool passed = false;  // the client has had a part of the answer
+    bool answer_started = false;  // the client has received a part of the answer
 };
 
 class SessionHost {
 public:
     virtual ~SessionHost() = default;
-    // Wants a server: on_link(), on_refused() or on_failed() follows, maybe from within, unless leave_unit()
-    // comes first. `tied`: the one that it is linked to, or none.
-    virtual void take_unit(UnitKind kind, bool tied) = 0;
-    // Not wanted any more, wherever it is. The link, if there is one, is gone with it, and so is what the
-    // server holds for it, unless it is to be kept: then nothing of the unit has come to the server yet.
+    // Requests a server: on_link(), on_refused() or on_failed() follows, possibly from within this call,
+    // unless leave_unit() comes first. `tied`: only the linked server will do.
+    virtual void request_server(UnitKind kind, bool linked_only) = 0;
+    // Withdraws the unit, wherever it is. This also ends the link, if there is one, and discards the session
+    // state at the server, unless `keep_link`: then no message of the unit has been sent to the server yet.
     virtual void leave_unit(bool keep_link) = 0;
     virtual void unit_started() = 0;
-    // Its end. The server stays linked unless release() follows.
+    // The unit has ended. The server stays linked unless release() follows.
     virtual void unit_served() = 0;
-    // Not linked any more. `dirty`: something was left in the session there.
+    // Ends the link. `dirty`: the client's session state remains at the server.
     virtual void release(bool dirty) = 0;
-    // The linked server should stop what it runs for this session.
+    // Asks the linked server to cancel what it runs for this session.
     virtual void cancel_running() = 0;
-    // Its time is up: the server is asked to stop, the link is gone; on_failed() follows, maybe from within.
+    // The unit's time limit has passed: asks the server to cancel it and ends the link. on_failed() follows,
+    // possibly from within this call.
     virtual void expire_unit() = 0;
-    // on_deadline() after so long; zero: no more.
+    // Calls on_deadline() after this time; zero cancels the timer.
     virtual void set_deadline(Micros after) = 0;
     virtual std::string& client_output() = 0;
 };
 
 class Session {
 public:
-    // What the client asked for with its start-up packet, beyond user and database.
+    // `wanted`: the settings of the client's start-up packet, except user and database.
     Session(SessionHost& host, Statements& statements, SessionOptions options,
-            std::vector<StartupOption> wanted);
+            std::vector<StartupOption> client_settings);
 
-    // Asks for a server, to learn what one says of itself.
-    void hello();
-    // That is known: the session begins.
+    // Requests a server, to learn the parameters that it reports.
+    void request_parameters();
+    // Starts the session with the parameters of a server.
     void begin(const std::map<std::string, ServerMachine::Reported>& parameters);
-    // What the client is to be told at its welcome.
+    // Returns the parameters to be reported to the client at the end of its login.
     std::vector<StartupOption> parameters() const;
 
-    // --------------------------------------------------------------------------------------------- the
-    // client
-    bool can_take() const;
-    void take(const Message& message);
-    // It has left, politely or not.
+    // --- Calls of the client side ---
+    bool can_accept_message() const;
+    void on_message(const Message& message);
+    // The client has disconnected, with or without Terminate.
     void on_client_gone();
-    // It has asked for a cancel of whatever runs.
+    // The client has requested to cancel whatever runs.
     void on_cancel();
 
-    // --------------------------------------------------------------------------------------------- the
-    // server False: this unit can't be sent again; it stays unlinked.
+    // --- Calls of the server side ---
+
+    // Returns false if this unit can't be sent again; it then stays unlinked.
     [[nodiscard]] bool on_link(ServerMachine& server);
     void on_server(const ServerEvent& event);
-    // The linked server is lost. What is told decides whether the unit may go elsewhere; on_link, on_refused
-    // or on_failed follows where a unit was open.
-    Loss on_server_lost();
+    // The linked server is lost. The result decides whether the unit may be sent to another server; if a unit
+    // was open, on_link(), on_refused() or on_failed() follows.
+    LossReport on_server_lost();
 
-    // ----------------------------------------------------------------------------------------------- the end
-    void on_refused(const Refusal& refusal);
+    // --- End of a unit or of the session ---
+    void on_rejected(const Rejection& rejection);
     void on_failed(Failure failure);
     void on_deadline();
-    // Tells the client and ends (57P01).
-    void shut(std::string_view reason) { end_with("57P01", reason); }
-    void end_with(std::string_view code, std::string_view reason);
-    // The linked server drains: what is not in a unit and has no state there leaves it.
+    // Sends the error 57P01 to the client and ends the session.
+    void terminate(std::string_view reason) { end_with_error("57P01", reason); }
+    void end_with_error(std::string_view code, std::string_view reason);
+    // The linked server is draining: the session releases it unless a unit is open or the session is pinned.
     void on_drain();
 
     bool begun() const { return begun_; }
     bool over() const { return phase_ == Phase::over; }
-    // Between units, in no transaction, tied to nothing.
-    bool idle() const { return phase_ == Phase::idle && !unit_open_ && !lost_; }
-    // Something of the unit that is open is at the linked server.
-    bool uses_server() const { return server_ && unit_open_ && (phase_ != Phase::waiting || settling_); }
-    // Whether this setting goes with the session from server to server; any other stays where it was set.
-    static bool carries(std::string_view setting);
+    // Returns true between units, if no transaction is open and no lost transaction has to be ended.
+    bool idle() const { return phase_ == Phase::idle && !unit_open_ && !transaction_lost_; }
+    // Returns true if any message of the open unit may be at the linked server.
+    bool uses_server() const {
+        return server_ && unit_open_ && (phase_ != Phase::waiting || applying_settings_);
+    }
+    // Returns true if the setting is carried over when the session moves to another server; any other setting
+    // stays at the server where it was set.
+    static bool is_carried_over(std::string_view setting);
     bool in_unit() const { return unit_open_; }
     bool pinned() const { return pinned_; }
-    // A transaction is open and nothing of it runs: the client's word is due.
+    // Returns true if a transaction is open and nothing of it runs: the client has to act.
     bool idle_in_transaction() const { return phase_ == Phase::idle && unit_open_; }
 
 private:
     enum class Phase : std::uint8_t {
         idle,      // between units, or between the segments of a transaction
-        waiting,   // for a link
-        running,   // messages pass
-        skipping,  // all is dropped up to Sync, which is answered here
+        waiting,   // waits for a link
+        running,   // passes messages on
+        skipping,  // drops all messages up to Sync, which is answered here
         over,
     };
-    // What is known of one segment, worked out anew for each link.
+    // State of one segment, determined anew for each link.
     struct Segment {
         bool simple = false;
         bool sync_sent = false, query_sent = false;
-        bool copying = false;         // the server takes a COPY
-        bool in_transaction = false;  // an explicit one is open, as far as it is known
-        bool executes = false;        // since an explicit transaction ended, or the begin
-        bool begins = false;          // it may leave one open
-        bool ends = false;            // a COMMIT or ROLLBACK went out
-        bool refused = false;         // by the operator's choice; the rest up to Sync is dropped
-        bool failed = false;          // the client has its error; only ReadyForQuery is due
-        bool copy_ended = false;      // CopyDone or CopyFail went out
-        bool copies_in = false;       // its Query is one COPY FROM STDIN
+        bool copying = false;         // the server is in COPY FROM STDIN mode
+        bool in_transaction = false;  // an explicit transaction is open, as far as is known
+        // An Execute was sent since the start of the segment or the end of an explicit transaction.
+        bool executes_uncommitted = false;
+        bool begins = false;      // the segment may leave a transaction open
+        bool ends = false;        // a COMMIT or ROLLBACK was sent
+        bool rejected = false;    // rejected by the configured policy; the rest up to Sync is dropped
+        bool failed = false;      // the client has received an error; only ReadyForQuery is expected
+        bool copy_ended = false;  // CopyDone or CopyFail was sent
+        bool copies_in = false;   // its Query is a single COPY FROM STDIN
     };
-    struct Held {
+    struct BufferedMessage {
         char type = 0;
         std::size_t length = 0;
         bool first = true, last = true;
@@ -166,16 +177,17 @@
         Message message() const { return {type, length, body, first, last}; }
     };
 
-    void take_idle(const Message& message);
+    void handle_idle(const Message& message);
     void start(const Message& message);
-    void take_unit(bool tied);
+    void request_server(bool linked_only);
     void begin_segment(char first);
-    void hold(const Message& message);
-    void run_held();
-    // All of the unit that may come without a word of the server's is there.
-    bool held_whole() const;
-    bool held_begins() const;
-    char status_after_loss() const { return held_begins() ? 'E' : lost_status_; }
+    void buffer_message(const Message& message);
+    void forward_buffered();
+    // Returns true if all messages of the unit that the client can send without an answer of the server are
+    // buffered.
+    bool unit_is_complete() const;
+    bool buffered_begins_transaction() const;
+    char status_after_loss() const { return buffered_begins_transaction() ? 'E' : lost_status_; }
     void forward(const Message& message);
     void forward_query(const Message& message);
     void forward_parse(const Message& message);
@@ -184,58 +196,58 @@
     void forward_target(const Message& message);
     void forward_copy(const Message& message);
     void forward_sync();
-    bool well_formed(const Message& message) const;
-    // Refused by the operator's choice; the server is made to fail, so that all counts there as for the
-    // client.
-    bool refuse_state(const SqlFacts& facts);
-    void fail_there(std::string_view code, std::string message, std::string hint = {});
-    void pin(const SqlFacts& facts);
-    void take_lost(const Message& message);
-    void take_lost_segment(const Message& message);
-    void pass(const Message& message);
+    bool is_well_formed(const Message& message) const;
+    // Rejects a statement that would leave session state behind, if the settings say so. Also makes the
+    // server fail, so that its transaction state matches the client's.
+    bool reject_session_state(const SqlFacts& facts);
+    void fail_at_server(std::string_view code, std::string message, std::string hint = {});
+    void pin_if_needed(const SqlFacts& facts);
+    void handle_in_lost_transaction(const Message& message);
+    void handle_extended_in_lost_transaction(const Message& message);
+    void pass_to_client(const Message& message);
     void on_ready(char status);
-    void on_settled(const ServerEvent& event);
-    // True: the server has to be told something first.
-    bool adapt_server();
+    void on_settings_applied(const ServerEvent& event);
+    // Returns true if the server's settings have to be changed first.
+    bool apply_settings();
     void adopt_parameters();
-    // Answers what is open of the unit with an error, and what the protocol wants behind that.
+    // Answers the open unit with an error, and with the ReadyForQuery that the protocol requires behind it.
     void answer_unit(std::string_view code, std::string message, std::string detail, char status);
-    void close_with(std::string_view code, std::string message, std::string detail = {});
-    void violated(const std::string& message);
+    void end_session(std::string_view code, std::string message, std::string detail = {});
+    void protocol_violation(const std::string& message);
     void unlink();
     std::string server_name(std::string_view name, const PreparedPtr& statement) const;
-    std::string& out() { return host_.client_output(); }
+    std::string& output() { return host_.client_output(); }
 
     SessionHost& host_;
     Statements& statements_;
     const SessionOptions options_;
-    std::vector<StartupOption> wanted_;
-    std::map<std::string, ServerMachine::Reported> parameters_;  // as the client has them
+    std::vector<StartupOption> client_settings_;
+    std::map<std::string, ServerMachine::Reported> parameters_;  // as last reported to the client
     Phase phase_ = Phase::idle;
     ServerMachine* server_ = nullptr;
     bool begun_ = false;
-    bool unit_open_ = false;  // a call of the core
-    bool tied_unit_ = false;  // it wanted the server that is linked
-    bool hello_ = false;
-    bool started_ = false;  // the client has a part of this unit's answer
-    bool mid_message_ = false;
-    bool lost_ = false;                    // a transaction was lost: as a failed one until ROLLBACK
-    std::optional<ErrorText> lost_error_;  // what its next message is told
+    bool unit_open_ = false;               // the core has a call for it
+    bool requires_linked_server_ = false;  // it requested the linked server and no other
+    bool requesting_parameters_ = false;
+    bool answer_started_ = false;  // the client has received a part of this unit's answer
+    bool inside_message_ = false;
+    bool transaction_lost_ = false;  // a transaction was lost: the client sees a failed one until ROLLBACK
+    std::optional<ErrorText> pending_loss_error_;  // error that answers the client's next message
     bool pinned_ = false;
-    bool settling_ = false;  // the linked server was told the session's settings
-    bool expired_ = false;   // the unit's own deadline has come
-    char status_ = 'I';      // as the client was told last
+    bool applying_settings_ = false;  // the session's settings were sent to the linked server
+    bool deadline_passed_ = false;    // the unit's own deadline has passed
+    char status_ = 'I';               // transaction status that was last reported to the client
     Segment segment_;
-    UnitKind kind_ = UnitKind::simple;
-    std::deque<Held> held_;
-    std::size_t held_bytes_ = 0;
+    UnitKind unit_kind_ = UnitKind::simple;
+    std::deque<BufferedMessage> buffered_;
+    std::size_t buffered_bytes_ = 0;
     bool replayable_ = true;
-    bool lost_commit_ = false;                               // of a loss: a commit may have been out
-    char lost_status_ = 'I';                                 //   and where the client stands after it
-    bool state_lost_ = false;                                //   and what the session had there is gone
+    bool commit_in_doubt_ = false;  // at the latest loss, a commit may have been sent
+    char lost_status_ = 'I';        // transaction status of the client after the latest loss
+    bool state_lost_ = false;       // the latest loss also lost the session state at the server
     std::unordered_map<std::string, PreparedPtr> prepared_;  // by the client's name
     std::unordered_map<std::string, PreparedPtr> portals_;
-    std::deque<std::string> unconfirmed_;  // names whose ParseComplete is due, in order
+    std::deque<std::string> unconfirmed_;  // names whose ParseComplete is outstanding, in order
 };
 
 }  // namespace flaxdoor::pg
--- a/src/pg/sql.cpp
+++ b/src/pg/sql.cpp
@@ -17,28 +17,28 @@
 
 using nlohmann::json;
 
-// Longer texts that are not plain are not parsed: the parser would hold up everything else for milliseconds.
-constexpr std::size_t parsed_most = 256 << 10;
+// Longer texts that are not plain are not parsed: the parser would block the event loop for milliseconds.
+constexpr std::size_t max_parsed_bytes = 256 << 10;
 // CURSOR_OPT_HOLD of PostgreSQL 15 (nodes/parsenodes.h).
-constexpr int cursor_holds = 0x20;
+constexpr int cursor_opt_hold = 0x20;
 
-bool starts_word(char c) { return (lower(c) >= 'a' && lower(c) <= 'z') || c == '_'; }
+bool is_word_start(char c) { return (lower(c) >= 'a' && lower(c) <= 'z') || c == '_'; }
 bool is_digit(char c) { return c >= '0' && c <= '9'; }
-bool in_word(char c) { return starts_word(c) || is_digit(c) || c == '$'; }
+bool is_word_char(char c) { return is_word_start(c) || is_digit(c) || c == '$'; }
 bool is_space(char c) { return c == ' ' || (c >= '\t' && c <= '\r'); }
 
-bool same(std::string_view word, std::string_view lower_case) {
+bool equals_ignoring_case(std::string_view word, std::string_view lower_case) {
     return std::equal(word.begin(), word.end(), lower_case.begin(), lower_case.end(),
                       [](char a, char b) { return lower(a) == b; });
 }
 
-// A function that leaves something in its session.
+// Returns true for a function that leaves session state behind.
 bool pinning_function(std::string_view name) {
     if (name == "set_config" || name == "setseed" || name.starts_with("dblink")) return true;
     return name.find("advisory") != std::string_view::npos && name.find("xact") == std::string_view::npos;
 }
 
-// A word that a plain text does not have, whatever it stands for there.
+// Returns true for a word that a plain text must not contain, whatever the word means there.
 bool might_matter(std::string_view word) {
     const std::string name = lower(word);
     if (name == "temp" || name == "temporary" || name == "pg_temp" || name.starts_with("pg_temp_"))
@@ -47,14 +47,14 @@
 }
 
 // Settings that the server reports and that are set again on another connection.
-bool carried(std::string_view name) {
+bool is_carried_over(std::string_view name) {
     static constexpr std::array names{"client_encoding", "datestyle",        "timezone",
                                       "intervalstyle",   "application_name", "standard_conforming_strings"};
-    return std::any_of(names.begin(), names.end(), [&](const char* n) { return same(name, n); });
+    return std::any_of(names.begin(), names.end(),
+                       [&](const char* n) { return equals_ignoring_case(name, n); });
 }
 
-// ------------------------------------------------------------------------------------------------ plain
-// texts
+// --- Plain texts ---
 
 SqlFacts plain_facts() {
     SqlFacts facts;
@@ -64,7 +64,7 @@
     return facts;
 }
 
-// Steps over a quoted piece; false where it is not plain.
+// Skips a quoted part. Returns false if the part is not plain.
 bool skip_quoted(std::string_view text, std::size_t& at) {
     const char quote = text[at];
     const std::size_t begin = ++at;
@@ -75,7 +75,8 @@
     if (at == text.size()) return false;
     const std::string_view inside = text.substr(begin, at - begin);
     ++at;
-    // A doubled quote is two strings behind each other here, which comes to the same; of a name it does not.
+    // A doubled quote counts as two adjacent strings here, which makes no difference; within a quoted name it
+    // does.
     return quote == '\'' || ((at == text.size() || text[at] != '"') && !might_matter(inside));
 }
 
@@ -93,33 +94,34 @@
             const auto rest = text.substr(at);
             return words > 0 &&
                    std::all_of(rest.begin(), rest.end(), [](char r) { return r == ';' || is_space(r); });
-        } else if (starts_word(c)) {
+        } else if (is_word_start(c)) {
             const std::size_t begin = at;
-            while (at < text.size() && in_word(text[at])) ++at;
+            while (at < text.size() && is_word_char(text[at])) ++at;
             const std::string_view word = text.substr(begin, at - begin);
             if (at < text.size() && (text[at] == '\'' || static_cast<unsigned char>(text[at]) >= 0x80))
                 return false;
             if (++words == 1) {
-                insert = same(word, "insert");
-                if (!insert && !same(word, "select") && !same(word, "update") && !same(word, "delete") &&
-                    !same(word, "values")) {
+                insert = equals_ignoring_case(word, "insert");
+                if (!insert && !equals_ignoring_case(word, "select") &&
+                    !equals_ignoring_case(word, "update") && !equals_ignoring_case(word, "delete") &&
+                    !equals_ignoring_case(word, "values")) {
                     return false;
                 }
-            } else if (same(word, "into") ? !insert || words != 2 : might_matter(word)) {
+            } else if (equals_ignoring_case(word, "into") ? !insert || words != 2 : might_matter(word)) {
                 return false;
             }
         } else if (words == 0) {
             return false;
         } else if (is_digit(c)) {
             while (at < text.size() && (is_digit(text[at]) || text[at] == '.')) ++at;
-            if (at < text.size() && starts_word(text[at])) return false;
+            if (at < text.size() && is_word_start(text[at])) return false;
         } else if (c == '\'' || c == '"') {
             if (at > 0 && text[at - 1] == '&') return false;
             if (!skip_quoted(text, at)) return false;
         } else if (c == '$') {
             if (!is_digit(next)) return false;
             for (++at; at < text.size() && is_digit(text[at]);) ++at;
-            if (at < text.size() && (in_word(text[at]))) return false;
+            if (at < text.size() && (is_word_char(text[at]))) return false;
         } else if ((c == '-' && next == '-') || (c == '/' && next == '*')) {
             return false;
         } else if (std::string_view("+-*/<>=~!@#%^&|?,.()[]:").find(c) != std::string_view::npos) {
@@ -133,9 +135,9 @@
 
 namespace {
 
-// ------------------------------------------------------------------------------------------------ the parser
+// --- Parser ---
 
-struct Free {
+struct ParseResultDeleter {
     void operator()(PgQueryParseResult* result) const {
         pg_query_free_parse_result(*result);
         delete result;
@@ -152,7 +154,7 @@
     return found != node.end() && found->is_boolean() && found->get<bool>();
 }
 
-void judge_transaction(const json& node, SqlFacts& facts) {
+void analyze_transaction(const json& node, SqlFacts& facts) {
     const std::string kind = text_at(node, "kind");
     const bool chain = is_true(node, "chain");
     if (kind == "TRANS_STMT_BEGIN" || kind == "TRANS_STMT_START") {
@@ -196,7 +198,7 @@
     const std::string name = text_at(node, "name");
     if (is_true(node, "is_local") || kind == "VAR_RESET" || kind == "VAR_RESET_ALL") return false;
     if (kind == "VAR_SET_MULTI") return name != "TRANSACTION";
-    return !carried(name);
+    return !is_carried_over(name);
 }
 
 bool pins_by_kind(const std::string& type, const json& node) {
@@ -205,11 +207,12 @@
     if (type == "VariableSetStmt") return sets_unreported(node);
     if (type != "DeclareCursorStmt") return false;
     const auto options = node.find("options");
-    return options != node.end() && options->is_number_integer() && (options->get<int>() & cursor_holds) != 0;
+    return options != node.end() && options->is_number_integer() &&
+           (options->get<int>() & cursor_opt_hold) != 0;
 }
 
-void judge_statement(const std::string& type, const json& node, SqlFacts& facts) {
-    if (type == "TransactionStmt") judge_transaction(node, facts);
+void analyze_statement(const std::string& type, const json& node, SqlFacts& facts) {
+    if (type == "TransactionStmt") analyze_transaction(node, facts);
     if (commits_by_itself(type, node)) facts.may_commit = true;
     if (pins_by_kind(type, node)) facts.pins = true;
     if (type == "DiscardStmt" || type == "DeallocateStmt") facts.discards = true;
@@ -218,12 +221,12 @@
     }
 }
 
-// What may stand anywhere within a statement.
-void judge_inside(const json& root, SqlFacts& facts) {
-    std::vector<const json*> open{&root};
-    while (!open.empty()) {
-        const json& node = *open.back();
-        open.pop_back();
+// Finds what may occur anywhere within a statement.
+void analyze_nested(const json& root, SqlFacts& facts) {
+    std::vector<const json*> pending{&root};
+    while (!pending.empty()) {
+        const json& node = *pending.back();
+        pending.pop_back();
         if (node.is_object()) {
             if (text_at(node, "relpersistence") == "t") facts.pins = true;
             if (text_at(node, "schemaname").starts_with("pg_temp")) facts.pins = true;
@@ -237,7 +240,7 @@
             }
         }
         for (const json& child : node) {
-            if (child.is_structured()) open.push_back(&child);
+            if (child.is_structured()) pending.push_back(&child);
         }
     }
 }
@@ -246,8 +249,8 @@
 
 SqlFacts facts_by_parser(std::string_view text) {
     SqlFacts facts;
-    if (text.size() > parsed_most || text.find('\0') != std::string_view::npos) return facts;
-    const std::unique_ptr<PgQueryParseResult, Free> result(
+    if (text.size() > max_parsed_bytes || text.find('\0') != std::string_view::npos) return facts;
+    const std::unique_ptr<PgQueryParseResult, ParseResultDeleter> result(
         new PgQueryParseResult(pg_query_parse(std::string(text).c_str())));
     if (result->error || !result->parse_tree) return facts;
     const json tree = json::parse(result->parse_tree, nullptr, false);
@@ -256,20 +259,20 @@
     facts.may_commit = facts.pins = false;
     const auto statements = tree.find("stmts");
     if (statements == tree.end()) return facts;
-    bool control = false;
+    bool has_transaction_control = false;
     for (const json& each : *statements) {
         const auto statement = each.find("stmt");
         if (statement == each.end()) continue;
         ++facts.statements;
         for (const auto& [type, node] : statement->items()) {
-            judge_statement(type, node, facts);
-            control |= type == "TransactionStmt";
+            analyze_statement(type, node, facts);
+            has_transaction_control |= type == "TransactionStmt";
         }
-        judge_inside(*statement, facts);
+        analyze_nested(*statement, facts);
     }
     if (facts.statements > 1) {
-        // What stands behind a ROLLBACK commits by itself; which statement failed is not known.
-        facts.may_commit |= control;
+        // A statement behind a ROLLBACK commits by itself, and which statement failed is not known.
+        facts.may_commit |= has_transaction_control;
         facts.leaves_failed = facts.copies_in = false;
     }
     return facts;
--- a/src/pg/sql.h
+++ b/src/pg/sql.h
@@ -1,13 +1,16 @@
-// What a text of SQL may do, as far as it matters for a pooler: whether it can end a transaction otherwise
-// than by rollback, whether it leaves behind something in its session. Never whether it is safe to repeat.
+// Determines what an SQL text may do, as far as a connection pooler needs to know: whether it can end a
+// transaction other than by rollback, and whether it leaves session state behind. It never decides whether a
+// text is safe to repeat.
 //
-// Threading: any thread.   Errors: none; what can't be parsed is the worst case.
-// Cost:      a plain text one pass over its bytes; any other is parsed by libpg_query (some 10 us and more).
-// Source:    the grammar of PostgreSQL 15, as libpg_query has it.
+// Threading: any thread. Errors: none; a text that can't be parsed gets the worst-case result.
+// Cost:      a plain text takes one pass over its bytes; any other text is parsed by libpg_query (10 us and
+//            more).
+// Source:    the grammar of PostgreSQL 15, as implemented by libpg_query.
 //
-// Plain is a text with one statement that begins with SELECT, INSERT, UPDATE, DELETE or VALUES and has no
-// comment, no backslash, no dollar quote, no string with a letter in front (E'', U&''), no INTO but INSERT's,
-// and no word that could matter. It is judged without the parser; a test holds the two against each other.
+// A plain text is one statement that begins with SELECT, INSERT, UPDATE, DELETE or VALUES. It has no comment,
+// backslash, dollar quote, string with a prefix letter (E'', U&''), INTO other than INSERT's, or word that
+// could
+// matter. It is analyzed without the parser; a test compares both analyses.
 #pragma once
 
 #include <cstddef>
@@ -18,21 +21,21 @@
 struct SqlFacts {
     bool parsed = false;
     int statements = 0;
-    // It may commit while a transaction is open: COMMIT and its kin, a string with transaction control among
-    // other things, what commits by itself, what can't be parsed.
+    // The text may commit while a transaction is open: COMMIT and its variants, several statements with
+    // transaction control among them, a statement that commits by itself, or a text that can't be parsed.
     bool may_commit = true;
-    bool begins = false;  // one BEGIN or START TRANSACTION among its statements
-    bool ends = false;    // one COMMIT, ROLLBACK or kin among them: what follows is another transaction
-    bool leaves_failed =
-        false;               // it is one COMMIT or ROLLBACK (without CHAIN), which ends a failed transaction
-    bool copies_in = false;  // it is one COPY … FROM STDIN: it can't end before its CopyDone
-    bool pins = true;        // it may leave behind what the server does not report
-    bool discards = false;   // DISCARD ALL, DEALLOCATE
+    bool begins = false;  // one statement is BEGIN or START TRANSACTION
+    bool ends = false;  // one statement is COMMIT, ROLLBACK or a variant: what follows is another transaction
+    // The text is a single COMMIT or ROLLBACK (without CHAIN), which ends a failed transaction.
+    bool leaves_failed = false;
+    bool copies_in = false;  // the text is a single COPY … FROM STDIN: it can't end before its CopyDone
+    bool pins = true;        // the text may leave session state behind that the server does not report
+    bool discards = false;   // one statement is DISCARD or DEALLOCATE
 };
 
 [[nodiscard]] SqlFacts facts_of(std::string_view text);
 
-// For the test that holds them against each other: without the short way.
+// For the test that compares both analyses: always uses the parser.
 [[nodiscard]] SqlFacts facts_by_parser(std::string_view text);
 [[nodiscard]] bool is_plain(std::string_view text);
 
--- a/src/pg/stream.cpp
+++ b/src/pg/stream.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-constexpr std::size_t read_most = 64 << 10;
-// Reads in one turn, so that one busy connection does not keep the others waiting.
-constexpr int reads_at_once = 4;
-// Plain bytes are given to TLS while less than this waits to be written.
-constexpr std::size_t encrypted_most = 256 << 10;
+constexpr std::size_t read_buffer_size = 64 << 10;
+// Reads per readiness event, so that one busy connection does not delay the others.
+constexpr int reads_per_event = 4;
+// Plain bytes are passed to TLS while less encrypted output than this is pending.
+constexpr std::size_t max_encrypted_output = 256 << 10;
 
 }  // namespace
 
@@ -39,21 +39,21 @@
 }
 
 void Stream::begin() {
-    begun_ = true;
+    reading_enabled_ = true;
     await_read();
 }
 
 void Stream::secure(std::unique_ptr<tls::Channel> channel) {
     channel_ = std::move(channel);
-    secure_next_ = true;
+    tls_after_pending_ = true;
     flush();
 }
 
 void Stream::await_read() {
-    if (!begun_ || reading_ || paused_ || !owner_) return;
-    reading_ = true;
+    if (!reading_enabled_ || read_wait_pending_ || paused_ || !owner_) return;
+    read_wait_pending_ = true;
     socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code error) {
-        self->reading_ = false;
+        self->read_wait_pending_ = false;
         if (error || !self->owner_ || self->paused_) return;
         self->read();
         self->await_read();
@@ -61,27 +61,27 @@
 }
 
 void Stream::read_now() {
-    if (begun_ && owner_) read();
+    if (reading_enabled_ && owner_) read();
 }
 
 void Stream::read() {
     const auto self = shared_from_this();
-    std::array<char, read_most> room;
-    for (int i = 0; i < reads_at_once && owner_ && !paused_; ++i) {
-        const loop::Read got = loop::read_some(socket_, room);
-        switch (got.kind) {
+    std::array<char, read_buffer_size> buffer;
+    for (int i = 0; i < reads_per_event && owner_ && !paused_; ++i) {
+        const loop::Read result = loop::read_some(socket_, buffer);
+        switch (result.kind) {
             case loop::Read::Kind::nothing: return;
-            case loop::Read::Kind::end: return ended("");
-            case loop::Read::Kind::broken: return ended("the connection broke");
-            case loop::Read::Kind::bytes: took(got.bytes); break;
+            case loop::Read::Kind::end: return report_end("");
+            case loop::Read::Kind::broken: return report_end("the connection broke");
+            case loop::Read::Kind::bytes: process_bytes(result.bytes); break;
         }
-        if (got.bytes.size() < room.size()) return;
+        if (result.bytes.size() < buffer.size()) return;
     }
 }
 
-void Stream::took(std::string_view bytes) {
-    if (shut_) return;  // dropped
-    if (!channel_ || secure_next_) return owner_->on_bytes(bytes);
+void Stream::process_bytes(std::string_view bytes) {
+    if (send_closed_) return;  // discarded
+    if (!channel_ || tls_after_pending_) return owner_->on_bytes(bytes);
     const bool open = channel_->receive(bytes);
     if (!secured_ && channel_->established()) {
         secured_ = true;
@@ -92,19 +92,19 @@
     if (!plain.empty()) owner_->on_bytes(plain);
     if (!owner_) return;
     flush();
-    if (owner_ && !open) ended(channel_->failed() ? "TLS: " + channel_->error() : "");
+    if (owner_ && !open) report_end(channel_->failed() ? "TLS: " + channel_->error() : "");
 }
 
-void Stream::ended(const std::string& why) {
+void Stream::report_end(const std::string& why) {
     if (owner_) owner_->on_end(why);
 }
 
-// True: all of it has gone.
+// Returns true if all pending bytes have been written.
 bool Stream::write_raw() {
     while (owner_) {
-        const bool encrypted = channel_ && !secure_next_;
-        if (encrypted && secured_ && channel_->output().size() < encrypted_most) {
-            const std::string_view plain = owner_->pending().substr(0, encrypted_most);
+        const bool encrypted = channel_ && !tls_after_pending_;
+        if (encrypted && secured_ && channel_->output().size() < max_encrypted_output) {
+            const std::string_view plain = owner_->pending().substr(0, max_encrypted_output);
             if (!plain.empty()) {
                 channel_->send(plain);
                 owner_->wrote(plain.size());
@@ -112,8 +112,8 @@
         }
         const std::string_view out = encrypted ? channel_->output() : owner_->pending();
         if (out.empty()) {
-            if (!secure_next_) return true;
-            secure_next_ = false;
+            if (!tls_after_pending_) return true;
+            tls_after_pending_ = false;
             continue;
         }
         const loop::Written written = loop::write_some(socket_, out);
@@ -123,13 +123,13 @@
             owner_->wrote(written.bytes);
         }
         if (written.broken) {
-            // What has come before may still be read: its end shows there.
+            // Bytes that arrived before may still be read; the read reports the end.
             return false;
         }
         if (written.bytes == out.size()) continue;
-        blocked_ = true;
+        write_wait_pending_ = true;
         socket_.async_wait(tcp::socket::wait_write, [self = shared_from_this()](error_code error) {
-            self->blocked_ = false;
+            self->write_wait_pending_ = false;
             if (!error && self->owner_) self->flush();
         });
         return false;
@@ -138,14 +138,14 @@
 }
 
 void Stream::flush() {
-    if (!owner_ || blocked_ || shut_ || !socket_.is_open()) return;
+    if (!owner_ || write_wait_pending_ || send_closed_ || !socket_.is_open()) return;
     const auto self = shared_from_this();
     if (!write_raw()) {
-        behind_ = true;
+        write_pending_ = true;
         return;
     }
-    if (behind_) {
-        behind_ = false;
+    if (write_pending_) {
+        write_pending_ = false;
         owner_->on_drained();
         if (!owner_) return;
     }
@@ -165,13 +165,13 @@
 }
 
 void Stream::try_finish() {
-    if (shut_ || blocked_) return;
+    if (send_closed_ || write_wait_pending_) return;
     if (channel_ && secured_) {
         channel_->finish();
         const std::string_view out = channel_->output();
-        channel_->wrote(loop::write_some(socket_, out).bytes);  // a goodbye that does not fit is left out
+        channel_->wrote(loop::write_some(socket_, out).bytes);  // a close_notify that does not fit is dropped
     }
-    shut_ = true;
+    send_closed_ = true;
     error_code ignored;
     socket_.shutdown(tcp::socket::shutdown_send, ignored);
     paused_ = false;
--- a/src/pg/stream.h
+++ b/src/pg/stream.h
@@ -1,9 +1,10 @@
-// A socket with or without TLS round it, for the front and the back: bytes that come are handed to the owner,
-// what the owner has pending is written as the socket takes it.
+// A socket with optional TLS: received bytes are passed to the owner, and the owner's pending bytes are
+// written
+// as the socket accepts them.
 //
-// Threading: the loop's one.   Ownership: the owner is borrowed until close() or abandon(); nothing comes
-//            after.
-// Life:      held by shared pointers; what the loop holds of it ends soon after close(). Waits: never.
+// Threading: the loop's thread only; no call blocks.
+// Ownership: the owner is borrowed until close(); it is not called afterwards.
+// Life:      held by shared pointers; the loop drops its references soon after close().
 #pragma once
 
 #include <memory>
@@ -21,13 +22,13 @@
     virtual ~StreamOwner() = default;
     virtual void on_connected(const loop::error_code& /*error*/) {}
     virtual void on_bytes(std::string_view bytes) = 0;
-    // Nothing more comes: the other side has ended, or the connection is broken.
+    // No more bytes follow: the other side has closed its end, or the connection is broken.
     virtual void on_end(const std::string& why) = 0;
     virtual void on_secured() {}
-    // Plain bytes to write, and how many were handed over.
+    // Returns the plain bytes to be written; wrote() reports how many of them were accepted.
     virtual std::string_view pending() = 0;
     virtual void wrote(std::size_t bytes) = 0;
-    // All that was pending has been handed over, after it had not been.
+    // All pending bytes have been accepted, after the socket had blocked.
     virtual void on_drained() {}
 };
 
@@ -36,19 +37,19 @@
     Stream(const loop::Executor& executor, StreamOwner& owner) : owner_(&owner), socket_(executor) {}
     Stream(loop::tcp::socket socket, StreamOwner& owner);
 
-    // on_connected() follows, later.
+    // on_connected() follows; a local error is reported from within this call.
     void connect(const loop::tcp::endpoint& address);
-    // Begins to listen for bytes.
+    // Starts to wait for bytes.
     void begin();
-    // What is pending goes in clear; all after it is TLS. on_secured() follows, or on_end().
+    // Sends the pending bytes unencrypted, then starts TLS. on_secured() or on_end() follows.
     void secure(std::unique_ptr<tls::Channel> channel);
     void flush();
-    // Takes what has come and is not read yet, now.
+    // Processes at once the bytes that have arrived and are not read yet.
     void read_now();
     void pause(bool paused);
     bool is_paused() const { return paused_; }
-    // Writes what is pending, ends the sending side, and drops what still comes, until the other side ends:
-    // then on_end().
+    // Writes the pending bytes, closes the sending side and discards received bytes until the other side
+    // closes its end; then on_end() follows.
     void finish();
     void close();
 
@@ -57,17 +58,17 @@
 private:
     void await_read();
     void read();
-    void took(std::string_view bytes);
-    void ended(const std::string& why);
+    void process_bytes(std::string_view bytes);
+    void report_end(const std::string& why);
     bool write_raw();
     void try_finish();
 
     StreamOwner* owner_;
     loop::tcp::socket socket_;
     std::unique_ptr<tls::Channel> channel_;
-    bool secured_ = false, secure_next_ = false;
-    bool begun_ = false, reading_ = false, paused_ = false, blocked_ = false;
-    bool finishing_ = false, shut_ = false, behind_ = false;
+    bool secured_ = false, tls_after_pending_ = false;
+    bool reading_enabled_ = false, read_wait_pending_ = false, paused_ = false, write_wait_pending_ = false;
+    bool finishing_ = false, send_closed_ = false, write_pending_ = false;
 };
 
 }  // namespace flaxdoor::pg
--- a/src/pg/text.h
+++ b/src/pg/text.h
@@ -1,4 +1,4 @@
-// Letters as PostgreSQL folds them: ASCII alone, whatever the locale.
+// Case folding as PostgreSQL does it: ASCII only, independent of the locale.
 #pragma once
 
 #include <string>
--- a/src/pg/unit.h
+++ b/src/pg/unit.h
@@ -1,5 +1,5 @@
-// What the front's clients and the back's connections are to each other. One thread; nobody outlives the
-// loop.
+// Interfaces between client sessions (front.cpp) and server connections (back.cpp). Threading: the loop's
+// thread only. Life: no object outlives the loop.
 #pragma once
 
 #include <functional>
@@ -12,51 +12,51 @@
 
 namespace flaxdoor::pg {
 
-// A connection to a server, for the client that it is linked to. Valid between on_link() and release(),
+// A server connection, as seen by the client that is linked to it. Valid from on_link() until release(),
 // abandon() or on_server_lost().
-class Carrier {
+class ServerLink {
 public:
-    virtual ~Carrier() = default;
+    virtual ~ServerLink() = default;
     virtual ServerMachine& machine() = 0;
     virtual UpstreamId upstream() const = 0;
     virtual bool takes_work() const = 0;
-    // The machine has output.
+    // The machine has output to be written.
     virtual void flush() = 0;
-    virtual void resume() = 0;  // the client takes bytes again
+    virtual void resume() = 0;  // the client accepts bytes again
     virtual void started() = 0;
     virtual void served() = 0;
     virtual void release(bool dirty) = 0;
-    // Stops what runs; its end still comes.
+    // Asks the server to cancel what runs; its answer still follows.
     virtual void cancel() = 0;
-    // The link is over, whatever runs: the attempt ends with this outcome, or as one that never ran.
+    // Ends the link, whatever runs: the attempt ends with this outcome, or as one that was never executed.
     virtual void abandon(Outcome outcome) = 0;
 };
 
-// A client, for the connection that it is linked to.
-class Unit {
+// A client, as seen by the server connection that is linked to it.
+class LinkedClient {
 public:
-    virtual ~Unit() = default;
+    virtual ~LinkedClient() = default;
     virtual const std::string& user() const = 0;
-    // The module has found it a place; it may still wait for a connection.
+    // The policy module has chosen an upstream; the client may still wait for a connection to it.
     virtual void on_placed() = 0;
-    // An attempt of it has ended with nothing sent: `tell` says so to the core.
+    // An attempt has ended with nothing sent. `tell` reports that to the core.
     virtual void ended_unsent(const std::function<void()>& tell) = 0;
-    // The one that it wants and no other.
-    virtual Carrier* tied() const = 0;
-    [[nodiscard]] virtual bool on_link(Carrier& carrier) = 0;
+    // Returns the server connection that the client requires; null if any will do.
+    virtual ServerLink* required_link() const = 0;
+    [[nodiscard]] virtual bool on_link(ServerLink& server_link) = 0;
     virtual void on_server(const ServerEvent& event) = 0;
-    // All events that there were have been handed in; or the server takes bytes again.
+    // All available events have been passed in, or the server accepts bytes again.
     virtual void after_server() = 0;
-    virtual Loss on_server_lost() = 0;
-    // The server drains; `at_limit`: the time that is left for what is open is over.
+    virtual LossReport on_server_lost() = 0;
+    // The server is draining. `at_limit`: the time limit for open transactions has passed.
     virtual void on_drain(bool at_limit) = 0;
-    // It takes no more bytes for now.
+    // Returns true while the client's output buffer is full.
     virtual bool crowded() const = 0;
 };
 
-struct UnitPayload : core::Payload {
-    explicit UnitPayload(std::weak_ptr<Unit> whose) : unit(std::move(whose)) {}
-    std::weak_ptr<Unit> unit;
+struct ClientPayload : core::Payload {
+    explicit ClientPayload(std::weak_ptr<LinkedClient> linked_client) : client(std::move(linked_client)) {}
+    std::weak_ptr<LinkedClient> client;
 };
 
 }  // namespace flaxdoor::pg
--- a/src/pg/wire.cpp
+++ b/src/pg/wire.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 constexpr std::size_t header_bytes = 5;
-// Parts of the buffer that were handed out are let go of beyond so many bytes.
-constexpr std::size_t spent_most = 64 << 10;
+// Consumed parts of the buffer beyond this size are released.
+constexpr std::size_t max_consumed_bytes = 64 << 10;
 
 std::uint32_t big_endian(std::string_view four) {
     std::uint32_t value = 0;
@@ -16,113 +16,115 @@
     return value;
 }
 
-constexpr std::string_view from_clients = "QPBDECHSXFdcfp";
-constexpr std::string_view from_servers = "RKSZEN123CDTtnsIGHWdcAVv";
+constexpr std::string_view client_message_types = "QPBDECHSXFdcfp";
+constexpr std::string_view server_message_types = "RKSZEN123CDTtnsIGHWdcAVv";
 
 bool comes_in_pieces(Sender sender, char type) {
     return type == 'd' || (sender == Sender::server && type == 'D');
 }
 
-// Messages whose body has one length only; -1: any.
-int only_length(Sender sender, char type) {
+// Returns the body length of messages that have a fixed one; -1 for any other.
+int fixed_length(Sender sender, char type) {
     if (sender == Sender::client)
         return std::string_view("HSXc").find(type) != std::string_view::npos ? 0 : -1;
     if (std::string_view("123nsIc").find(type) != std::string_view::npos) return 0;
     return type == 'Z' ? 1 : -1;
 }
 
-std::string shown(char type) {
+std::string printable_type(char type) {
     if (type > ' ' && type < 127) return std::string("'") + type + "'";
     return std::to_string(static_cast<unsigned char>(type));
 }
 
 }  // namespace
 
-// ------------------------------------------------------------------------------------------------- decoder
+// --- Decoder ---
 
 void Decoder::feed(std::string_view bytes) {
-    if (at_ == buffer_.size()) {
+    if (position_ == buffer_.size()) {
         buffer_.clear();
-        at_ = 0;
-        if (buffer_.capacity() > spent_most) buffer_.shrink_to_fit();
-    } else if (at_ > spent_most) {
-        buffer_.erase(0, at_);
-        at_ = 0;
+        position_ = 0;
+        if (buffer_.capacity() > max_consumed_bytes) buffer_.shrink_to_fit();
+    } else if (position_ > max_consumed_bytes) {
+        buffer_.erase(0, position_);
+        position_ = 0;
     }
     buffer_ += bytes;
 }
 
 std::optional<std::string_view> Decoder::next_startup() {
     if (!error_.empty() || buffered() < 4) return std::nullopt;
-    const std::string_view rest = std::string_view(buffer_).substr(at_);
+    const std::string_view rest = std::string_view(buffer_).substr(position_);
     const std::size_t length = big_endian(rest.substr(0, 4));
     if (length < 8 || length > limits_.startup) {
         error_ = "invalid length of startup packet";
         return std::nullopt;
     }
     if (rest.size() < length) return std::nullopt;
-    at_ += length;
+    position_ += length;
     return rest.substr(4, length - 4);
 }
 
 std::optional<Message> Decoder::next() {
     if (!error_.empty()) return std::nullopt;
-    const std::string_view rest = std::string_view(buffer_).substr(at_);
-    if (left_ > 0) {
+    const std::string_view rest = std::string_view(buffer_).substr(position_);
+    if (piece_remaining_ > 0) {
         if (rest.empty()) return std::nullopt;
-        const std::size_t size = std::min(left_, rest.size());
-        at_ += size;
-        left_ -= size;
-        return Message{type_, length_, rest.substr(0, size), false, left_ == 0};
+        const std::size_t size = std::min(piece_remaining_, rest.size());
+        position_ += size;
+        piece_remaining_ -= size;
+        return Message{piece_type_, piece_length_, rest.substr(0, size), false, piece_remaining_ == 0};
     }
     if (rest.empty()) return std::nullopt;
     const char type = rest.front();
-    if ((sender_ == Sender::client ? from_clients : from_servers).find(type) == std::string_view::npos) {
-        error_ = "invalid message type " + shown(type);
+    if ((sender_ == Sender::client ? client_message_types : server_message_types).find(type) ==
+        std::string_view::npos) {
+        error_ = "invalid message type " + printable_type(type);
         return std::nullopt;
     }
     if (rest.size() < header_bytes) return std::nullopt;
-    const std::size_t counted = big_endian(rest.substr(1, 4));
-    if (counted < 4 || !judge(type, counted - 4)) {
-        if (error_.empty()) error_ = "invalid message length for type " + shown(type);
+    const std::size_t length_field = big_endian(rest.substr(1, 4));
+    if (length_field < 4 || !check_length(type, length_field - 4)) {
+        if (error_.empty()) error_ = "invalid message length for type " + printable_type(type);
         return std::nullopt;
     }
-    const std::size_t length = counted - 4;
+    const std::size_t length = length_field - 4;
     const std::string_view body = rest.substr(header_bytes);
     if (body.size() >= length) {
-        at_ += header_bytes + length;
+        position_ += header_bytes + length;
         return Message{type, length, body.substr(0, length), true, true};
     }
     if (!comes_in_pieces(sender_, type) || length <= limits_.held || body.empty()) return std::nullopt;
-    at_ += header_bytes + body.size();
-    left_ = length - body.size();
-    length_ = length;
-    type_ = type;
+    position_ += header_bytes + body.size();
+    piece_remaining_ = length - body.size();
+    piece_length_ = length;
+    piece_type_ = type;
     return Message{type, length, body, true, false};
 }
 
 std::optional<char> Decoder::next_byte() {
     if (buffered() == 0) return std::nullopt;
-    return buffer_[at_++];
+    return buffer_[position_++];
 }
 
-bool Decoder::judge(char type, std::size_t length) {
+bool Decoder::check_length(char type, std::size_t length) {
     if (comes_in_pieces(sender_, type)) return length < (std::size_t{1} << 30);
-    if (const int only = only_length(sender_, type); only >= 0)
-        return length == static_cast<std::size_t>(only);
-    if (length <= (password_ && type == 'p' ? limits_.password : limits_.whole)) return true;
-    error_ = "message of type " + shown(type) + " is too large: " + std::to_string(length) + " bytes";
+    if (const int fixed = fixed_length(sender_, type); fixed >= 0)
+        return length == static_cast<std::size_t>(fixed);
+    if (length <= (expecting_password_ && type == 'p' ? limits_.password : limits_.whole)) return true;
+    error_ =
+        "message of type " + printable_type(type) + " is too large: " + std::to_string(length) + " bytes";
     return false;
 }
 
-// -------------------------------------------------------------------------------------------------- writer
+// --- Writer ---
 
 Writer& Writer::begin(char type) {
     out_ += type;
     return begin_startup();
 }
 Writer& Writer::begin_startup() {
-    begun_ = out_.size();
+    length_position_ = out_.size();
     return i32(0);
 }
 Writer& Writer::i8(char value) {
@@ -148,28 +150,29 @@
     return *this;
 }
 void Writer::end() {
-    const auto length = static_cast<std::uint32_t>(out_.size() - begun_);
-    for (std::size_t i = 0; i < 4; ++i) out_[begun_ + i] = static_cast<char>(length >> (24 - 8 * i));
+    const auto length = static_cast<std::uint32_t>(out_.size() - length_position_);
+    for (std::size_t i = 0; i < 4; ++i)
+        out_[length_position_ + i] = static_cast<char>(length >> (24 - 8 * i));
 }
 void Writer::header(char type, std::size_t body) {
     i8(type);
     i32(static_cast<std::uint32_t>(body + 4));
 }
 
-// -------------------------------------------------------------------------------------------------- fields
+// --- Fields ---
 
 std::string_view Fields::bytes(std::size_t count) {
     if (!ok_ || rest_.size() < count) {
         ok_ = false;
         return {};
     }
-    const std::string_view got = rest_.substr(0, count);
+    const std::string_view value = rest_.substr(0, count);
     rest_.remove_prefix(count);
-    return got;
+    return value;
 }
 int Fields::i8() {
-    const std::string_view got = bytes(1);
-    return got.empty() ? 0 : static_cast<unsigned char>(got.front());
+    const std::string_view value = bytes(1);
+    return value.empty() ? 0 : static_cast<unsigned char>(value.front());
 }
 int Fields::i16() { return static_cast<std::int16_t>(big_endian(bytes(2))); }
 std::uint32_t Fields::i32() { return big_endian(bytes(4)); }
@@ -179,13 +182,12 @@
         ok_ = false;
         return {};
     }
-    const std::string_view got = rest_.substr(0, end);
+    const std::string_view value = rest_.substr(0, end);
     rest_.remove_prefix(end + 1);
-    return got;
+    return value;
 }
 
-// ---------------------------------------------------------------------------------------------- first
-// packets
+// --- Start-up packets ---
 
 const std::string* Startup::find(std::string_view name) const {
     for (const auto& option : options) {
@@ -230,7 +232,7 @@
     Writer(out).begin_startup().i32(cancel_code).i32(key.process).i32(key.secret).end();
 }
 
-// -------------------------------------------------------------------------------------------------- bodies
+// --- Message bodies ---
 
 std::optional<ParseBody> read_parse(std::string_view body) {
     Fields fields(body);
@@ -305,7 +307,7 @@
             case 'C': error.code = text; break;
             case 'M': error.message = text; break;
             case 'R': error.routine = text; break;
-            default: break;  // others may be added to the protocol
+            default: break;  // PostgreSQL may add further fields
         }
     }
     if (!fields.done()) return std::nullopt;
--- a/src/pg/wire.h
+++ b/src/pg/wire.h
@@ -1,12 +1,14 @@
-// PostgreSQL's protocol, version 3.0, as bytes: a Decoder cuts a stream into messages, a Writer makes them,
-// and the readers here understand the bodies that matter. No I/O and no clock.
+// Messages of PostgreSQL's protocol, version 3.0: a Decoder splits a byte stream into messages, a Writer
+// composes
+// messages, and the read functions parse the bodies that matter here. No I/O and no clock.
 //
-// Threading: one thread at a time.   Ownership: views point into the Decoder, until its next call.
-// Errors:    what breaks the format is one text (SQLSTATE 08P01); a Decoder that has failed stays failed.
-// Bounds:    a message of a kind that may be large (DataRow, CopyData) is handed out in pieces once it is
-//            larger than Limits::held; any other is held whole, up to Limits::whole.
+// Threading: one thread at a time.
+// Ownership: views point into the Decoder and are valid until its next call.
+// Errors: a format violation is reported as a text (SQLSTATE 08P01); a Decoder that has failed stays failed.
+// Bounds:    a message of a type that may be large (DataRow, CopyData) is returned in pieces if it is larger
+//            than Limits::held; any other message is buffered whole, up to Limits::whole.
 // Format:    https://www.postgresql.org/docs/15/protocol-message-formats.html. Integers are big-endian; a
-//            length counts itself but not the byte of the type.
+//            message's length counts itself but not the type byte.
 #pragma once
 
 #include <cstddef>
@@ -21,17 +23,17 @@
 enum class Sender : std::uint8_t { client, server };
 
 struct Limits {
-    std::size_t whole = 16 << 20;    // of a message that is held whole, its body
-    std::size_t held = 16 << 10;     // of one that need not be
-    std::size_t startup = 10'000;    // of the first packet, as PostgreSQL itself has it
-    std::size_t password = 1 << 10;  // of what answers a question for a password
+    std::size_t whole = 16 << 20;    // bytes of the body of a message that is buffered whole
+    std::size_t held = 16 << 10;     // bytes of the body of a message that may be returned in pieces
+    std::size_t startup = 10'000;    // bytes of a start-up packet, the same limit as PostgreSQL's
+    std::size_t password = 1 << 10;  // bytes of a client's answer to an authentication request
 };
 
 // A message, or a piece of one.
 struct Message {
     char type = 0;
     std::size_t length = 0;  // of the whole body
-    std::string_view body;   // this piece
+    std::string_view body;   // of this piece
     bool first = true;
     bool last = true;
 };
@@ -41,56 +43,57 @@
     Decoder(Sender sender, Limits limits) : sender_(sender), limits_(limits) {}
 
     void feed(std::string_view bytes);
-    // A packet without a type: the first ones of a client. Its body, the length left out.
+    // Returns the body of a packet without a type byte, such as a client's first packets; the length field is
+    // removed.
     [[nodiscard]] std::optional<std::string_view> next_startup();
     [[nodiscard]] std::optional<Message> next();
-    // One byte that is no message: a server's answer to SSLRequest.
+    // Returns one byte that is not part of a message: a server's answer to SSLRequest.
     [[nodiscard]] std::optional<char> next_byte();
-    // The next message is one of the client's answers to an authentication request: the limit is another one.
-    void expect_password(bool expected) { password_ = expected; }
+    // Selects the limit of messages that answer an authentication request.
+    void expect_password(bool expected) { expecting_password_ = expected; }
 
-    // Empty while nothing is wrong.
+    // Empty if no error has occurred.
     const std::string& error() const { return error_; }
-    // Bytes that were fed and not handed out.
-    std::size_t buffered() const { return buffer_.size() - at_; }
-    bool between_messages() const { return buffered() == 0 && left_ == 0; }
+    // Returns the number of bytes that were fed and not returned yet.
+    std::size_t buffered() const { return buffer_.size() - position_; }
+    bool between_messages() const { return buffered() == 0 && piece_remaining_ == 0; }
 
 private:
-    bool judge(char type, std::size_t length);
+    bool check_length(char type, std::size_t length);
 
     const Sender sender_;
     const Limits limits_;
     std::string buffer_;
-    std::size_t at_ = 0;
-    std::size_t left_ = 0;    // of a message that is handed out in pieces
-    std::size_t length_ = 0;  // of the same, its whole body
-    char type_ = 0;
-    bool password_ = false;
+    std::size_t position_ = 0;
+    std::size_t piece_remaining_ = 0;  // bytes of a message in pieces that are still to come
+    std::size_t piece_length_ = 0;     // body length of that message
+    char piece_type_ = 0;
+    bool expecting_password_ = false;
     std::string error_;
 };
 
-// Appends messages to a text. One that is begun must be ended before the next.
+// Appends messages to a string. A message that was begun must be ended before the next one.
 class Writer {
 public:
     explicit Writer(std::string& out) : out_(out) {}
     Writer& begin(char type);
-    Writer& begin_startup();  // without a type
+    Writer& begin_startup();  // without a type byte
     Writer& i8(char value);
     Writer& i16(int value);
     Writer& i32(std::uint32_t value);
     Writer& bytes(std::string_view value);
-    Writer& text(std::string_view value);  // with its terminator
+    Writer& text(std::string_view value);  // with a terminating zero byte
     void end();
     void empty(char type) { begin(type).end(); }
-    // The header of a message whose body is written by others.
+    // Writes the header of a message whose body the caller appends.
     void header(char type, std::size_t body);
 
 private:
     std::string& out_;
-    std::size_t begun_ = 0;
+    std::size_t length_position_ = 0;
 };
 
-// Reads a body from its begin. Beyond its end everything is empty and ok() false.
+// Reads the fields of a body in order. Past its end every field is empty and ok() is false.
 class Fields {
 public:
     explicit Fields(std::string_view body) : rest_(body) {}
@@ -98,7 +101,7 @@
     int i16();
     std::uint32_t i32();
     std::string_view bytes(std::size_t count);
-    std::string_view text();  // up to a terminator, which must be there
+    std::string_view text();  // up to the terminating zero byte, which must be present
     bool ok() const { return ok_; }
     bool done() const { return ok_ && rest_.empty(); }
     std::string_view rest() const { return rest_; }
@@ -108,8 +111,7 @@
     bool ok_ = true;
 };
 
-// ---------------------------------------------------------------------------------------------- first
-// packets
+// --- Start-up packets ---
 
 constexpr std::uint32_t protocol_3_0 = 3 << 16;
 constexpr std::uint32_t cancel_code = (1234u << 16) | 5678u;
@@ -129,7 +131,7 @@
     enum class Kind : std::uint8_t { start, ssl, gss, cancel, malformed };
     Kind kind = Kind::malformed;
     std::uint32_t version = 0;
-    std::vector<StartupOption> options;  // of kind `start`, in their order
+    std::vector<StartupOption> options;  // of kind `start`, in the order of the packet
     Key key;                             // of kind `cancel`
     const std::string* find(std::string_view name) const;
 };
@@ -137,31 +139,31 @@
 void write_startup(std::string& out, const std::vector<StartupOption>& options);
 void write_cancel(std::string& out, Key key);
 
-// ------------------------------------------------------------------------------------------------- bodies
+// --- Message bodies ---
 
 struct ParseBody {
-    std::string_view name, text, types;  // types: as they stand, their count in front
+    std::string_view name, text, types;  // `types` is the raw field, including its count
 };
 [[nodiscard]] std::optional<ParseBody> read_parse(std::string_view body);
 struct BindBody {
     std::string_view portal, statement, rest;
 };
 [[nodiscard]] std::optional<BindBody> read_bind(std::string_view body);
-struct TargetBody {  // of Describe and Close
+struct TargetBody {  // body of Describe and Close
     char kind = 0;   // 'S' or 'P'
     std::string_view name;
 };
 [[nodiscard]] std::optional<TargetBody> read_target(std::string_view body);
-// Query, CopyFail, CommandComplete: one text and nothing else.
+// Reads the body of Query, CopyFail or CommandComplete: a single string.
 [[nodiscard]] std::optional<std::string_view> read_text(std::string_view body);
 struct Setting {
     std::string_view name, value;
 };
 [[nodiscard]] std::optional<Setting> read_setting(std::string_view body);
 
-// What an ErrorResponse or NoticeResponse says, as far as it matters here.
+// The fields of an ErrorResponse or NoticeResponse that matter here.
 struct ErrorBody {
-    std::string_view severity;  // not translated (field V, else S)
+    std::string_view severity;  // untranslated (field V, otherwise S)
     std::string_view code, message, routine;
 };
 [[nodiscard]] std::optional<ErrorBody> read_error(std::string_view body);
@@ -174,7 +176,7 @@
     std::string detail{}, hint{};  // empty: none
 };
 void write_error(std::string& out, const ErrorText& error);
-// ReadyForQuery: 'I', 'T' or 'E'.
+// Writes a ReadyForQuery; `status` is 'I', 'T' or 'E'.
 void write_ready(std::string& out, char status);
 
 }  // namespace flaxdoor::pg
--- a/src/tls/tls.h
+++ b/src/tls/tls.h
@@ -1,11 +1,13 @@
-// TLS by OpenSSL, without sockets: what came from the wire in, what is to go there out, plain bytes on the
-// other side. For fronts (a certificate of ours) and backs (verify-full: the chain and the name).
+// TLS connections over OpenSSL, independent of sockets: the caller moves encrypted bytes between a Channel
+// and
+// the network, and plain bytes between the Channel and the application. Contexts exist for the server side
+// (with a certificate) and for the client side (which verifies the certificate chain and the host name).
 //
-// Threading: a Context may be shared by channels of one thread; a Channel belongs to one thread.
-// Ownership: a Channel keeps its Context.
-// Errors:    a Context that can't be made throws Error, which names the file; a Channel that has failed says
-//            why.
-// Versions:  1.2 and 1.3.
+// Threading: channels of one thread may share a Context; a Channel belongs to one thread.
+// Ownership: a Channel shares ownership of its Context.
+// Errors:    creating a Context throws Error, which names the file; a failed Channel reports the reason by
+//            error().
+// Versions:  TLS 1.2 and 1.3.
 #pragma once
 
 #include <cstddef>
@@ -18,7 +20,7 @@
 
 namespace flaxdoor::tls {
 
-// What is wrong with a file that was named.
+// Reports which file could not be used, and why.
 struct Error : std::runtime_error {
     Error(std::string file, const std::string& what) : std::runtime_error(what), file(std::move(file)) {}
     std::string file;
@@ -26,26 +28,28 @@
 
 class Context {
 public:
-    // Files in PEM. The key must be the certificate's.
+    // Returns a context for accepting connections from clients. Both files are PEM; the key must belong to
+    // the certificate.
     static std::shared_ptr<const Context> for_clients(const std::string& certificate_file,
                                                       const std::string& key_file);
-    // The authorities to trust; empty: those of the system.
+    // Returns a context for connections to servers. `authorities_file` is a PEM file of the trusted
+    // authorities; if it is empty, the system's authorities are trusted.
     static std::shared_ptr<const Context> for_servers(const std::string& authorities_file);
-    // The same from texts in PEM, with a certificate of our own where the server asks for one; each may be
-    // empty.
+    // Returns a context for connections to servers from PEM texts. `certificate` and `key` are presented to
+    // servers that request a client certificate. Each text may be empty.
     struct ServerTexts {
         std::string authorities, certificate, key;
     };
     static std::shared_ptr<const Context> for_servers(const ServerTexts& texts);
 
-    // Several certificates behind one address, in PEM, told apart by what the client asks for (SNI): `host`
-    // is exact, "*.suffix", or empty for any. Who asks for none of them is turned away (unrecognized_name).
-    // HTTP/1.1 by ALPN.
+    // Returns a context with several certificates, in PEM, for one address. The client's SNI host name
+    // selects the certificate: `host` is an exact name, "*.suffix", or empty to match any name. A client
+    // whose name matches none is rejected with the alert unrecognized_name. ALPN offers HTTP/1.1.
     struct Named {
         std::string host, certificate, key;
     };
     static std::shared_ptr<const Context> for_clients(const std::vector<Named>& all);
-    // What is wrong with a certificate and its key, in PEM; empty: nothing.
+    // Returns what is wrong with a certificate and its key, both in PEM; empty if nothing is.
     static std::string fault_of(const std::string& certificate, const std::string& key);
 
     ~Context();
@@ -59,33 +63,33 @@
 
 class Channel {
 public:
-    // As the server of a connection.
+    // Creates the server side of a connection.
     explicit Channel(std::shared_ptr<const Context> context);
-    // As its client: the certificate must be for `name`, a host name or an address; empty: it is not
-    // verified.
+    // Creates the client side of a connection. The server's certificate must be valid for `name`, a host name
+    // or an IP address. If `name` is empty, the certificate is not verified.
     Channel(std::shared_ptr<const Context> context, const std::string& name);
     ~Channel();
     Channel(const Channel&) = delete;
     Channel& operator=(const Channel&) = delete;
 
-    // From the wire. False: the channel has failed, or the other side has ended it; what was read before
-    // still counts.
+    // Processes bytes from the network. Returns false if the channel has failed or the other side has closed
+    // it; plain bytes that were decrypted before remain available.
     bool receive(std::string_view bytes);
-    // Plain bytes that came; they are taken away.
+    // Returns the decrypted bytes and removes them from the channel.
     std::string take_plain();
-    // Plain bytes to send: before the handshake is over they wait.
+    // Encrypts plain bytes for the other side. Until the handshake is complete, they are queued.
     void send(std::string_view plain);
-    // To the wire, and how much of it went.
+    // Returns the bytes to be written to the network; wrote() then removes those that were written.
     std::string_view output();
     void wrote(std::size_t bytes);
-    // Says goodbye to the other side, behind all that was sent.
+    // Sends close_notify to the other side, behind all bytes that were sent.
     void finish();
 
     bool established() const;
-    // What the client asked for; empty: nothing.
+    // Returns the host name that the client requested by SNI; empty if it requested none.
     std::string server_name() const;
     bool failed() const;
-    // The other side has said goodbye.
+    // Returns true if the other side has sent close_notify.
     bool ended() const;
     const std::string& error() const;
 
--- a/tests/fuzz/pg.cpp
+++ b/tests/fuzz/pg.cpp
@@ -39,7 +39,7 @@
 class Host final : public SessionHost {
 public:
     explicit Host(ServerMachine& machine) : server(machine) {}
-    void take_unit(UnitKind, bool) override { wanted = true; }
+    void request_server(UnitKind, bool) override { wanted = true; }
     void leave_unit(bool) override { linked = wanted = false; }
     void unit_started() override {}
     void unit_served() override {}
@@ -91,10 +91,10 @@
         } else {
             client.feed(piece);
         }
-        while (session.can_take() && !session.over()) {
+        while (session.can_accept_message() && !session.over()) {
             const auto message = client.next();
             if (!message) break;
-            session.take(*message);
+            session.on_message(*message);
             if (host.wanted && session.in_unit()) {
                 host.wanted = false;
                 host.linked = session.on_link(server);
@@ -102,7 +102,7 @@
         }
         server.wrote(server.output().size());
         while (const auto event = server.next()) {
-            if (event->kind == ServerEvent::Kind::spoilt) {
+            if (event->kind == ServerEvent::Kind::broken) {
                 if (!host.linked) return;
                 host.linked = false;
                 (void)session.on_server_lost();
--- a/tests/pg/budget_test.cpp
+++ b/tests/pg/budget_test.cpp
@@ -1,4 +1,5 @@
-// A statement for which a budget of the fleet has no permit: refused at once, never run, and the session goes on.
+// A statement for which a fleet budget has no permit is rejected at once and never executed, and the session
+// continues.
 #include "quota.h"
 #include "rig.h"
 
@@ -7,7 +8,7 @@
 
 using flaxdoor::test::Quota;
 
-TEST(PgBudget, AStatementWithoutAPermitNeverRanAndIsToldWhenToComeBack) {
+TEST(PgBudget, StatementWithoutPermitIsNotExecutedAndGetsARetryTime) {
     Quota quota;
     Rig rig(&quota);
     rig.start({"a"});
@@ -26,8 +27,9 @@
     EXPECT_EQ(rig.journal.effects[1].committed, 1);
 }
 
-// A transaction is one call, under the permit of its first statement: none is cut off in the middle for want of another.
-TEST(PgBudget, ATransactionThatHasBegunNeedsNoOther) {
+// A transaction is one call, under the permit of its first statement, so none is aborted halfway for lack of
+// another permit.
+TEST(PgBudget, StartedTransactionNeedsNoFurtherPermit) {
     Quota quota;
     Rig rig(&quota);
     rig.start({"a"});
@@ -43,8 +45,9 @@
     EXPECT_EQ(rig.journal.effects[3].executed, 0);
 }
 
-// Its server is dead, and there is no permit for another attempt: it has not run, so that is what is told.
-TEST(PgBudget, AFurtherAttemptWithoutAPermit) {
+// The server is dead, and there is no permit for another attempt: the statement was not executed, and the
+// client is told so.
+TEST(PgBudget, RetryWithoutPermitIsRejected) {
     Quota quota;
     Rig rig(&quota);
     rig.start({"a", "b"});
--- a/tests/pg/client_machine_test.cpp
+++ b/tests/pg/client_machine_test.cpp
@@ -1,4 +1,4 @@
-// A client's connection up to its session.
+// Client connections up to the start of their session.
 #include "pg/client_machine.h"
 
 #include <gtest/gtest.h>
@@ -18,7 +18,7 @@
     return {};
 }
 
-TEST(ClientMachine, TrustToASession) {
+TEST(ClientMachine, TrustLoginStartsASession) {
     ClientMachine machine({});
     machine.receive(wire::startup({{"user", "u"}}));
     const auto start = machine.next();
@@ -38,7 +38,7 @@
     EXPECT_EQ(message->message.type, 'Q');
 }
 
-TEST(ClientMachine, ScramWithEverySplit) {
+TEST(ClientMachine, ScramLoginByteByByte) {
     ScramSecret secret{"pw", {}, {}, 0};
     for (const bool right : {true, false}) {
         ClientMachine machine({});
@@ -54,18 +54,18 @@
         machine.authenticate(
             {Authentication::Kind::scram, make_verifier(right ? "pw" : "other", "salt", 10), "nonce"});
         std::string out = std::exchange(machine.output(), {});
-        auto asked = wire::take(out);
-        ASSERT_TRUE(asked);
-        EXPECT_EQ(asked->body, wire::int32(10) + wire::text0("SCRAM-SHA-256") + '\0');
+        auto request = wire::take(out);
+        ASSERT_TRUE(request);
+        EXPECT_EQ(request->body, wire::int32(10) + wire::text0("SCRAM-SHA-256") + '\0');
         ScramClient client(secret, "mine");
         const std::string first = client.first();
         EXPECT_FALSE(
             feed(wire::message('p', wire::text0("SCRAM-SHA-256") +
                                         wire::int32(static_cast<std::uint32_t>(first.size())) + first)));
         out = std::exchange(machine.output(), {});
-        asked = wire::take(out);
-        ASSERT_TRUE(asked);
-        const auto end = feed(wire::message('p', *client.final(asked->body.substr(4))));
+        request = wire::take(out);
+        ASSERT_TRUE(request);
+        const auto end = feed(wire::message('p', *client.final(request->body.substr(4))));
         ASSERT_TRUE(end);
         EXPECT_EQ(end->kind, right ? Kind::accepted : Kind::broken);
         if (!right) {
@@ -75,33 +75,33 @@
     }
 }
 
-TEST(ClientMachine, TlsIsOfferedOrNot) {
-    const std::string ask = wire::untyped(wire::int32(80877103));
+TEST(ClientMachine, TlsIsOfferedIfConfigured) {
+    const std::string ssl_request = wire::untyped(wire::int32(80877103));
     ClientMachine without({});
-    without.receive(ask);
+    without.receive(ssl_request);
     EXPECT_FALSE(without.next());
     EXPECT_EQ(without.output(), "N");
     ClientMachine with({true, true, {}});
-    with.receive(ask);
+    with.receive(ssl_request);
     EXPECT_EQ(with.next()->kind, Kind::begin_tls);
     EXPECT_EQ(with.output(), "S");
     with.secured();
     with.receive(wire::startup({{"user", "u"}}));
     EXPECT_EQ(with.next()->kind, Kind::start);
-    // Bytes in clear behind the question: CVE-2021-23214.
-    ClientMachine smuggled({true, false, {}});
-    smuggled.receive(ask + wire::startup({{"user", "u"}}));
-    EXPECT_EQ(smuggled.next()->kind, Kind::broken);
+    // Unencrypted bytes behind the request: CVE-2021-23214.
+    ClientMachine injected({true, false, {}});
+    injected.receive(ssl_request + wire::startup({{"user", "u"}}));
+    EXPECT_EQ(injected.next()->kind, Kind::broken);
     ClientMachine clear({true, true, {}});
     clear.receive(wire::startup({{"user", "u"}}));
     EXPECT_EQ(clear.next()->kind, Kind::broken);
     EXPECT_EQ(code_of(clear.output()), "28000");
     ClientMachine twice({});
-    twice.receive(ask + ask);
+    twice.receive(ssl_request + ssl_request);
     EXPECT_EQ(twice.next()->kind, Kind::broken);
 }
 
-TEST(ClientMachine, ANewerProtocolIsTalkedDown) {
+TEST(ClientMachine, NewerProtocolVersionIsNegotiatedDown) {
     ClientMachine machine({});
     machine.receive(wire::untyped(wire::int32(3 << 16 | 2) + wire::text0("user") + wire::text0("u") +
                                   wire::text0("_pq_.x") + wire::text0("1") + '\0'));
@@ -116,7 +116,7 @@
     EXPECT_EQ(told->body, wire::int32(0) + wire::int32(1) + wire::text0("_pq_.x"));
 }
 
-TEST(ClientMachine, WhatIsNotServedIsSaid) {
+TEST(ClientMachine, UnsupportedStartupsAreRejected) {
     const auto refused = [](const std::string& packet) {
         ClientMachine machine({});
         machine.receive(packet);
@@ -130,7 +130,7 @@
     EXPECT_EQ(refused(wire::untyped(wire::int32(2 << 16))), "08P01");
 }
 
-TEST(ClientMachine, APasswordOutOfTurnIsRefused) {
+TEST(ClientMachine, UnexpectedPasswordIsRejected) {
     ClientMachine machine({});
     machine.receive(wire::startup({{"user", "u"}}));
     (void)machine.next();
--- a/tests/pg/cut_test.cpp
+++ b/tests/pg/cut_test.cpp
@@ -1,6 +1,6 @@
-// A server is killed at every byte that it receives and at every byte that it sends, over scripts of all
-// kinds of traffic. What is right is worked out here from the script and from what the stand-ins counted;
-// nothing of the session machine is asked.
+// Kills a server at every byte that it receives and at every byte that it sends, over scripts of all kinds of
+// traffic. The expected results are derived from the script and from what the stand-ins counted,
+// independently of the session's code.
 #include <cstdlib>
 #include <iostream>
 #include <set>
@@ -13,38 +13,39 @@
 // One unit of a script, and what it may do.
 struct Step {
     std::string bytes;
-    std::vector<long> effects{};  // in a transaction: of the statement
-    bool opens = false;           // it is, or has, BEGIN
-    bool commits = false;         // it is, or has, COMMIT
+    std::vector<long> effects{};  // in a transaction: those of the statement
+    bool opens = false;           // is or contains BEGIN
+    bool commits = false;         // is or contains COMMIT
     bool rolls_back = false;
-    bool errs = false;  // it has an error of its own
+    bool has_error = false;  // contains an error of its own
 };
 
 struct Script {
     std::string name;
     std::vector<Step> steps;
-    bool pipelined = false;  // all at once; else each after the answer to the one before
+    bool pipelined = false;  // sends all units at once; otherwise each after the answer to the previous one
     Mode mode = Mode::transaction;
 };
 
-// What it may do is read off its statements.
-Step reading(std::string bytes, const std::string& sql) {
-    const auto has = [&](const char* word) { return sql.find(word) != std::string::npos; };
-    Step step{std::move(bytes), {}, has("BEGIN"), has("COMMIT"), has("ROLLBACK"), has("1/0")};
+// Derives what a unit may do from its statements.
+Step step_from_sql(std::string bytes, const std::string& sql) {
+    const auto mentions = [&](const char* word) { return sql.find(word) != std::string::npos; };
+    Step step{std::move(bytes), {}, mentions("BEGIN"), mentions("COMMIT"), mentions("ROLLBACK"),
+              mentions("1/0")};
     const std::string values = "VALUES (";
     for (auto at = sql.find(values); at != std::string::npos; at = sql.find(values, at + 1))
         step.effects.push_back(std::stol(sql.substr(at + values.size())));
     return step;
 }
-// By the simple protocol, and by the extended one.
-Step query(const std::string& sql) { return reading(wire::query(sql), sql); }
+// query() uses the simple protocol, segment() the extended one.
+Step query(const std::string& sql) { return step_from_sql(wire::query(sql), sql); }
 Step segment(const std::vector<std::string>& statements) {
     std::string bytes, all;
     for (const auto& sql : statements) {
         bytes += wire::extended(sql);
         all += sql + ";";
     }
-    return reading(bytes + wire::sync(), all);
+    return step_from_sql(bytes + wire::sync(), all);
 }
 
 std::vector<Script> scripts() {
@@ -91,31 +92,32 @@
     };
 }
 
-enum class Told { committed, not_committed, unknown };
+enum class Reported { committed, not_committed, unknown };
 
 struct Outcome {
-    std::string wrong;  // empty: all is right
-    bool kept = false;  // the client's connection
+    std::string violation;  // empty: no violation was found
+    bool kept = false;      // the client's connection was kept
 };
 
-// What the client was told of each effect.
-std::map<long, Told> told_of(const Script& script, const std::vector<Answer>& answers, bool ended) {
-    std::map<long, Told> told;
-    std::vector<long> open;  // of the transaction that is open
+// Returns what the client was told about each effect.
+std::map<long, Reported> reported_outcomes(const Script& script, const std::vector<Answer>& answers,
+                                           bool ended) {
+    std::map<long, Reported> reports;
+    std::vector<long> open;  // of the open transaction
     bool in_transaction = false;
     for (std::size_t i = 0; i < script.steps.size(); ++i) {
         const Step& step = script.steps[i];
         const bool answered = i < answers.size() && (answers[i].status != 0 || answers[i].errors > 0);
-        Told said = Told::unknown;
+        Reported report = Reported::unknown;
         if (answered) {
             const Answer& answer = answers[i];
             if (answer.errors == 0) {
-                said = answer.tag == "ROLLBACK" ? Told::not_committed : Told::committed;
+                report = answer.tag == "ROLLBACK" ? Reported::not_committed : Reported::committed;
             } else {
-                said = answer.code == "08007" ? Told::unknown : Told::not_committed;
+                report = answer.code == "08007" ? Reported::unknown : Reported::not_committed;
             }
         } else if (!ended) {
-            said = Told::unknown;
+            report = Reported::unknown;
         }
         if (step.opens && !step.commits) {
             in_transaction = true;
@@ -123,29 +125,29 @@
             continue;
         }
         if (!in_transaction || (step.opens && step.commits)) {
-            for (const long e : step.effects) told[e] = said;
+            for (const long e : step.effects) reports[e] = report;
             continue;
         }
-        // An error ends what the transaction did, unless its end was on the way.
+        // An error undoes what the transaction did, unless its end was in transit.
         if (!step.commits && !step.rolls_back) {
             open.insert(open.end(), step.effects.begin(), step.effects.end());
             for (const long e : open) {
-                if (said == Told::not_committed || (answered && answers[i].code == "08006"))
-                    told[e] = Told::not_committed;
-                if (!told.contains(e)) told[e] = Told::unknown;
+                if (report == Reported::not_committed || (answered && answers[i].code == "08006"))
+                    reports[e] = Reported::not_committed;
+                if (!reports.contains(e)) reports[e] = Reported::unknown;
             }
             continue;
         }
         for (const long e : open) {
             if (step.rolls_back) {
-                told[e] = Told::not_committed;
-            } else if (!told.contains(e) || told[e] == Told::unknown) {
-                told[e] = said;
+                reports[e] = Reported::not_committed;
+            } else if (!reports.contains(e) || reports[e] == Reported::unknown) {
+                reports[e] = report;
             }
         }
         in_transaction = false;
     }
-    return told;
+    return reports;
 }
 
 Outcome run(const Script& script, std::size_t received, std::size_t sent, wire::Journal* measured = nullptr) {
@@ -161,65 +163,66 @@
     rig.journal.send_left = sent;
 
     Outcome outcome;
-    const auto wrong = [&](const std::string& what) {
-        if (outcome.wrong.empty()) outcome.wrong = what;
+    const auto add_violation = [&](const std::string& what) {
+        if (outcome.violation.empty()) outcome.violation = what;
     };
     if (script.pipelined) {
         std::string all;
         for (const Step& step : script.steps) all += step.bytes;
         client->send(all);
         if (!rig.until([&] { return client->readies() >= script.steps.size() || client->ended(); }))
-            wrong("an answer is missing");
+            add_violation("an answer is missing");
     } else {
         for (std::size_t i = 0; i < script.steps.size(); ++i) {
             client->send(script.steps[i].bytes);
             if (!rig.until([&] { return client->readies() > i || client->ended(); }))
-                wrong("an answer is missing");
+                add_violation("an answer is missing");
             if (client->ended()) break;
         }
     }
     if (measured) *measured = rig.journal;
     const auto answers = client->answers();
 
-    // Exactly one final answer each, or an end with a reason.
-    if (answers.size() > script.steps.size()) wrong("more answers than units");
+    // Each unit gets exactly one final answer, or the connection ends with a reason.
+    if (answers.size() > script.steps.size()) add_violation("more answers than units");
     for (std::size_t i = 0; i < answers.size(); ++i) {
         const Answer& answer = answers[i];
-        if (answer.errors > 1) wrong("two errors in one answer");
-        if (answer.status != 0 && answer.errors == 0 && answer.types.empty()) wrong("an empty answer");
-        const bool own = script.steps[i].errs && answer.code == "22012";
+        if (answer.errors > 1) add_violation("two errors in one answer");
+        if (answer.status != 0 && answer.errors == 0 && answer.types.empty())
+            add_violation("an empty answer");
+        const bool own = script.steps[i].has_error && answer.code == "22012";
         static const std::set<std::string> known{"08006", "08007", "53000", "25P02"};
         if (answer.errors > 0 && !own && answer.severity == "ERROR" && !known.contains(answer.code))
-            wrong("an unknown code: " + answer.code + " " + answer.text);
+            add_violation("an unknown code: " + answer.code + " " + answer.text);
     }
     if (client->ended()) {
         const bool reason = !answers.empty() && answers.back().severity == "FATAL";
-        if (!reason && !client->half_message()) wrong("ended without a reason");
+        if (!reason && !client->half_message()) add_violation("ended without a reason");
     } else {
         outcome.kept = true;
-        if (answers.size() != script.steps.size()) wrong("fewer answers than units");
+        if (answers.size() != script.steps.size()) add_violation("fewer answers than units");
     }
 
-    // Nothing twice, nothing told falsely.
-    const auto told = told_of(script, answers, client->ended());
+    // No effect happens twice, and the client is told nothing false.
+    const auto reports = reported_outcomes(script, answers, client->ended());
     for (const auto& [number, effect] : rig.journal.effects) {
-        if (effect.executed > 1) wrong("ran twice: " + std::to_string(number));
-        if (effect.committed > 1) wrong("committed twice: " + std::to_string(number));
+        if (effect.executed > 1) add_violation("ran twice: " + std::to_string(number));
+        if (effect.committed > 1) add_violation("committed twice: " + std::to_string(number));
     }
-    for (const auto& [number, said] : told) {
+    for (const auto& [number, report] : reports) {
         const int committed = rig.journal.effects[number].committed;
-        if (said == Told::committed && committed != 1)
-            wrong("told committed and is not: " + std::to_string(number));
-        if (said == Told::not_committed && committed != 0)
-            wrong("told not committed and is: " + std::to_string(number));
+        if (report == Reported::committed && committed != 1)
+            add_violation("told committed and is not: " + std::to_string(number));
+        if (report == Reported::not_committed && committed != 0)
+            add_violation("told not committed and is: " + std::to_string(number));
     }
 
-    // The connection is of use afterwards.
-    if (outcome.kept && outcome.wrong.empty()) {
+    // The connection is usable afterwards.
+    if (outcome.kept && outcome.violation.empty()) {
         if (answers.back().status != 'I') (void)client->ask(wire::query("ROLLBACK"));
         const Answer after = client->ask(wire::query("SELECT 99"));
         if (after.rows != std::vector<std::string>{"99"} || after.status != 'I')
-            wrong("of no use afterwards: " + after.types + " " + after.code + " " + after.text);
+            add_violation("of no use afterwards: " + after.types + " " + after.code + " " + after.text);
     }
     client->close();
     return outcome;
@@ -227,25 +230,25 @@
 
 class Cuts : public testing::TestWithParam<std::size_t> {};
 
-// FLAXDOOR_CUT_STRIDE: only every so many bytes, for a quick look.
+// FLAXDOOR_CUT_STRIDE: tests only every n-th byte, for a quick run.
 TEST_P(Cuts, AtEveryByte) {
     const Script script = scripts()[GetParam()];
-    const char* const told = std::getenv("FLAXDOOR_CUT_STRIDE");
-    const std::size_t stride = told ? std::stoul(told) : 1;
+    const char* const stride_text = std::getenv("FLAXDOOR_CUT_STRIDE");
+    const std::size_t stride = stride_text ? std::stoul(stride_text) : 1;
     wire::Journal clean;
     const Outcome whole = run(script, wire::never, wire::never, &clean);
-    ASSERT_EQ(whole.wrong, "");
+    ASSERT_EQ(whole.violation, "");
     ASSERT_TRUE(whole.kept);
     std::size_t cuts = 0, kept = 0;
     const auto cut = [&](std::size_t received, std::size_t sent) {
         const Outcome outcome = run(script, received, sent);
         ++cuts;
         kept += outcome.kept;
-        EXPECT_EQ(outcome.wrong, "") << script.name << ": killed "
-                                     << (sent == wire::never
-                                             ? "when it had received " + std::to_string(received)
-                                             : "when it had sent " + std::to_string(sent))
-                                     << " bytes";
+        EXPECT_EQ(outcome.violation, "")
+            << script.name << ": killed "
+            << (sent == wire::never ? "when it had received " + std::to_string(received)
+                                    : "when it had sent " + std::to_string(sent))
+            << " bytes";
         return !testing::Test::HasFailure();
     };
     for (std::size_t at = 1; at <= clean.received; at += stride) {
--- a/tests/pg/hard_cases_test.cpp
+++ b/tests/pg/hard_cases_test.cpp
@@ -1,5 +1,5 @@
-// The hard cases one by one, each caused on loopback: failover under pipelines, cancels that cross, servers
-// that misbehave, clients that do, drains, roles, what pins a session.
+// Single fault cases, each caused on loopback: failover under pipelining, cancels that cross the end of their
+// query, misbehaving servers and clients, drains, server roles, and state that pins a session.
 #include "rig.h"
 
 namespace flaxdoor::pg::test {
@@ -13,15 +13,15 @@
                       [&](const string& each) { return each.find(text) != string::npos; }));
 }
 
-// A query that runs until a cancel comes, or the server releases it.
+// Starts a query that runs until it is cancelled or the server releases it.
 void begin_sleep(Rig& rig, Client& client) {
     client.send(simple("SELECT pg_sleep(100)"));
     EXPECT_TRUE(rig.until([&] { return with_text(rig, "pg_sleep") == 1; }));
 }
 
-// ------------------------------------------------------------------------------------------------- failover
+// --- Failover ---
 
-TEST(Failover, AHundredUnitsPipelinedAcrossIt) {
+TEST(Failover, PipelinedUnitsAcrossAFailover) {
     for (const std::size_t at : {200u, 1500u, 3001u, 6000u}) {
         SCOPED_TRACE(at);
         Rig rig({"a", "b"});
@@ -50,7 +50,7 @@
     }
 }
 
-TEST(Failover, AHundredInOneSegmentAreOneTransaction) {
+TEST(Failover, StatementsOfOneSegmentAreOneTransaction) {
     Rig rig({"a", "b"});
     const auto client = Client::logged_in(rig);
     string all;
@@ -67,7 +67,7 @@
     EXPECT_EQ(client->ask(simple("SELECT 2")).rows.size(), 1u);
 }
 
-TEST(Failover, ATransactionLostAtRestIsToldWithItsNextWord) {
+TEST(Failover, LossOfAnIdleTransactionIsReportedAtTheNextMessage) {
     Rig rig({"a"});
     const auto client = Client::logged_in(rig);
     EXPECT_EQ(client->ask(simple("BEGIN")).status, 'T');
@@ -89,7 +89,7 @@
     EXPECT_EQ(rig.journal.effects[5].committed, 1);
 }
 
-TEST(Failover, ALostTransactionIsLeftByTheExtendedProtocolToo) {
+TEST(Failover, LostTransactionCanBeEndedByTheExtendedProtocol) {
     Rig rig({"a"});
     const auto client = Client::logged_in(rig);
     (void)client->ask(wire::parse("r", "ROLLBACK") + wire::sync());
@@ -104,17 +104,17 @@
     EXPECT_EQ(rig.journal.effects[2].committed, 1);
 }
 
-TEST(Failover, APinnedSessionEndsWithItsServer) {
+TEST(Failover, PinnedSessionEndsWithItsServer) {
     Rig rig({"a"});
     const auto client = Client::logged_in(rig);
     (void)client->ask(simple("LISTEN x"));
     rig.servers[0]->restart();
-    ASSERT_TRUE(client->over());
+    ASSERT_TRUE(client->wait_for_end());
     EXPECT_EQ(client->answers().back().severity, "FATAL");
     EXPECT_EQ(client->answers().back().code, "08006");
 }
 
-TEST(Failover, NobodyThereIsToldWithATimeToComeBack) {
+TEST(Failover, RejectionWithoutServersHasARetryTime) {
     Rig rig;
     rig.deadline = 500ms;
     rig.start({"a"});
@@ -134,7 +134,7 @@
     EXPECT_EQ(again.rows.size(), 1u) << "it is found again";
 }
 
-TEST(Failover, ABeginThatNobodyTookLeavesNoRoomForWhatWasPipelinedBehindIt) {
+TEST(Failover, RejectedBeginFailsThePipelinedTransaction) {
     Rig rig;
     rig.deadline = 300ms;
     rig.start({"a"});
@@ -150,14 +150,14 @@
     EXPECT_EQ(rig.journal.effects[1].executed, 0);
 }
 
-TEST(Failover, ASafeUnitThatTookTooLongMayGoElsewhereButAnUnsafeOneNever) {
+TEST(Failover, OnlySafeUnitsAreRetriedAfterALoss) {
     for (const bool safe : {false, true}) {
         SCOPED_TRACE(safe);
         Rig rig;
         rig.safe = safe;
         rig.start({"a", "b"});
         const auto client = Client::logged_in(rig);
-        // The one that is asked dies with the query read and nothing answered.
+        // The server dies after it has read the query, before it answers.
         rig.journal.receive_left = simple(insert(1)).size();
         const Answer answer = client->ask(simple(insert(1)));
         if (safe) {
@@ -170,25 +170,25 @@
     }
 }
 
-// -------------------------------------------------------------------------------------------------- cancels
+// --- Cancels ---
 
-TEST(Cancel, ReachesWhatRuns) {
+TEST(Cancel, CancelsTheRunningQuery) {
     Rig rig({"a"});
     const auto client = Client::logged_in(rig);
     begin_sleep(rig, *client);
-    const auto other = Client::saying(rig, wire::cancel(client->process, client->secret));
+    const auto other = Client::with_bytes(rig, wire::cancel(client->process, client->secret));
     ASSERT_TRUE(rig.until([&] { return client->readies() == 1 && other->ended(); }));
     EXPECT_EQ(client->answers()[0].code, "57014");
     EXPECT_EQ(rig.servers[0]->cancels(), 1u);
     EXPECT_EQ(client->ask(simple("SELECT 1")).rows.size(), 1u);
 }
 
-TEST(Cancel, WithAWrongSecretDoesNothing) {
+TEST(Cancel, WrongSecretHasNoEffect) {
     Rig rig({"a"});
     const auto client = Client::logged_in(rig);
     begin_sleep(rig, *client);
-    const auto other = Client::saying(rig, wire::cancel(client->process, client->secret + 1));
-    ASSERT_TRUE(other->over());
+    const auto other = Client::with_bytes(rig, wire::cancel(client->process, client->secret + 1));
+    ASSERT_TRUE(other->wait_for_end());
     rig.settle();
     EXPECT_EQ(rig.servers[0]->cancels(), 0u);
     rig.servers[0]->release();
@@ -196,8 +196,9 @@
     EXPECT_EQ(client->answers()[0].errors, 0u);
 }
 
-// It is on its way when its query ends by itself: the connection is nobody's until it has come.
-TEST(Cancel, ThatCrossesTheEndOfItsQueryHitsNobodyElse) {
+// The query ends by itself while its cancel is in transit: the connection must not serve another client until
+// the cancel has arrived.
+TEST(Cancel, LateCancelDoesNotReachAnotherClient) {
     Rig rig;
     rig.pool.connections = 1;
     rig.start({"a"});
@@ -205,8 +206,8 @@
     const auto second = Client::logged_in(rig);
     begin_sleep(rig, *first);
     rig.servers[0]->hold_cancels(true);
-    const auto other = Client::saying(rig, wire::cancel(first->process, first->secret));
-    ASSERT_TRUE(other->over());
+    const auto other = Client::with_bytes(rig, wire::cancel(first->process, first->secret));
+    ASSERT_TRUE(other->wait_for_end());
     rig.settle();
     rig.servers[0]->release();  // the query ends by itself
     ASSERT_TRUE(first->answered(1));
@@ -222,7 +223,7 @@
     EXPECT_EQ(second->answers()[0].errors, 0u) << "the cancel was not its own";
 }
 
-TEST(Cancel, OfAUnitThatWaitsInLine) {
+TEST(Cancel, CancelsAWaitingUnit) {
     Rig rig;
     rig.pool.connections = 1;
     rig.start({"a"});
@@ -231,7 +232,7 @@
     begin_sleep(rig, *first);
     second->send(simple(insert(1)));
     rig.settle();
-    const auto other = Client::saying(rig, wire::cancel(second->process, second->secret));
+    const auto other = Client::with_bytes(rig, wire::cancel(second->process, second->secret));
     ASSERT_TRUE(second->answered(1));
     EXPECT_EQ(second->answers()[0].code, "57014");
     rig.servers[0]->release();
@@ -241,7 +242,7 @@
     EXPECT_EQ(rig.servers[0]->cancels(), 0u);
 }
 
-TEST(Deadline, IsToldAtOnceAndTheServerIsAskedToStop) {
+TEST(Deadline, IsReportedAtOnceAndCancelsAtTheServer) {
     Rig rig;
     rig.deadline = 200ms;
     rig.pool.connections = 1;
@@ -259,7 +260,7 @@
     EXPECT_EQ(rig.servers[0]->logins(), 1u) << "the connection was used again";
 }
 
-TEST(Deadline, OfAUnitWithinATransactionEndsTheTransaction) {
+TEST(Deadline, FailsTheTransactionOfTheUnit) {
     Rig rig;
     rig.deadline = 200ms;
     rig.start({"a"});
@@ -274,9 +275,9 @@
     EXPECT_EQ(rig.journal.effects[1].committed, 0);
 }
 
-// --------------------------------------------------------------------------------------------- bad clients
+// --- Misbehaving clients ---
 
-TEST(BadClient, WhoStopsReadingHoldsOnlySoMuch) {
+TEST(BadClient, ClientThatStopsReadingBuffersALimitedAmount) {
     Rig rig({"a"});
     const auto slow = Client::logged_in(rig);
     const auto other = Client::logged_in(rig);
@@ -284,7 +285,7 @@
     slow->send(simple("COPY big TO STDOUT"));
     ASSERT_TRUE(rig.until([&] { return rig.journal.sent > 300'000; }));
     std::size_t before = 0;
-    // Until nothing more is taken from the server: what the sockets hold and the limit.
+    // Waits until nothing more is read from the server: the sockets' buffers and the output limit are full.
     ASSERT_TRUE(rig.until([&] {
         const std::size_t now = rig.journal.sent;
         const bool still = now == before;
@@ -304,27 +305,27 @@
     Rig rig({"a"});
     const auto client = Client::logged_in(rig);
     client->send(wire::terminate() + simple(insert(1)));
-    ASSERT_TRUE(client->over());
+    ASSERT_TRUE(client->wait_for_end());
     rig.settle();
     EXPECT_EQ(rig.journal.effects[1].executed, 0);
 }
 
-TEST(BadClient, ALengthOfAGigabyteIsRefusedAtOnce) {
+TEST(BadClient, LengthOfAGigabyteIsRejectedAtOnce) {
     Rig rig({"a"});
     const auto client = Client::logged_in(rig);
     client->send("Q" + wire::int32(1u << 30));
-    ASSERT_TRUE(client->over());
+    ASSERT_TRUE(client->wait_for_end());
     EXPECT_EQ(client->answers().back().code, "08P01");
     const auto next = Client::logged_in(rig);
     EXPECT_EQ(next->ask(simple("SELECT 1")).rows.size(), 1u);
 }
 
-TEST(BadClient, RubbishAsStartUpIsAnswered) {
+TEST(BadClient, InvalidStartupIsAnswered) {
     Rig rig({"a"});
     for (const string& rubbish : {string("GET / HTTP/1.1\r\n\r\n"), string(100, '\0'), wire::untyped("xxxx"),
                                   wire::untyped(wire::int32(2 << 16)), wire::int32(9) + "abcdefghi"}) {
-        const auto client = Client::saying(rig, rubbish);
-        ASSERT_TRUE(client->over());
+        const auto client = Client::with_bytes(rig, rubbish);
+        ASSERT_TRUE(client->wait_for_end());
         ASSERT_FALSE(client->answers().empty());
         EXPECT_EQ(client->answers()[0].code, "08P01");
         client->close();
@@ -332,10 +333,10 @@
     EXPECT_TRUE(rig.until([&] { return rig.service->figures().connections == 0; }));
 }
 
-TEST(BadClient, ConnectionsThatNeverSpeakMakeRoomForThoseThatDo) {
+TEST(BadClient, SilentConnectionsAreClosedForNewOnes) {
     Rig rig;
     rig.add_server("a");
-    rig.begin([](ServiceOptions& made) { made.front.limits.strangers = 20; });
+    rig.begin([](ServiceOptions& options) { options.front.limits.strangers = 20; });
     std::vector<std::shared_ptr<Client>> silent;
     for (int i = 0; i < 300; ++i) {
         silent.push_back(std::make_shared<Client>(rig));
@@ -346,7 +347,7 @@
     EXPECT_EQ(client->ask(simple("SELECT 1")).rows.size(), 1u);
 }
 
-TEST(BadClient, WhoLeavesInATransactionLeavesNothingBehind) {
+TEST(BadClient, DisconnectInATransactionLeavesNoState) {
     Rig rig;
     rig.pool.connections = 1;
     rig.start({"a"});
@@ -359,7 +360,7 @@
     EXPECT_EQ(rig.journal.effects[1].committed, 0);
 }
 
-TEST(BadClient, WhoIsTooSlowIsEndedInTime) {
+TEST(BadClient, SlowClientsAreClosed) {
     struct {
         Micros FrontLimits::*limit;
         string login, says, code;
@@ -371,24 +372,24 @@
     for (const auto& each : all) {
         Rig rig;
         rig.add_server("a");
-        rig.begin([&](ServiceOptions& made) { made.front.limits.*each.limit = 100ms; });
-        const auto client = each.login.empty() ? Client::saying(rig, "") : Client::logged_in(rig);
+        rig.begin([&](ServiceOptions& options) { options.front.limits.*each.limit = 100ms; });
+        const auto client = each.login.empty() ? Client::with_bytes(rig, "") : Client::logged_in(rig);
         client->send(each.says);
-        ASSERT_TRUE(client->over());
+        ASSERT_TRUE(client->wait_for_end());
         EXPECT_EQ(client->answers().back().code, each.code);
         EXPECT_EQ(client->answers().back().severity, "FATAL");
     }
 }
 
-TEST(Limits, OfClientsInAllOfAUserAndOfADatabase) {
+TEST(Limits, ClientsInTotalPerUserAndPerDatabase) {
     for (int of = 0; of < 3; ++of) {
         SCOPED_TRACE(of);
         Rig rig;
         rig.add_server("a");
-        rig.begin([of](ServiceOptions& made) {
-            (of == 0   ? made.front.limits.clients
-             : of == 1 ? made.front.users["u"].clients_most
-                       : made.databases[0].front.clients_most) = 1;
+        rig.begin([of](ServiceOptions& options) {
+            (of == 0   ? options.front.limits.clients
+             : of == 1 ? options.front.users["u"].clients_most
+                       : options.databases[0].front.clients_most) = 1;
         });
         const auto first = Client::logged_in(rig), second = Client::logged_in(rig);
         EXPECT_TRUE(second->ended());
@@ -402,17 +403,18 @@
 
 TEST(Limits, UnknownDatabaseOrUser) {
     Rig rig({"a"});
-    EXPECT_EQ(Client::logged_in(rig, {{"database", "none"}})->answers().size(), 0u);  // the first name counts
-    const auto client = Client::saying(rig, wire::startup({{"user", "u"}, {"database", "none"}}));
-    ASSERT_TRUE(client->over());
+    EXPECT_EQ(Client::logged_in(rig, {{"database", "none"}})->answers().size(),
+              0u);  // the first database option counts
+    const auto client = Client::with_bytes(rig, wire::startup({{"user", "u"}, {"database", "none"}}));
+    ASSERT_TRUE(client->wait_for_end());
     EXPECT_EQ(client->answers()[0].code, "3D000");
-    const auto stranger = Client::saying(rig, wire::startup({{"user", "nobody"}, {"database", "db"}}));
+    const auto stranger = Client::with_bytes(rig, wire::startup({{"user", "nobody"}, {"database", "db"}}));
     ASSERT_TRUE(rig.until([&] { return !stranger->messages().empty(); }));
     EXPECT_EQ(stranger->messages()[0].type, 'R') << "asked for a password that there is none of";
     EXPECT_EQ(wire::int32_at(stranger->messages()[0].body, 0), 10u);
 }
 
-TEST(Limits, AServerThatRestartsGetsNoHerdOfLogins) {
+TEST(Limits, ConcurrentLoginsAfterARestartAreLimited) {
     Rig rig;
     rig.pool.connections = 30;
     rig.start({"a"});
@@ -432,9 +434,9 @@
     EXPECT_LE(rig.servers[0]->logins_at_once(), 4u);
 }
 
-// --------------------------------------------------------------------------------------------- bad servers
+// --- Misbehaving servers ---
 
-TEST(BadServer, ThatSaysItEndsWhileIdleIsLetGoOf) {
+TEST(BadServer, IdleServerThatReportsAFatalErrorIsReleased) {
     Rig rig({"a"});
     const auto client = Client::logged_in(rig);
     (void)client->ask(simple("SELECT 1"));
@@ -446,7 +448,7 @@
     EXPECT_EQ(rig.servers[0]->logins(), 2u);
 }
 
-TEST(BadServer, AMessageOutOfTurnSpoilsItsConnection) {
+TEST(BadServer, UnexpectedMessageBreaksItsConnection) {
     for (const string& said : {wire::message('D', wire::int16(0)), wire::message('Z', "I"),
                                wire::message('1', ""), wire::message('R', wire::int32(0)), string("!rubbish"),
                                wire::message('Z', "X"), wire::message('C', "x")}) {
@@ -459,7 +461,7 @@
     }
 }
 
-TEST(BadServer, OutOfTurnWithinAUnitIsALoss) {
+TEST(BadServer, UnexpectedMessageWithinAUnitIsALoss) {
     Rig rig({"a"});
     const auto client = Client::logged_in(rig);
     begin_sleep(rig, *client);
@@ -468,7 +470,7 @@
     EXPECT_EQ(client->answers()[0].code, "08007");
 }
 
-TEST(BadServer, ParameterStatusMidQueryIsPassedOnAndKept) {
+TEST(BadServer, ParameterStatusWithinAQueryIsPassedOnAndKept) {
     Rig rig({"a"});
     const auto client = Client::logged_in(rig);
     begin_sleep(rig, *client);
@@ -478,13 +480,13 @@
     EXPECT_EQ(client->answers()[0].errors, 0u);
     const auto& all = client->messages();
     EXPECT_TRUE(std::any_of(all.begin(), all.end(), [](const auto& m) { return m.type == 'S'; }));
-    // Another client does not get it.
+    // Another client must not see the changed value.
     const auto other = Client::logged_in(rig);
     (void)other->ask(simple("SELECT 1"));
     EXPECT_EQ(with_text(rig, "set_config"), 1u) << "set back to what the other client knows";
 }
 
-TEST(BadServer, LoginsTurnedAwayAreNoDeath) {
+TEST(BadServer, RejectedLoginsAreNoServerFailure) {
     Rig rig;
     rig.deadline = 400ms;
     rig.start({"a"});
@@ -502,19 +504,18 @@
         << other->answers()[0].text;
 }
 
-// ---------------------------------------------------------------------------------- drains, roles,
-// membership
+// --- Drains, roles, membership ---
 
-TEST(Drain, NothingNewOnceToldAndWhatIsOpenGoesOn) {
+TEST(Drain, NoNewUnitsAndOpenTransactionsContinue) {
     Rig rig({"a", "b"});
     std::vector<std::shared_ptr<Client>> clients;
     for (int i = 0; i < 8; ++i) {
         clients.push_back(Client::logged_in(rig));
         (void)clients.back()->ask(simple("BEGIN"));
     }
-    rig.tell({UpstreamState::draining, UpstreamState::ready});
+    rig.update_servers({UpstreamState::draining, UpstreamState::ready});
     rig.journal.texts.clear();
-    // Open transactions go on where they are, to their end.
+    // Open transactions continue at their server until they end.
     for (int i = 0; i < 8; ++i) {
         const Answer answer = clients[static_cast<std::size_t>(i)]->ask(simple(insert(i)));
         EXPECT_EQ(answer.errors, 0u) << answer.code << " " << answer.text;
@@ -530,14 +531,14 @@
         << "its connections were given back";
 }
 
-TEST(Drain, ToldWhileTheSettingsAreOnTheirWayTheUnitGoesElsewhere) {
+TEST(Drain, UnitMovesIfTheDrainStartsWhileSettingsAreApplied) {
     Rig rig({"a"});
     const auto client = Client::logged_in(rig, {{"application_name", "x"}});
     rig.servers[0]->stall(true);
     client->send(simple(insert(1)));
     rig.settle();
     rig.add_server("b");
-    rig.tell({UpstreamState::draining, UpstreamState::ready});
+    rig.update_servers({UpstreamState::draining, UpstreamState::ready});
     rig.servers[0]->stall(false);
     ASSERT_TRUE(client->answered(1));
     EXPECT_EQ(client->answers()[0].tag, "INSERT 0 1") << client->answers()[0].code;
@@ -545,18 +546,18 @@
     EXPECT_EQ(rig.journal.effects[1].committed, 1);
 }
 
-TEST(Drain, AtItsLimitWhatIsStillOpenIsEnded) {
+TEST(Drain, OpenTransactionsEndAtTheLimit) {
     Rig rig;
     rig.drain_limit = 100ms;
     rig.start({"a"});
     const auto client = Client::logged_in(rig);
     (void)client->ask(simple("BEGIN"));
-    rig.tell({UpstreamState::draining});
-    ASSERT_TRUE(client->over());
+    rig.update_servers({UpstreamState::draining});
+    ASSERT_TRUE(client->wait_for_end());
     EXPECT_EQ(client->answers().back().code, "57P01");
 }
 
-TEST(Drain, ASessionWithoutStateMovesAndOneWithStateIsEndedAtTheLimit) {
+TEST(Drain, SessionsWithoutStateMoveAndOthersEndAtTheLimit) {
     Rig rig;
     rig.session.mode = Mode::session;
     rig.drain_limit = 200ms;
@@ -565,31 +566,31 @@
     (void)free->ask(simple("SELECT 1"));
     (void)bound->ask(simple("LISTEN x"));
     rig.add_server("b");
-    rig.tell({UpstreamState::draining, UpstreamState::ready});
+    rig.update_servers({UpstreamState::draining, UpstreamState::ready});
     rig.journal.texts.clear();
     EXPECT_EQ(free->ask(simple("SELECT 2")).rows.size(), 1u);
     EXPECT_EQ(with_text(rig, "b: SELECT 2"), 1u);
-    ASSERT_TRUE(bound->over());
+    ASSERT_TRUE(bound->wait_for_end());
     EXPECT_EQ(bound->answers().back().code, "57P01");
     EXPECT_FALSE(free->ended());
 }
 
-TEST(Drain, OfTheWholeBalancerEndsWhoRestsAndWaitsForTheOthers) {
+TEST(Drain, BalancerDrainEndsIdleClientsAndWaitsForTheOthers) {
     Rig rig({"a"});
     const auto idle = Client::logged_in(rig), busy = Client::logged_in(rig);
     (void)busy->ask(simple("BEGIN"));
     rig.service->begin_drain();
-    ASSERT_TRUE(idle->over());
+    ASSERT_TRUE(idle->wait_for_end());
     EXPECT_EQ(idle->answers().back().code, "57P01");
     EXPECT_TRUE(rig.service->busy());
     (void)busy->ask(simple(insert(1)));
     EXPECT_EQ(busy->ask(simple("COMMIT")).tag, "COMMIT");
-    ASSERT_TRUE(busy->over());
+    ASSERT_TRUE(busy->wait_for_end());
     EXPECT_EQ(busy->answers().back().code, "57P01");
     EXPECT_EQ(rig.journal.effects[1].committed, 1);
 }
 
-TEST(Roles, APrimaryIsFoundAndFollowed) {
+TEST(Roles, PrimaryIsFoundAndFollowed) {
     Rig rig;
     rig.role = Role::primary;
     rig.add_server("a");
@@ -607,7 +608,7 @@
     for (const auto& [number, effect] : rig.journal.effects) EXPECT_LE(effect.executed, 1) << number;
 }
 
-TEST(Roles, AReplicaServesWhereOneIsWanted) {
+TEST(Roles, ReplicaIsUsedIfRequired) {
     Rig rig;
     rig.role = Role::replica;
     rig.add_server("a");
@@ -618,10 +619,9 @@
     EXPECT_EQ(with_text(rig, "a: "), 0u);
 }
 
-// ---------------------------------------------------------------------------------------- what a session
-// holds
+// --- Session state ---
 
-TEST(Pooling, PreparedStatementsGoFromServerToServer) {
+TEST(Pooling, PreparedStatementsMoveBetweenServers) {
     Rig rig({"a", "b"});
     const auto client = Client::logged_in(rig), other = Client::logged_in(rig);
     EXPECT_EQ(client->ask(wire::parse("mine", insert(1)) + wire::sync()).types, "1");
@@ -642,14 +642,14 @@
     EXPECT_EQ(other->ask(wire::bind("", "mine") + wire::execute("") + wire::sync()).types, "2DC");
 }
 
-TEST(Pooling, ASecondServerIsTaughtUnseen) {
+TEST(Pooling, StatementsArePreparedAgainAfterARestart) {
     Rig rig({"a"});
     const auto client = Client::logged_in(rig);
     (void)client->ask(wire::parse("s", "SELECT 1") + wire::sync());
     rig.servers[0]->restart();
     rig.settle();
     EXPECT_EQ(client->ask(wire::bind("", "s") + wire::execute("") + wire::sync()).types, "2DC");
-    // The unnamed one, too, though clients seldom count on it.
+    // The same holds for the unnamed statement, although clients seldom rely on it.
     (void)client->ask(wire::parse("", "SELECT 5") + wire::sync());
     rig.servers[0]->restart();
     rig.settle();
@@ -657,7 +657,7 @@
               std::vector<string>{"5"});
 }
 
-TEST(Pooling, SettingsOfTheStartUpPacketAreSetWhereverItGoes) {
+TEST(Pooling, StartupSettingsAreAppliedAtEachServer) {
     Rig rig({"a"});
     const auto client =
         Client::logged_in(rig, {{"application_name", "it's \\me"}, {"extra_float_digits", "3"}});
@@ -667,7 +667,7 @@
     EXPECT_EQ(client->ask(simple("SHOW application_name")).rows, std::vector<string>{"it's \\me"});
 }
 
-TEST(Pooling, WhatPinsIsKeptApartFromOthers) {
+TEST(Pooling, SessionStateIsIsolatedFromOtherClients) {
     Rig rig;
     rig.pool.connections = 2;
     rig.start({"a"});
@@ -688,7 +688,7 @@
     EXPECT_EQ(with_text(rig, "DISCARD ALL"), 4u) << "these leave nothing";
 }
 
-TEST(Pooling, WhatPinsIsRefusedByTheOperatorsChoice) {
+TEST(Pooling, SessionStateIsRejectedIfConfigured) {
     Rig rig;
     rig.session.unreported = Unreported::refuse;
     rig.start({"a"});
@@ -702,9 +702,9 @@
     EXPECT_EQ(client->ask(simple("LISTEN x")).status, 'E') << "as any error in a transaction";
     EXPECT_EQ(client->ask(simple("ROLLBACK")).status, 'I');
     EXPECT_EQ(with_text(rig, "LISTEN"), 0u);
-    const auto other = Client::saying(
+    const auto other = Client::with_bytes(
         rig, wire::startup({{"user", "u"}, {"database", "db"}, {"options", "-c search_path=x"}}));
-    ASSERT_TRUE(other->over());
+    ASSERT_TRUE(other->wait_for_end());
     EXPECT_EQ(other->answers()[0].code, "0A000");
 }
 
@@ -716,22 +716,22 @@
     ASSERT_TRUE(rig.until([&] { return client->messages().back().type == 'A'; }));
 }
 
-TEST(Pooling, ACopyThatItsClientGivesUp) {
+TEST(Pooling, CopyFailedByTheClient) {
     Rig rig({"a"});
     const auto client = Client::logged_in(rig);
     const Answer answer = client->ask(simple("COPY t FROM STDIN") + wire::copy_data("1\n") +
                                       wire::message('f', wire::text0("no more")));
     EXPECT_EQ(answer.code, "57014");
     EXPECT_EQ(answer.status, 'I');
-    // What still comes of it is dropped, as the server does.
+    // The remaining COPY messages are dropped, as PostgreSQL does.
     EXPECT_EQ(client->ask(wire::copy_data("2\n") + wire::copy_done() + simple("SELECT 1")).rows.size(), 1u);
     EXPECT_EQ(rig.journal.effects[1].committed, 0);
 }
 
-TEST(Pooling, ACopyByTheExtendedProtocolWithASyncAhead) {
+TEST(Pooling, ExtendedCopyWithAnEarlySync) {
     Rig rig({"a"});
     const auto client = Client::logged_in(rig);
-    // libpq sends Sync with Execute, and another one behind CopyDone: the first is not answered.
+    // libpq sends Sync with Execute and another Sync behind CopyDone: the first one is not answered.
     client->send(wire::extended("COPY t FROM STDIN") + wire::sync());
     ASSERT_TRUE(
         rig.until([&] { return !client->messages().empty() && client->messages().back().type == 'G'; }));
@@ -742,7 +742,7 @@
     EXPECT_EQ(client->ask(simple("SELECT 1")).rows.size(), 1u);
 }
 
-TEST(Pooling, ALongRowIsPassedInPieces) {
+TEST(Pooling, LongRowIsPassedInPieces) {
     Rig rig({"a"});
     const auto client = Client::logged_in(rig);
     const Answer answer = client->ask(simple("SELECT rows(3, 3000000)"));
@@ -750,7 +750,7 @@
     EXPECT_EQ(answer.rows[2].size(), 3'000'000u);
 }
 
-TEST(Pooling, NothingIsLeftInTheCore) {
+TEST(Pooling, NoCallIsLeftInTheCore) {
     Rig rig({"a"});
     for (int i = 0; i < 3; ++i) {
         const auto client = Client::logged_in(rig);
