--- a/tests/pg/libpq_test.cpp
+++ b/tests/pg/libpq_test.cpp
@@ -1,6 +1,6 @@
-// Clients that others wrote, before the stand-in: libpq in its simple, extended, prepared and pipeline modes,
-// libpqxx; servers that die, are shut down and promoted under load. What is right is judged by what the
-// stand-in has committed.
+// Third-party clients in front of the stand-in: libpq in its simple, extended, prepared and pipeline modes,
+// and libpqxx; with servers that die, are shut down and are promoted under load. Results are checked against
+// what the stand-in has committed.
 #include <libpq-fe.h>
 
 #include <atomic>
@@ -19,7 +19,7 @@
 
 using std::string;
 
-// The service before stand-ins, all on a thread of its own; clients are in the test's.
+// Runs the service and its stand-ins on a thread of their own; the clients run on the test's threads.
 struct Running {
     explicit Running(std::vector<wire::ServerOptions> servers = {{}}) {
         rig.pool.connections = 16;
@@ -37,7 +37,7 @@
         asio::post(rig.io, [this] { rig.io.stop(); });
         if (thread.joinable()) thread.join();
     }
-    // On the service's thread, to its end.
+    // Runs `what` on the service's thread and waits for its result.
     template <class Do>
     auto on_loop(Do&& what) {
         std::packaged_task<decltype(what())()> task(std::forward<Do>(what));
@@ -48,7 +48,7 @@
     string sql(const string& text, std::size_t server = 0) {
         return on_loop([&] { return rig.servers[server]->sql(text); });
     }
-    string at(const string& more = "sslmode=disable") const {
+    string connection_string(const string& more = "sslmode=disable") const {
         return "host=127.0.0.1 port=" + std::to_string(port) + " user=u dbname=db " + more;
     }
 
@@ -58,39 +58,45 @@
 };
 
 using Connection = std::unique_ptr<PGconn, decltype(&PQfinish)>;
-Connection connect(const string& at) { return {PQconnectdb(at.c_str()), PQfinish}; }
+Connection connect(const string& connection_string) {
+    return {PQconnectdb(connection_string.c_str()), PQfinish};
+}
 
-struct Said {
+struct QueryResult {
     bool ok = false;
     string code;
 };
-Said taken(PGresult* result) {
+QueryResult result_of(PGresult* result) {
     const auto status = PQresultStatus(result);
-    Said said{status == PGRES_COMMAND_OK || status == PGRES_TUPLES_OK, ""};
-    if (const char* const code = PQresultErrorField(result, PG_DIAG_SQLSTATE)) said.code = code;
+    QueryResult outcome{status == PGRES_COMMAND_OK || status == PGRES_TUPLES_OK, ""};
+    if (const char* const code = PQresultErrorField(result, PG_DIAG_SQLSTATE)) outcome.code = code;
     PQclear(result);
-    return said;
+    return outcome;
 }
-Said ask(PGconn* connection, const string& sql) { return taken(PQexec(connection, sql.c_str())); }
+QueryResult ask(PGconn* connection, const string& sql) { return result_of(PQexec(connection, sql.c_str())); }
 
-// The text, with its values by the simple protocol, the extended one, or as a statement prepared before.
-enum class Way { simple, extended, prepared };
-Said ask(PGconn* connection, Way way, const string& name, string sql, const std::vector<string>& values) {
-    if (way == Way::simple) {
+// Runs the statement with its values in the simple protocol, in the extended protocol, or as a statement
+// prepared before.
+enum class QueryMethod { simple, extended, prepared };
+QueryResult ask(PGconn* connection, QueryMethod method, const string& name, string sql,
+                const std::vector<string>& values) {
+    if (method == QueryMethod::simple) {
         for (std::size_t i = 0; i < values.size(); ++i)
             sql.replace(sql.find("$" + std::to_string(i + 1)), 2, values[i]);
         return ask(connection, sql);
     }
-    std::vector<const char*> said;
-    for (const string& each : values) said.push_back(each.c_str());
-    const int count = static_cast<int>(said.size());
-    return taken(way == Way::extended
-                     ? PQexecParams(connection, sql.c_str(), count, nullptr, said.data(), nullptr, nullptr, 0)
-                     : PQexecPrepared(connection, name.c_str(), count, said.data(), nullptr, nullptr, 0));
+    std::vector<const char*> parameters;
+    for (const string& each : values) parameters.push_back(each.c_str());
+    const int count = static_cast<int>(parameters.size());
+    return result_of(
+        method == QueryMethod::extended
+            ? PQexecParams(connection, sql.c_str(), count, nullptr, parameters.data(), nullptr, nullptr, 0)
+            : PQexecPrepared(connection, name.c_str(), count, parameters.data(), nullptr, nullptr, 0));
 }
 
-// Transactions as the bank's of TPC-B, in the three ways, pooled both ways: all sums agree in the end.
-TEST(Libpq, ABankInAllItsModes) {
+// Runs bank transactions as in TPC-B in all three ways and both pooling modes: all sums must agree at the
+// end.
+TEST(Libpq, BankTransactionsInAllModes) {
     const std::vector<std::pair<string, string>> statements{
         {"begin", "BEGIN"},
         {"account", "UPDATE accounts SET balance = balance + $1 WHERE id = $2"},
@@ -110,9 +116,9 @@
         std::vector<std::thread> threads;
         for (int i = 0; i < 6; ++i) {
             threads.emplace_back([&, i] {
-                const Way way = static_cast<Way>(i % 3);
-                const auto connection = connect(running.at());
-                if (way == Way::prepared) {
+                const QueryMethod method = static_cast<QueryMethod>(i % 3);
+                const auto connection = connect(running.connection_string());
+                if (method == QueryMethod::prepared) {
                     for (const auto& [name, sql] : statements)
                         PQclear(PQprepare(connection.get(), name.c_str(), sql.c_str(), 0, nullptr));
                 }
@@ -121,9 +127,9 @@
                     const std::vector<std::vector<string>> values{{},      {delta, id}, {id},
                                                                   {delta}, {delta},     {}};
                     for (std::size_t k = 0; k < statements.size(); ++k)
-                        failed +=
-                            !ask(connection.get(), way, statements[k].first, statements[k].second, values[k])
-                                 .ok;
+                        failed += !ask(connection.get(), method, statements[k].first, statements[k].second,
+                                       values[k])
+                                       .ok;
                 }
             });
         }
@@ -140,7 +146,7 @@
 TEST(Libpq, PipelineMode) {
     Running running;
     running.begin();
-    const auto connection = connect(running.at());
+    const auto connection = connect(running.connection_string());
     ASSERT_EQ(PQstatus(connection.get()), CONNECTION_OK) << PQerrorMessage(connection.get());
     ASSERT_EQ(PQenterPipelineMode(connection.get()), 1);
     for (int i = 0; i < 100; ++i) {
@@ -172,7 +178,7 @@
     Running running;
     running.begin();
     running.sql("CREATE TABLE two (a int, b text)");
-    pqxx::connection connection(running.at());
+    pqxx::connection connection(running.connection_string());
     connection.prepare("put", "INSERT INTO two VALUES ($1, $2)");
     {
         pqxx::work work(connection);
@@ -203,21 +209,21 @@
         server.authentication = asked;
         server.password = "secret";
         Running running({server});
-        running.begin([](ServiceOptions& made) {
-            auto& user = made.front.users["u"];
+        running.begin([](ServiceOptions& options) {
+            auto& user = options.front.users["u"];
             user.kind = Authentication::Kind::scram;
             user.verifier = make_verifier("secret", "0123456789abcdef", scram_iterations);
-            made.secrets["u"].password = "secret";
+            options.secrets["u"].password = "secret";
         });
-        const auto right = connect(running.at("sslmode=disable password=secret"));
+        const auto right = connect(running.connection_string("sslmode=disable password=secret"));
         ASSERT_EQ(PQstatus(right.get()), CONNECTION_OK) << auth << PQerrorMessage(right.get());
         EXPECT_TRUE(ask(right.get(), "SELECT 1").ok);
-        const auto wrong = connect(running.at("sslmode=disable password=other"));
+        const auto wrong = connect(running.connection_string("sslmode=disable password=other"));
         EXPECT_EQ(PQstatus(wrong.get()), CONNECTION_BAD);
         PGcancel* const cancel = PQgetCancel(right.get());
         ASSERT_EQ(PQsendQuery(right.get(), "SELECT pg_sleep(60)"), 1);
         std::array<char, 256> error{};
-        // It may come before the query has: then it does nothing, and another is sent.
+        // A cancel that arrives before the query has no effect; then another one is sent.
         while (PQisBusy(right.get())) {
             ASSERT_EQ(PQcancel(cancel, error.data(), error.size()), 1) << error.data();
             ASSERT_EQ(PQconsumeInput(right.get()), 1);
@@ -231,10 +237,10 @@
     }
 }
 
-TEST(Libpq, SettingsAndPlansGoWithTheClient) {
+TEST(Libpq, SettingsAndPlansFollowTheClient) {
     Running running;
     running.begin();
-    const auto first = connect(running.at()), second = connect(running.at());
+    const auto first = connect(running.connection_string()), second = connect(running.connection_string());
     const auto zone = [](PGconn* connection) {
         PGresult* const result = PQexec(connection, "SHOW TimeZone");
         const string value = PQresultStatus(result) == PGRES_TUPLES_OK ? PQgetvalue(result, 0, 0)
@@ -248,46 +254,49 @@
         EXPECT_EQ(zone(second.get()), before);
         EXPECT_EQ(zone(first.get()), "Asia/Tokyo");
     }
-    // One that is rolled back is not kept.
+    // A setting that is rolled back is not kept.
     (void)ask(second.get(), "BEGIN");
     (void)ask(second.get(), "SET TimeZone TO 'Asia/Tokyo'");
     (void)ask(second.get(), "ROLLBACK");
     EXPECT_EQ(zone(second.get()), before);
 
     PQclear(PQprepare(first.get(), "s", "SELECT * FROM t", 0, nullptr));
-    const auto use = [&] {
+    const auto execute = [&] {
         PGresult* const result = PQexecPrepared(first.get(), "s", 0, nullptr, nullptr, nullptr, 0);
         const char* const code = PQresultErrorField(result, PG_DIAG_SQLSTATE);
-        const string said = code ? code : "columns " + std::to_string(PQnfields(result));
+        const string outcome = code ? code : "columns " + std::to_string(PQnfields(result));
         PQclear(result);
-        return said;
+        return outcome;
     };
-    EXPECT_EQ(use(), "columns 1");
+    EXPECT_EQ(execute(), "columns 1");
     ASSERT_TRUE(ask(second.get(), "ALTER TABLE t ADD COLUMN b int").ok);
-    EXPECT_EQ(use(), "0A000") << "once, as without a pooler";
-    EXPECT_EQ(use(), "columns 2");
+    EXPECT_EQ(execute(), "0A000") << "once, as without a pooler";
+    EXPECT_EQ(execute(), "columns 2");
 }
 
 TEST(Libpq, TlsOnBothSides) {
-    const flaxdoor::standins::Certificate here("here.example"), there("there.example"),
-        stranger("there.example");
+    const flaxdoor::standins::Certificate balancer_certificate("here.example"),
+        server_certificate("there.example"), untrusted_certificate("there.example");
     wire::ServerOptions server;
-    server.certificate = there.certificate();
-    server.key = there.key();
+    server.certificate = server_certificate.certificate();
+    server.key = server_certificate.key();
     for (const bool trusted : {true, false}) {
         Running running({server});
         running.rig.deadline = 2s;
-        running.begin([&](ServiceOptions& made) {
-            made.front.context = tls::Context::for_clients(here.certificate(), here.key());
-            made.front.tls_required = true;
-            auto& back = made.databases[0].back;
+        running.begin([&](ServiceOptions& options) {
+            options.front.context =
+                tls::Context::for_clients(balancer_certificate.certificate(), balancer_certificate.key());
+            options.front.tls_required = true;
+            auto& back = options.databases[0].back;
             back.tls = ServerOptions::Tls::verify_full;
-            back.context = tls::Context::for_servers((trusted ? there : stranger).certificate());
+            back.context = tls::Context::for_servers(
+                (trusted ? server_certificate : untrusted_certificate).certificate());
             back.names[id_of("a")] = "there.example";
         });
-        const string at = running.at("hostaddr=127.0.0.1 host=here.example ");
-        EXPECT_EQ(PQstatus(connect(at + "sslmode=disable").get()), CONNECTION_BAD);
-        const auto secure = connect(at + "sslmode=verify-full sslrootcert=" + here.certificate());
+        const string base = running.connection_string("hostaddr=127.0.0.1 host=here.example ");
+        EXPECT_EQ(PQstatus(connect(base + "sslmode=disable").get()), CONNECTION_BAD);
+        const auto secure =
+            connect(base + "sslmode=verify-full sslrootcert=" + balancer_certificate.certificate());
         EXPECT_EQ(PQstatus(secure.get()), trusted ? CONNECTION_OK : CONNECTION_BAD)
             << PQerrorMessage(secure.get());
         if (trusted) {
@@ -302,17 +311,17 @@
     }
 }
 
-// What clients were told of each number they put in.
-struct Notes {
+// Records what the clients were told about each number that they inserted.
+struct Ledger {
     std::mutex lock;
     std::set<long> committed, unknown, refused;
-    std::atomic<long> told{0};
-    void note(long number, const Said& said) {
+    std::atomic<long> recorded{0};
+    void record(long number, const QueryResult& outcome) {
         const std::lock_guard guard(lock);
-        ++told;
-        if (said.ok) {
+        ++recorded;
+        if (outcome.ok) {
             committed.insert(number);
-        } else if (said.code.empty() || said.code == "08007" || said.code == "57014") {
+        } else if (outcome.code.empty() || outcome.code == "08007" || outcome.code == "57014") {
             unknown.insert(number);
         } else {
             refused.insert(number);
@@ -320,75 +329,76 @@
     }
 };
 
-// Half of them single statements, half transactions of three; each number once.
-void put_in(const Running& running, Notes& notes, long first, const std::atomic<bool>& over) {
-    auto connection = connect(running.at());
-    for (long number = first; !over; ++number) {
+// Inserts each number once: half of them by single statements, half by transactions of three statements.
+void insert_numbers(const Running& running, Ledger& ledger, long first, const std::atomic<bool>& stopped) {
+    auto connection = connect(running.connection_string());
+    for (long number = first; !stopped; ++number) {
         if (PQstatus(connection.get()) != CONNECTION_OK) {
-            connection = connect(running.at());
+            connection = connect(running.connection_string());
             --number;
             continue;
         }
         const string insert = "INSERT INTO t VALUES (" + std::to_string(number) + ")";
         if (number % 2) {
-            notes.note(number, ask(connection.get(), insert));
+            ledger.record(number, ask(connection.get(), insert));
             continue;
         }
-        Said said = ask(connection.get(), "BEGIN");
-        if (said.ok) said = ask(connection.get(), insert);
-        if (said.ok) said = ask(connection.get(), "SELECT 1");
-        if (said.ok) {
-            said = ask(connection.get(), "COMMIT");
-        } else if (said.code == "08007") {
-            said.code = "08006";  // no COMMIT was out: whatever became of the rest, it is not there
-        } else if (said.code.empty()) {
-            said.code = "08006";
+        QueryResult outcome = ask(connection.get(), "BEGIN");
+        if (outcome.ok) outcome = ask(connection.get(), insert);
+        if (outcome.ok) outcome = ask(connection.get(), "SELECT 1");
+        if (outcome.ok) {
+            outcome = ask(connection.get(), "COMMIT");
+        } else if (outcome.code == "08007") {
+            outcome.code =
+                "08006";  // no COMMIT was sent: whatever happened to the rest, the number must be absent
+        } else if (outcome.code.empty()) {
+            outcome.code = "08006";
         }
-        notes.note(number, said);
-        if (!said.ok && PQstatus(connection.get()) == CONNECTION_OK &&
+        ledger.record(number, outcome);
+        if (!outcome.ok && PQstatus(connection.get()) == CONNECTION_OK &&
             PQtransactionStatus(connection.get()) != PQTRANS_IDLE)
             (void)ask(connection.get(), "ROLLBACK");
     }
 }
 
 struct Load {
-    Load(const Running& running, Notes& notes) {
+    Load(const Running& running, Ledger& ledger) {
         for (long i = 0; i < 8; ++i)
             threads.emplace_back(
-                [&running, &notes, i, this] { put_in(running, notes, i * 10'000'000, over); });
+                [&running, &ledger, i, this] { insert_numbers(running, ledger, i * 10'000'000, stopped); });
     }
     ~Load() { end(); }
     void end() {
-        over = true;
+        stopped = true;
         for (auto& each : threads) each.join();
         threads.clear();
     }
-    static void wait_for(Notes& notes, long more) {
-        const long before = notes.told;
-        while (notes.told < before + more) std::this_thread::yield();
+    static void wait_for(Ledger& ledger, long more) {
+        const long before = ledger.recorded;
+        while (ledger.recorded < before + more) std::this_thread::yield();
     }
-    std::atomic<bool> over{false};
+    std::atomic<bool> stopped{false};
     std::vector<std::thread> threads;
 };
 
-void judge(const std::vector<wire::Database*>& databases, const Notes& notes) {
-    std::set<long> there;
+void check_ledger(const std::vector<wire::Database*>& databases, const Ledger& ledger) {
+    std::set<long> present;
     for (const wire::Database* const database : databases) {
         for (const wire::Row& row : database->tables.at("t").rows)
-            EXPECT_TRUE(there.insert(std::stol(row[0].value())).second) << "twice: " << *row[0];
+            EXPECT_TRUE(present.insert(std::stol(row[0].value())).second) << "twice: " << *row[0];
     }
-    for (const long number : notes.committed)
-        EXPECT_TRUE(there.contains(number)) << "told committed and is not: " << number;
-    for (const long number : there)
-        EXPECT_TRUE(notes.committed.contains(number) || notes.unknown.contains(number))
+    for (const long number : ledger.committed)
+        EXPECT_TRUE(present.contains(number)) << "told committed and is not: " << number;
+    for (const long number : present)
+        EXPECT_TRUE(ledger.committed.contains(number) || ledger.unknown.contains(number))
             << "there, and told it is not: " << number;
-    std::cout << "told committed " << notes.committed.size() << ", unknown " << notes.unknown.size()
-              << ", not run or rolled back " << notes.refused.size() << "; there " << there.size() << "\n";
+    std::cout << "told committed " << ledger.committed.size() << ", unknown " << ledger.unknown.size()
+              << ", not run or rolled back " << ledger.refused.size() << "; there " << present.size() << "\n";
 }
 
-TEST(Libpq, OneKilledAndOneShutDownUnderLoad) {
+TEST(Libpq, ServerKilledAndServerShutDownUnderLoad) {
     for (const Mode mode : {Mode::transaction, Mode::session}) {
-        Notes notes;
+        Ledger ledger;
         wire::ServerOptions first, second;
         first.database = std::make_shared<wire::Database>();
         second.database = std::make_shared<wire::Database>();
@@ -398,24 +408,24 @@
             running.rig.session.mode = mode;
             running.begin();
             auto& servers = running.rig.servers;
-            Load load(running, notes);
-            Load::wait_for(notes, 400);
+            Load load(running, ledger);
+            Load::wait_for(ledger, 400);
             running.on_loop([&] { servers[0]->die(); });
-            Load::wait_for(notes, 400);
+            Load::wait_for(ledger, 400);
             running.on_loop([&] { servers[0]->restart(); });
-            Load::wait_for(notes, 400);
+            Load::wait_for(ledger, 400);
             running.on_loop([&] { servers[1]->shut_down(); });
-            Load::wait_for(notes, 400);
+            Load::wait_for(ledger, 400);
             load.end();
         }
-        EXPECT_GE(notes.committed.size(), 500u);
-        judge({first.database.get(), second.database.get()}, notes);
+        EXPECT_GE(ledger.committed.size(), 500u);
+        check_ledger({first.database.get(), second.database.get()}, ledger);
     }
 }
 
-// One database at both: what the primary has committed, a synchronous standby has.
-TEST(Libpq, APrimaryDiesAndItsStandbyIsPromoted) {
-    Notes notes;
+// Both servers share one database: a synchronous standby has what the primary has committed.
+TEST(Libpq, StandbyIsPromotedAfterPrimaryDies) {
+    Ledger ledger;
     wire::ServerOptions first, second;
     first.database = second.database = std::make_shared<wire::Database>();
     second.name = "b";
@@ -425,19 +435,19 @@
         running.rig.role = Role::primary;
         running.begin();
         auto& servers = running.rig.servers;
-        Load load(running, notes);
+        Load load(running, ledger);
         const auto committed = [&] {
-            const std::lock_guard guard(notes.lock);
-            return notes.committed.size();
+            const std::lock_guard guard(ledger.lock);
+            return ledger.committed.size();
         };
-        Load::wait_for(notes, 400);
+        Load::wait_for(ledger, 400);
         running.on_loop([&] { servers[0]->die(); });
         const std::size_t then = committed();
         running.on_loop([&] { servers[1]->promote(); });
         while (committed() < then + 100) std::this_thread::yield();
         load.end();
     }
-    judge({first.database.get()}, notes);
+    check_ledger({first.database.get()}, ledger);
 }
 
 }  // namespace
--- a/tests/pg/random_test.cpp
+++ b/tests/pg/random_test.cpp
@@ -1,5 +1,6 @@
-// A property test: random clients, random traffic, servers that die, stall, drain and come back at random;
-// the four rules as assertions, judged from what the stand-ins counted.
+// A property test: random clients and traffic against servers that die, stall, drain and recover at random.
+// Checks that each unit is answered, that no effect happens twice and that clients are told nothing false,
+// against what the stand-ins counted.
 #include <random>
 
 #include "rig.h"
@@ -9,9 +10,9 @@
 
 struct Worker {
     std::shared_ptr<Client> client;
-    std::vector<std::vector<long>> units;  // of each unit that was sent on this connection, its effects
-    std::vector<long> open;                // of a transaction under way
-    std::vector<bool> in_transaction;      // of each unit, before it
+    std::vector<std::vector<long>> units;  // effects of each unit that was sent on this connection
+    std::vector<long> open;                // effects of the transaction in progress
+    std::vector<bool> in_transaction;      // state before each unit
     std::vector<char> kind;  // 'i' insert, 'b' begin, 'c' commit, 'r' rollback, 's' select, 'g' segment
 };
 
@@ -31,15 +32,15 @@
     void run(int steps) {
         for (int step = 0; step < steps; ++step) {
             switch (pick(12)) {
-                case 0: trouble(); break;
+                case 0: cause_fault(); break;
                 case 1:
                     if (workers_.size() < 8) connect();
                     break;
                 case 2:
-                    if (!workers_.empty() && pick(4) == 0) leave(pick(workers_.size()));
+                    if (!workers_.empty() && pick(4) == 0) disconnect(pick(workers_.size()));
                     break;
                 default:
-                    if (!workers_.empty()) speak(workers_[pick(workers_.size())]);
+                    if (!workers_.empty()) send_unit(workers_[pick(workers_.size())]);
             }
             rig_.settle(static_cast<int>(pick(4)));
         }
@@ -48,15 +49,15 @@
             if (server->dead()) server->restart();
             server->release();
         }
-        // Rule 1: everybody gets an answer to everything, or an end.
+        // Rule 1: each unit is answered, or the connection ends.
         for (Worker& worker : workers_) {
             EXPECT_TRUE(rig_.until([&] {
                 for (const auto& server : rig_.servers) server->release();
                 return worker.client->ended() || worker.client->readies() >= worker.units.size();
             })) << "an answer is missing";
-            judge(worker);
+            check_answers(worker);
         }
-        // Rule 2: nothing twice.
+        // Rule 2: no effect happens twice.
         for (const auto& [number, effect] : rig_.journal.effects) {
             EXPECT_LE(effect.executed, 1) << number;
             EXPECT_LE(effect.committed, 1) << number;
@@ -67,7 +68,7 @@
             << "a call is left in the core";
         EXPECT_EQ(rig_.core.figures().faults, 0u) << (rig_.log.lines.empty() ? "" : rig_.log.lines.front());
     }
-    std::size_t units() const { return all_; }
+    std::size_t units() const { return unit_count_; }
 
 private:
     std::size_t pick(std::size_t below) { return random_() % below; }
@@ -77,32 +78,32 @@
         worker.client = Client::logged_in(rig_);
         if (!worker.client->ended()) workers_.push_back(std::move(worker));
     }
-    void leave(std::size_t i) {
-        judge(workers_[i]);
+    void disconnect(std::size_t i) {
+        check_answers(workers_[i]);
         workers_[i].client->close();
         workers_.erase(workers_.begin() + static_cast<long>(i));
     }
 
-    void speak(Worker& worker) {
+    void send_unit(Worker& worker) {
         if (worker.client->ended()) return;
-        // Up to three units behind each other without waiting.
+        // At most three units are pipelined without waiting for an answer.
         if (worker.units.size() - worker.client->readies() >= 3) return;
-        const bool inside = !worker.in_transaction.empty() && state_after(worker);
+        const bool in_transaction = !worker.in_transaction.empty() && state_after(worker);
         std::vector<long> effects;
         std::string bytes;
         char kind = 's';
         const auto insert = [&] {
-            effects.push_back(++last_);
-            return "INSERT INTO t VALUES (" + std::to_string(last_) + ")";
+            effects.push_back(++last_number_);
+            return "INSERT INTO t VALUES (" + std::to_string(last_number_) + ")";
         };
         switch (pick(8)) {
             case 0:
-                kind = inside ? 'c' : 'b';
-                bytes = wire::query(inside ? "COMMIT" : "BEGIN");
+                kind = in_transaction ? 'c' : 'b';
+                bytes = wire::query(in_transaction ? "COMMIT" : "BEGIN");
                 break;
             case 1:
-                kind = inside ? 'r' : 's';
-                bytes = wire::query(inside ? "ROLLBACK" : "SELECT 1/0");
+                kind = in_transaction ? 'r' : 's';
+                bytes = wire::query(in_transaction ? "ROLLBACK" : "SELECT 1/0");
                 break;
             case 2: bytes = wire::query("SELECT pg_sleep(1)"); break;
             case 3: bytes = wire::extended("SELECT rows(20, 3000)") + wire::sync(); break;
@@ -114,14 +115,14 @@
                 kind = 'i';
                 bytes = pick(2) ? wire::query(insert()) : wire::extended(insert()) + wire::sync();
         }
-        worker.in_transaction.push_back(inside);
+        worker.in_transaction.push_back(in_transaction);
         worker.kind.push_back(kind);
         worker.units.push_back(effects);
         worker.client->send(bytes);
-        ++all_;
+        ++unit_count_;
     }
 
-    // As the client believes; it does not look at answers before it goes on.
+    // The state as the client assumes it, without regard to the answers.
     static bool state_after(const Worker& worker) {
         const char kind = worker.kind.back();
         if (kind == 'b') return true;
@@ -129,8 +130,9 @@
         return worker.in_transaction.back();
     }
 
-    // What was told of single units, which stand outside of any transaction, against what was counted.
-    void judge(const Worker& worker) {
+    // Compares what the client was told about single units outside of transactions with what the stand-ins
+    // counted.
+    void check_answers(const Worker& worker) {
         const auto answers = worker.client->answers();
         for (std::size_t i = 0; i < answers.size() && i < worker.units.size(); ++i) {
             const Answer& answer = answers[i];
@@ -148,7 +150,7 @@
         }
     }
 
-    void trouble() {
+    void cause_fault() {
         wire::Server& server = *rig_.servers[pick(3)];
         switch (pick(7)) {
             case 0: server.die(pick(2) == 0); break;
@@ -162,7 +164,7 @@
                 std::vector<UpstreamState> states;
                 for (int i = 0; i < 3; ++i)
                     states.push_back(pick(3) ? UpstreamState::ready : UpstreamState::draining);
-                rig_.tell(states);
+                rig_.update_servers(states);
                 break;
             }
             default:
@@ -181,14 +183,14 @@
     std::mt19937_64 random_;
     Rig rig_;
     std::vector<Worker> workers_;
-    long last_ = 0;
-    std::size_t all_ = 0;
+    long last_number_ = 0;
+    std::size_t unit_count_ = 0;
 };
 
-// FLAXDOOR_SEEDS: so many worlds, for a long run.
-TEST(Random, WorldsKeepTheRules) {
-    const char* const told = std::getenv("FLAXDOOR_SEEDS");
-    const std::uint64_t seeds = told ? std::stoul(told) : 40;
+// FLAXDOOR_SEEDS: the number of random worlds, for a long run.
+TEST(Random, ClientsAreAnsweredCorrectly) {
+    const char* const seeds_text = std::getenv("FLAXDOOR_SEEDS");
+    const std::uint64_t seeds = seeds_text ? std::stoul(seeds_text) : 40;
     std::size_t units = 0;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         SCOPED_TRACE("seed " + std::to_string(seed));
--- a/tests/pg/rig.h
+++ b/tests/pg/rig.h
@@ -1,5 +1,5 @@
-// The whole of PostgreSQL's side in one thread on loopback: core, service, stand-in servers, clients. Tests
-// wait for events; the limit in until() only ends a test that hangs.
+// Runs the whole PostgreSQL service in one thread on loopback: core, service, stand-in servers and clients.
+// Tests wait for events; the limit in until() only ends a test that hangs.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -29,7 +29,7 @@
 namespace wire = ::standins::pg;
 using namespace std::chrono_literals;
 
-struct Silence final : core::Log {
+struct LogCapture final : core::Log {
     void event(const core::Event& event, std::span<const core::Value> values) override {
         lines.push_back(core::text_of(event, values));
     }
@@ -39,7 +39,7 @@
 inline UpstreamId id_of(const std::string& name) { return std::hash<std::string>()(name); }
 
 struct Rig {
-    // `admission`: borrowed; null: there is none.
+    // `admission` is borrowed; null: no admission control.
     explicit Rig(core::Admission* admission = nullptr)
         : alarm(io.get_executor(), clock), core(clock, alarm, log, flaxdoor::test::options_with(admission)) {
         alarm.on_due([this] { core.on_alarm(); });
@@ -51,7 +51,7 @@
         io.poll();
     }
 
-    // With these servers, begun.
+    // Adds these servers and starts the service.
     explicit Rig(std::initializer_list<const char*> servers) : Rig() { start(servers); }
     void start(std::initializer_list<const char*> servers) {
         for (const char* const name : servers) add_server(name);
@@ -80,14 +80,15 @@
         return member;
     }
 
-    // One database, `db`, one user, `u`; tests change what they need before begin().
+    // Returns options with one database, `db`, and one user, `u`. Tests set the members below, or change the
+    // result in begin().
     ServiceOptions make() const {
-        ServiceOptions made;
-        made.listen = loop::parse_endpoint("127.0.0.1:0");
-        made.seed = seed;
-        made.role_again = 50ms;
-        made.front.users["u"].kind = Authentication::Kind::trust;
-        made.front.ignored_settings = {"extra_float_digits"};
+        ServiceOptions service_options;
+        service_options.listen = loop::parse_endpoint("127.0.0.1:0");
+        service_options.seed = seed;
+        service_options.role_again = 50ms;
+        service_options.front.users["u"].kind = Authentication::Kind::trust;
+        service_options.front.ignored_settings = {"extra_float_digits"};
         DatabaseOptions db;
         db.name = "db";
         db.back.database = "db";
@@ -104,32 +105,32 @@
         db.settings.fair_share = static_cast<double>(pool.connections);
         for (const Effect effect : {Effect::unsafe, Effect::safe}) {
             if (effect == Effect::safe && !safe) continue;
-            ClassSettings each;
-            each.name = effect == Effect::safe ? "safe" : "unsafe";
-            each.aim = std::min<Micros>(deadline, 2s);
-            each.deadline = deadline;
-            each.effect = effect;
-            each.streams = true;
-            db.settings.classes.push_back(each);
+            ClassSettings class_settings;
+            class_settings.name = effect == Effect::safe ? "safe" : "unsafe";
+            class_settings.aim = std::min<Micros>(deadline, 2s);
+            class_settings.deadline = deadline;
+            class_settings.effect = effect;
+            class_settings.streams = true;
+            db.settings.classes.push_back(class_settings);
         }
         db.front.session = session;
         db.front.session.deadline = db.front.deadline = deadline;
         db.front.line_wait = line_wait;
         db.front.safe = safe;
         for (std::size_t i = 0; i < servers.size(); ++i) db.members.push_back(member(i));
-        made.databases.push_back(std::move(db));
-        return made;
+        service_options.databases.push_back(std::move(db));
+        return service_options;
     }
 
-    // With options changed so.
+    // Starts the service with options that `change` has modified.
     void begin(const std::function<void(ServiceOptions&)>& change = {}) {
-        ServiceOptions made = make();
-        if (change) change(made);
-        service = std::make_unique<Service>(io.get_executor(), core, clock, std::move(made));
+        ServiceOptions service_options = make();
+        if (change) change(service_options);
+        service = std::make_unique<Service>(io.get_executor(), core, clock, std::move(service_options));
     }
 
-    // Lists the servers anew, some of them in another state.
-    void tell(const std::vector<UpstreamState>& states) {
+    // Applies a new list of the servers, with these states.
+    void update_servers(const std::vector<UpstreamState>& states) {
         ServiceOptions changed = make();
         for (std::size_t i = 0; i < states.size(); ++i)
             changed.databases[0].members[i].entry.state = states[i];
@@ -137,7 +138,7 @@
     }
 
     bool until(const std::function<bool()>& holds) { return standins::run_until(io, holds); }
-    // Whatever is on its way has come, as far as loopback goes.
+    // Runs the loop until everything in transit on loopback has arrived.
     void settle(int rounds = 20) {
         for (int i = 0; i < rounds; ++i) {
             io.restart();
@@ -148,7 +149,7 @@
     asio::io_context io{1};
     loop::Clock clock;
     loop::Alarm alarm;
-    Silence log;
+    LogCapture log;
     core::Core core;
     wire::Journal journal;
     std::vector<std::unique_ptr<wire::Server>> servers;
@@ -174,17 +175,17 @@
 public:
     explicit Client(Rig& rig) : wire::Client(rig.io, rig.service->address()), rig_(rig) {}
 
-    static std::shared_ptr<Client> logged_in(Rig& rig,
-                                             std::vector<std::pair<std::string, std::string>> more = {}) {
+    static std::shared_ptr<Client> logged_in(
+        Rig& rig, std::vector<std::pair<std::string, std::string>> more_options = {}) {
         std::vector<std::pair<std::string, std::string>> options{{"user", "u"}, {"database", "db"}};
-        options.insert(options.end(), more.begin(), more.end());
-        const auto client = saying(rig, wire::startup(options));
+        options.insert(options.end(), more_options.begin(), more_options.end());
+        const auto client = with_bytes(rig, wire::startup(options));
         EXPECT_TRUE(rig.until([&] { return client->readies() == 1 || client->ended(); }));
         client->skip_login();
         return client;
     }
-    // Not logged in by the rig: these are its first bytes.
-    static std::shared_ptr<Client> saying(Rig& rig, const std::string& bytes) {
+    // Connects and sends these bytes, without a login by the rig.
+    static std::shared_ptr<Client> with_bytes(Rig& rig, const std::string& bytes) {
         const auto client = std::make_shared<Client>(rig);
         client->read();
         client->send(bytes);
@@ -201,7 +202,7 @@
     bool answered(std::size_t units) {
         return rig_.until([&] { return readies() == units; });
     }
-    bool over() {
+    bool wait_for_end() {
         return rig_.until([&] { return ended(); });
     }
 
--- a/tests/pg/scram_test.cpp
+++ b/tests/pg/scram_test.cpp
@@ -1,4 +1,4 @@
-// SCRAM-SHA-256 against the RFC's own example, and both sides against each other.
+// SCRAM-SHA-256: the example of the RFC, and both sides against each other.
 #include "pg/scram.h"
 
 #include <gtest/gtest.h>
@@ -6,9 +6,10 @@
 namespace flaxdoor::pg {
 namespace {
 
-// RFC 7677, chapter 3. The server there knows the client as "user"; PostgreSQL's clients leave the name
-// empty, so the server's side is shown by it, the client's side against the server's.
-TEST(Scram, TheServersSideAsInTheRfc) {
+// RFC 7677, section 3. The client of the example sends the user name "user", whereas PostgreSQL's clients
+// leave it empty. The example therefore checks the server side only, and the client side is checked against
+// the server side.
+TEST(Scram, ServerSideMatchesTheRfcExample) {
     const auto salt = from_base64("W22ZaJ0SNY7soEsUEjb6gQ==");
     ASSERT_TRUE(salt);
     ScramServer server(make_verifier("pencil", *salt, 4096), "%hvYDpWUa2RaTCAfuxFIlj)hNlF$k0");
@@ -22,7 +23,7 @@
     EXPECT_EQ(proof, "v=6rriTRBi23WpRR/wtup+mMhUZUn/dB5nLTJRsjl95G4=");
 }
 
-TEST(Scram, BothSidesAgreeAndAWrongPasswordDoesNot) {
+TEST(Scram, BothSidesAgreeOnlyOnTheRightPassword) {
     for (const bool right : {true, false}) {
         ScramSecret secret{"correct horse", {}, {}, 0};
         ScramClient client(secret, "client+nonce");
@@ -39,7 +40,7 @@
     }
 }
 
-TEST(Scram, AServerThatDoesNotKnowTheSecretIsFoundOut) {
+TEST(Scram, ServerWithoutTheSecretIsDetected) {
     ScramSecret secret{"x", {}, {}, 0};
     ScramClient client(secret, "n");
     (void)client.first();
@@ -73,12 +74,12 @@
     }
 }
 
-TEST(Md5, AsPostgresHasIt) {
+TEST(Md5, MatchesPostgres) {
     // select 'md5' || md5(md5('secret' || 'user') || 'salt')
     EXPECT_EQ(md5_answer("user", "secret", "salt"), "md5440c573f34f2e2f3ff4b6dbdd8a2686b");
 }
 
-TEST(Base64, ThereAndBack) {
+TEST(Base64, RoundTrip) {
     for (const std::string text : {"", "a", "ab", "abc", "abcd"}) EXPECT_EQ(from_base64(base64(text)), text);
     EXPECT_FALSE(from_base64("a"));
     EXPECT_FALSE(from_base64("!!!!"));
--- a/tests/pg/server_machine_test.cpp
+++ b/tests/pg/server_machine_test.cpp
@@ -1,4 +1,4 @@
-// A connection to a server: login, what is due, what was written.
+// Server connections: login, expected answers, and which bytes were written.
 #include "pg/server_machine.h"
 
 #include <gtest/gtest.h>
@@ -15,15 +15,15 @@
                             wire::message('S', wire::text0("in_hot_standby") + wire::text0("off")) +
                             wire::message('K', wire::int32(1) + wire::int32(2)) + wire::message('Z', "I");
 
-ServerOptions plain() {
+ServerOptions plain_options() {
     ServerOptions options;
     options.user = "u";
     options.database = "d";
     return options;
 }
 
-ServerMachine up() {
-    ServerMachine machine(plain());
+ServerMachine logged_in_machine() {
+    ServerMachine machine(plain_options());
     machine.receive(welcome);
     EXPECT_EQ(machine.next()->kind, Kind::logged_in);
     machine.wrote(machine.output().size());
@@ -35,16 +35,16 @@
                                   wire::text0(code) + 'M' + wire::text0("x") + '\0');
 }
 
-TEST(ServerMachine, LoginsThatFail) {
+TEST(ServerMachine, FailedLogins) {
     const auto fails = [](const std::string& said, ScramSecret* secret = nullptr) {
-        ServerOptions options = plain();
+        ServerOptions options = plain_options();
         options.secret = secret;
         options.nonce = "n";
         ServerMachine machine(options);
         machine.receive(said);
         const auto event = machine.next();
         EXPECT_TRUE(event && event->kind == Kind::failed);
-        EXPECT_EQ(machine.state(), ServerState::spoilt);
+        EXPECT_EQ(machine.state(), ServerState::broken);
         return event ? event->code : "";
     };
     ScramSecret secret{"pw", {}, {}, 0};
@@ -55,23 +55,23 @@
     EXPECT_EQ(fails(wire::message('Z', "I")), "08P01");
     EXPECT_EQ(fails(wire::message('D', "")), "08P01");
     EXPECT_EQ(fails("?"), "08P01");
-    // It leaves out the proof that it knows the secret.
+    // The server omits the proof that it knows the secret.
     EXPECT_EQ(fails(wire::message('R', wire::int32(10) + wire::text0("SCRAM-SHA-256") + '\0') +
                         wire::message('R', wire::int32(0)),
                     &secret),
               "08P01");
 }
 
-TEST(ServerMachine, TlsIsAskedFor) {
-    ServerOptions options = plain();
+TEST(ServerMachine, RequestsTls) {
+    ServerOptions options = plain_options();
     options.tls = ServerOptions::Tls::verify_full;
     ServerMachine strict(options);
     EXPECT_EQ(strict.output(), wire::untyped(wire::int32(80877103)));
     strict.receive("N");
     EXPECT_EQ(strict.next()->kind, Kind::failed);
-    ServerMachine smuggled(options);
-    smuggled.receive("S" + welcome);
-    EXPECT_EQ(smuggled.next()->kind, Kind::failed) << "CVE-2021-23222";
+    ServerMachine injected(options);
+    injected.receive("S" + welcome);
+    EXPECT_EQ(injected.next()->kind, Kind::failed) << "CVE-2021-23222";
     options.tls = ServerOptions::Tls::prefer;
     ServerMachine prefers(options);
     prefers.receive("N" + welcome);
@@ -83,8 +83,8 @@
     EXPECT_EQ(clear.next()->kind, Kind::logged_in);
 }
 
-TEST(ServerMachine, WhatWasWrittenIsKnownToTheByte) {
-    ServerMachine machine = up();
+TEST(ServerMachine, TracksWrittenBytesExactly) {
+    ServerMachine machine = logged_in_machine();
     machine.begin_unit();
     machine.flush();
     machine.mark(true, false);
@@ -103,43 +103,43 @@
     EXPECT_TRUE(machine.may_have_committed());
 }
 
-TEST(ServerMachine, OutOfTurnSpoils) {
+TEST(ServerMachine, UnexpectedMessagesBreakTheConnection) {
     for (const std::string& said :
          {wire::message('D', wire::int16(0)), wire::message('1', ""), wire::message('Z', "I"),
           error("ERROR", "XX000"), error("FATAL", "57P01"),
           wire::message('K', wire::int32(1) + wire::int32(2)), wire::message('t', "")}) {
-        ServerMachine machine = up();
+        ServerMachine machine = logged_in_machine();
         machine.receive(said);
-        EXPECT_EQ(machine.next()->kind, Kind::spoilt);
+        EXPECT_EQ(machine.next()->kind, Kind::broken);
         EXPECT_FALSE(machine.next());
     }
-    ServerMachine machine = up();
+    ServerMachine machine = logged_in_machine();
     machine.sync();
     machine.receive(wire::message('C', wire::text0("SELECT 1")));
-    EXPECT_EQ(machine.next()->kind, Kind::spoilt);
+    EXPECT_EQ(machine.next()->kind, Kind::broken);
 }
 
-TEST(ServerMachine, AnErrorSkipsToTheSync) {
-    ServerMachine machine = up();
+TEST(ServerMachine, ErrorSkipsToSync) {
+    ServerMachine machine = logged_in_machine();
     Statements statements;
-    const auto statement = statements.take("SELECT 1", wire::int16(0));
+    const auto statement = statements.intern("SELECT 1", wire::int16(0));
     machine.parse("s", statement, false);
     machine.bind("", "s", wire::int16(0) + wire::int16(0) + wire::int16(0));
     machine.receive(error("ERROR", "42601"));
     EXPECT_EQ(machine.next()->kind, Kind::message);
-    EXPECT_FALSE(machine.has("s", statement)) << "it never was prepared";
-    machine.execute(wire::text0("") + wire::int32(0));  // on its way already: the server drops it
+    EXPECT_FALSE(machine.is_prepared("s", statement)) << "it never was prepared";
+    machine.execute(wire::text0("") + wire::int32(0));  // already in transit: the server discards it
     machine.sync();
     machine.receive(wire::message('Z', "E"));
     const auto ready = machine.next();
     ASSERT_TRUE(ready);
     EXPECT_EQ(ready->kind, Kind::ready);
     EXPECT_EQ(ready->status, 'E');
-    EXPECT_TRUE(machine.quiet());
+    EXPECT_TRUE(machine.is_idle());
 }
 
-TEST(ServerMachine, AFunctionCallIsAnsweredOnce) {
-    ServerMachine machine = up();
+TEST(ServerMachine, FunctionCallIsAnsweredOnce) {
+    ServerMachine machine = logged_in_machine();
     machine.begin_unit();
     machine.mark(true, true);
     machine.function_call(wire::int32(1) + wire::int16(0) + wire::int16(0) + wire::int16(0));
@@ -147,17 +147,17 @@
     machine.receive(wire::message('V', wire::int32(~0u)) + wire::message('Z', "I"));
     EXPECT_EQ(machine.next()->message.type, 'V');
     EXPECT_EQ(machine.next()->kind, Kind::ready);
-    EXPECT_TRUE(machine.quiet());
+    EXPECT_TRUE(machine.is_idle());
     machine.receive(wire::message('V', wire::int32(~0u)));
-    EXPECT_EQ(machine.next()->kind, Kind::spoilt);
+    EXPECT_EQ(machine.next()->kind, Kind::broken);
 }
 
-TEST(ServerMachine, HiddenParsesAreHidden) {
-    ServerMachine machine = up();
+TEST(ServerMachine, HiddenParsesAreNotPassedOn) {
+    ServerMachine machine = logged_in_machine();
     Statements statements;
-    const auto statement = statements.take("SELECT 1", wire::int16(0));
-    machine.ensure("s", statement);
-    machine.ensure("s", statement);
+    const auto statement = statements.intern("SELECT 1", wire::int16(0));
+    machine.ensure_prepared("s", statement);
+    machine.ensure_prepared("s", statement);
     machine.answer_locally("local");
     machine.sync();
     std::string out(machine.output());
@@ -165,14 +165,14 @@
     while (const auto message = wire::take(out)) types += message->type;
     EXPECT_EQ(types, "PS");
     machine.receive(wire::message('1', "") + wire::message('Z', "I"));
-    EXPECT_EQ(machine.next()->kind, Kind::local);
+    EXPECT_EQ(machine.next()->kind, Kind::local_answer);
     EXPECT_EQ(machine.next()->kind, Kind::ready);
     EXPECT_FALSE(machine.next());
-    EXPECT_EQ(statements.take("SELECT 1", wire::int16(0)), statement) << "one for one text";
+    EXPECT_EQ(statements.intern("SELECT 1", wire::int16(0)), statement) << "one for one text";
 }
 
-TEST(ServerMachine, OnlySoManyStatementsAreKept) {
-    ServerOptions options = plain();
+TEST(ServerMachine, PreparedStatementsAreLimited) {
+    ServerOptions options = plain_options();
     options.prepared_most = 3;
     ServerMachine machine(options);
     machine.receive(welcome);
@@ -180,14 +180,14 @@
     Statements statements;
     std::vector<PreparedPtr> held;
     for (int i = 0; i < 6; ++i) {
-        held.push_back(statements.take("SELECT " + std::to_string(i), wire::int16(0)));
-        machine.ensure("s" + std::to_string(i), held.back());
+        held.push_back(statements.intern("SELECT " + std::to_string(i), wire::int16(0)));
+        machine.ensure_prepared("s" + std::to_string(i), held.back());
     }
-    machine.ensure("s0", held[0]);  // used again
-    machine.forget_oldest();
-    EXPECT_TRUE(machine.has("s0", held[0]));
-    EXPECT_FALSE(machine.has("s1", held[1]));
-    EXPECT_TRUE(machine.has("s5", held[5]));
+    machine.ensure_prepared("s0", held[0]);  // used again
+    machine.close_least_recently_used();
+    EXPECT_TRUE(machine.is_prepared("s0", held[0]));
+    EXPECT_FALSE(machine.is_prepared("s1", held[1]));
+    EXPECT_TRUE(machine.is_prepared("s5", held[5]));
 }
 
 }  // namespace
--- a/tests/pg/sql_test.cpp
+++ b/tests/pg/sql_test.cpp
@@ -1,4 +1,4 @@
-// What a text may do: a table, and the short way held against the parser.
+// What SQL texts may do: a table of texts, and the analysis of plain texts compared with the parser's.
 #include "pg/sql.h"
 
 #include <gtest/gtest.h>
@@ -12,11 +12,11 @@
 
 struct Expected {
     const char* text;
-    const char* says;  // c: may commit, b: begins, e: ends, l: leaves a failed one, i: copies in, p: pins, x:
-                       // not parsed
+    const char*
+        flags;  // c: may commit, b: begins, e: ends, l: leaves a failed transaction, i: copies in, p: pins, x: not parsed
 };
 
-std::string says(const SqlFacts& facts) {
+std::string flags(const SqlFacts& facts) {
     std::string out;
     if (!facts.parsed) return "x";
     if (facts.may_commit) out += 'c';
@@ -28,7 +28,7 @@
     return out;
 }
 
-TEST(Sql, WhatTextsMayDo) {
+TEST(Sql, FactsOfTexts) {
     const Expected all[] = {
         {"SELECT 1", ""},
         {"", ""},
@@ -92,10 +92,10 @@
         {"SELEC 1", "x"},
         {"SELECT 1; COMMI", "x"},
     };
-    for (const auto& each : all) EXPECT_EQ(says(facts_of(each.text)), each.says) << each.text;
+    for (const auto& each : all) EXPECT_EQ(flags(facts_of(each.text)), each.flags) << each.text;
 }
 
-TEST(Sql, WhatCantBeParsedIsTheWorstCase) {
+TEST(Sql, UnparsableTextIsTheWorstCase) {
     for (const SqlFacts& facts :
          {facts_of("SELEC"), facts_of(std::string("SELECT $$") + std::string(300'000, 'x') + "$$"),
           facts_of(std::string_view("SELECT 1\0; COMMIT", 17))}) {
@@ -105,16 +105,16 @@
     }
 }
 
-TEST(Sql, ALongPlainTextIsNotParsed) {
+TEST(Sql, LongPlainTextIsNotParsed) {
     std::string text = "INSERT INTO t VALUES ('x')";
     for (int i = 0; i < 50'000; ++i) text += ", ('it''s')";
     EXPECT_TRUE(is_plain(text));
     EXPECT_FALSE(facts_of(text).pins);
 }
 
-// Texts put together of pieces that matter; where the short way takes one, the parser must agree, or refuse
-// it as no SQL at all: then nothing runs.
-TEST(Sql, ThePlainWayAgreesWithTheParser) {
+// Random texts from significant pieces: where a text counts as plain, the parser must agree, or reject it as
+// invalid SQL, in which case nothing is executed.
+TEST(Sql, PlainAnalysisAgreesWithTheParser) {
     std::vector<std::string> pieces(1);
     for (const char c : std::string(
              "SELECT|select|INSERT INTO t|UPDATE t SET a =|DELETE FROM t|VALUES (1)|1|a|\"a\"|'x'|''|"
@@ -141,7 +141,7 @@
         const SqlFacts parsed = facts_by_parser(text);
         if (!parsed.parsed) continue;
         ++agreed;
-        EXPECT_EQ(says(parsed), says(facts_of(text))) << text;
+        EXPECT_EQ(flags(parsed), flags(facts_of(text))) << text;
         EXPECT_EQ(parsed.statements, 1) << text;
         if (HasFailure()) return;
     }
--- a/tests/pg/wire_test.cpp
+++ b/tests/pg/wire_test.cpp
@@ -1,4 +1,5 @@
-// The codec: every split gives the same, every limit holds, what is wrong is one clear error.
+// Decoder and message bodies: every split gives the same result, every limit holds, and each malformed input
+// gives one clear error.
 #include "pg/wire.h"
 
 #include <gtest/gtest.h>
@@ -10,7 +11,7 @@
 
 namespace wire = standins::pg;
 
-// What a decoder hands out, pieces put together: "Q:select 1|S:|".
+// Returns all messages of a decoder, with pieces joined: "Q:select 1|S:|".
 std::string read_all(Decoder& decoder) {
     std::string all;
     while (const auto message = decoder.next()) {
@@ -25,7 +26,7 @@
                             wire::describe('P', "p") + wire::execute("p", 7) + wire::flush() + wire::sync() +
                             wire::copy_data(std::string(300, 'x')) + wire::copy_done() + wire::terminate();
 
-TEST(Wire, EverySplitIntoTwoReadsGivesTheSame) {
+TEST(Wire, EverySplitGivesTheSameMessages) {
     Limits limits;
     limits.held = 100;
     Decoder whole(Sender::client, limits);
@@ -50,7 +51,7 @@
     EXPECT_EQ(got, expected);
 }
 
-TEST(Wire, RowsAndCopyDataAreNotHeld) {
+TEST(Wire, RowsAndCopyDataAreNotBuffered) {
     Limits limits;
     limits.held = 1000;
     Decoder decoder(Sender::server, limits);
@@ -67,7 +68,7 @@
     EXPECT_TRUE(decoder.between_messages());
 }
 
-TEST(Wire, WhatIsWrongIsOneError) {
+TEST(Wire, MalformedInputGivesOneError) {
     const auto error_of = [](Sender sender, const std::string& bytes, bool password = false) {
         Limits limits;
         limits.whole = 1000;
@@ -120,8 +121,8 @@
     EXPECT_EQ(ours, wire::startup({{"user", "u"}, {"database", "d"}}));
 }
 
-// Each body cut at each of its bytes is refused, and so is one with a byte too many.
-TEST(Wire, BodiesAreStrict) {
+// A body that is cut at any byte is rejected, and so is one with an extra byte.
+TEST(Wire, TruncatedOrOverlongBodiesAreRejected) {
     const std::string parse =
         wire::text0("s") + wire::text0("SELECT 1") + wire::int16(2) + wire::int32(23) + wire::int32(25);
     const std::string bind = wire::text0("p") + wire::text0("s") + wire::int16(1) + wire::int16(0) +
@@ -144,7 +145,7 @@
     EXPECT_FALSE(read_error("Sno end"));
 }
 
-TEST(Wire, ErrorsAreReadBackAsTheyWereWritten) {
+TEST(Wire, WrittenErrorsAreReadBack) {
     std::string out;
     write_error(out, {Severity::fatal, "57P01", "bye", "because", "do not"});
     const auto message = wire::take(out);
