--- a/src/pg/back.cpp
+++ b/src/pg/back.cpp
@@ -42,9 +42,9 @@
 
     void set_upstream(UpstreamId id, const std::string& address, bool takes_work) {
         Upstream& upstream = upstreams_[id];
-        const bool moved = !upstream.text.empty() && upstream.text != address;
+        const bool moved = !upstream.address_text.empty() && upstream.address_text != address;
         const bool stops = upstream.takes_work && !takes_work;
-        upstream.text = address;
+        upstream.address_text = address;
         upstream.address = loop::parse_endpoint(address);
         upstream.takes_work = takes_work;
         if (moved || stops) drain(id);
@@ -124,7 +124,7 @@
 
 private:
     struct Upstream {
-        std::string text;
+        std::string address_text;
         loop::tcp::endpoint address;
         bool takes_work = true;
     };
@@ -197,7 +197,7 @@
 
         ServerMachine& machine() override { return machine_; }
         UpstreamId upstream() const override { return upstream_; }
-        bool takes_work() const override { return owner_.takes_work(upstream_, target_.text); }
+        bool takes_work() const override { return owner_.takes_work(upstream_, target_.address_text); }
         void flush() override {
             if (!closed_) stream_->flush();
         }
@@ -333,7 +333,7 @@
             if (closed_) return;
             const auto client = client_.lock();
             if (client && client != served) client->after_server();
-            if (!closed_ && !client_.expired() && client->crowded()) stream_->pause(true);
+            if (!closed_ && !client_.expired() && client->is_output_full()) stream_->pause(true);
             if (!closed_ && !client && awaiting_end_) try_return_to_pool();
         }
 
@@ -659,7 +659,7 @@
 
     bool takes_work(UpstreamId id, const std::string& address) const {
         const auto found = upstreams_.find(id);
-        return found != upstreams_.end() && found->second.takes_work && found->second.text == address;
+        return found != upstreams_.end() && found->second.takes_work && found->second.address_text == address;
     }
 
     void send_cancel(const std::shared_ptr<Connection>& connection) {
--- a/src/pg/client_machine.h
+++ b/src/pg/client_machine.h
@@ -3,9 +3,9 @@
 //
 // Threading: one thread at a time.
 // Ownership: views in an event point into the machine and are valid until its next call.
-// Use: after receive() and after each answer, call next() until it returns nothing, then write output().
-//            Call next() only while a message can be processed: unprocessed bytes stay buffered, so check
-//            buffered().
+// Use:       after receive() and after each answer, call next() until it returns nothing, then write
+//            output(). Call next() only while a message can be processed: unprocessed bytes stay buffered, so
+//            check buffered().
 // Errors:    on a protocol violation the machine sends FATAL 08P01 to the client and ends the connection.
 // Format:    https://www.postgresql.org/docs/15/protocol-flow.html
 #pragma once
--- a/src/pg/front.cpp
+++ b/src/pg/front.cpp
@@ -23,8 +23,11 @@
 constexpr std::size_t max_output = 256 << 10;
 // Received bytes that may be buffered before they can be processed.
 constexpr std::size_t max_read_ahead = 64 << 10;
+// Time that a client has to close its end after the listener has closed the sending side.
 constexpr Micros linger_time = std::chrono::seconds(1);
+// Delay after accept() has failed for lack of local resources.
 constexpr auto accept_retry_delay = std::chrono::milliseconds(50);
+// Connections accepted per readiness event.
 constexpr int accepts_per_event = 64;
 
 std::string random_bytes(std::size_t count) {
@@ -621,7 +624,9 @@
             }
             pump();
         }
-        bool crowded() const override { return machine_.output().size() - output_written_ > max_output; }
+        bool is_output_full() const override {
+            return machine_.output().size() - output_written_ > max_output;
+        }
 
         Impl& owner_;
         const std::uint32_t number_;
--- a/src/pg/front.h
+++ b/src/pg/front.h
@@ -2,8 +2,8 @@
 //
 // Threading: the loop's thread only.
 // Ownership: the core and the backs are borrowed and must outlive the object.
-// Bounds: the numbers of clients in all, per user, per database and before login; the buffered bytes and the
-//            time of each client.
+// Bounds:    the numbers of clients in all, per user, per database and before login; the buffered bytes and
+//            the time of each client.
 #pragma once
 
 #include <map>
--- a/src/pg/line.h
+++ b/src/pg/line.h
@@ -2,8 +2,7 @@
 // policy module decides: a unit is offered to it when an earlier one has ended, and now and then one more. If
 // the policy module can't place the unit now, the unit returns to the head of this queue before the policy
 // module would reject it. A unit that the policy module has rejected does not return to the queue. No I/O;
-// time
-// is an argument.
+// time is an argument.
 //
 // Threading: one thread at a time. Bounds: the number of units, and the waiting time of each.
 #pragma once
--- a/src/pg/pool.h
+++ b/src/pg/pool.h
@@ -103,7 +103,7 @@
     void on_time(Time now);
     std::optional<Time> next_time() const;
 
-    // Returns the connection that has been idle longest, to be closed when descriptors run out.
+    // Returns the connection that has been idle longest, to be closed when no further one may be opened.
     std::optional<ConnectionId> longest_idle() const;
 
     std::optional<PoolAction> next();
--- a/src/pg/scram.h
+++ b/src/pg/scram.h
@@ -2,9 +2,8 @@
 // authentication. No I/O; nonces and salts are arguments.
 //
 // Threading: one thread at a time. Errors: reported by the result; no function throws.
-// Cost: deriving a SaltedPassword takes milliseconds: ScramSecret caches the latest one, and a ScramVerifier
-//            is
-//            made once per password.
+// Cost:      deriving a SaltedPassword takes milliseconds: ScramSecret caches the latest one, and a
+//            ScramVerifier is made once per password.
 #pragma once
 
 #include <optional>
--- a/src/pg/server_machine.cpp
+++ b/src/pg/server_machine.cpp
@@ -233,16 +233,16 @@
     const auto expecting = [&](std::initializer_list<AnswerKind> kinds) {
         return has_expected && std::find(kinds.begin(), kinds.end(), first) != kinds.end();
     };
-    const bool own = has_expected && first == AnswerKind::internal;
-    const bool hidden = has_expected && expected_answers_.front().hidden;
-    passes_on = !own && !hidden;
+    const bool is_internal = has_expected && first == AnswerKind::internal;
+    const bool is_hidden = has_expected && expected_answers_.front().hidden;
+    passes_on = !is_internal && !is_hidden;
     bool in_turn = true;
     switch (message.type) {
         case 'N':
-        case 'A': passes_on = !own; return std::nullopt;
+        case 'A': passes_on = !is_internal; return std::nullopt;
         case 'S':
             store_parameter(message);
-            passes_on = !own;
+            passes_on = !is_internal;
             return std::nullopt;
         case 'E': return handle_error(message);
         case 'Z': return handle_ready(message);
--- a/src/pg/server_machine.h
+++ b/src/pg/server_machine.h
@@ -1,16 +1,13 @@
 // Protocol state machine of one server connection, independent of its socket: login as a client of the
-// server,
-// then units. A unit is a sequence of messages to the server and its answers. The machine tracks which
-// answers
-// are expected, which detects answers out of order. It also tracks the byte offset in the output at which
-// each
-// message starts that may execute or commit something.
+// server, then units. A unit is a sequence of messages to the server and its answers. The machine tracks
+// which answers are expected, which detects answers out of order. It also tracks the byte offset in the
+// output at which each message starts that may execute or commit something.
 //
 // Threading: one thread at a time.
 // Ownership: views in an event point into the machine and are valid until its next call; the secret in the
 //            options is borrowed.
-// Use: after receive() and every call that may cause an event, call next() until it returns nothing; then
-//            write output() and report the written bytes by wrote().
+// Use:       after receive() and every call that may cause an event, call next() until it returns nothing;
+//            then write output() and report the written bytes by wrote().
 // Errors:    `failed` before the login has completed, `broken` afterwards: the connection can't be used any
 //            more, whatever the reason, and no event follows.
 // Format:    https://www.postgresql.org/docs/15/protocol-flow.html
--- a/src/pg/session.h
+++ b/src/pg/session.h
@@ -2,18 +2,19 @@
 // server that the policy module has chosen, and decides which error the client receives when that server is
 // lost, no server accepts the unit, or the time limit is reached. No I/O and no clock.
 //
-// A unit occupies one server connection: it is a transaction, or a statement outside of one. A segment is the
-// part of a unit up to one ReadyForQuery. A session is linked to a server connection while a unit runs. It is
-// pinned while the server's session holds state of the client that can't be moved to another server.
+// A segment is a Query or FunctionCall, or the messages of the extended protocol up to Sync; it ends with one
+// ReadyForQuery. A unit is what needs one server connection: a transaction, or a segment outside of one. A
+// session is linked to a server connection while a unit runs. It is pinned while the server's session holds
+// state of the client that can't be moved to another server.
 //
 // Threading:   one thread at a time.
-// Ownership: the host and the statements are borrowed; the server's machine is borrowed from on_link() until
-//              release() or the loss of the server.
-// Re-entrancy: the host may call on_link(), on_refused() or on_failed() from within request_server(); it must
-//              not destroy the session from within any call.
-// Use: while can_take(), pass in the client's messages; pass in all events of the linked server. After
-//              each call, check over(): if it is true, nothing more is read, and the connection ends once its
-//              output is written.
+// Ownership:   the host and the statements are borrowed; the server's machine is borrowed from on_link()
+//              until release() or the loss of the server.
+// Re-entrancy: the host may call on_link(), on_rejected() or on_failed() from within request_server(); it
+//              must not destroy the session from within any call.
+// Use:         while can_accept_message(), pass in the client's messages; pass in all events of the linked
+//              server. After each call, check over(): if it is true, nothing more is read, and the connection
+//              ends once its output is written.
 // Answers:     each unit gets exactly one: the server's answer, or one ErrorResponse at its first unanswered
 //              message.
 #pragma once
@@ -69,8 +70,8 @@
 class SessionHost {
 public:
     virtual ~SessionHost() = default;
-    // Requests a server: on_link(), on_refused() or on_failed() follows, possibly from within this call,
-    // unless leave_unit() comes first. `tied`: only the linked server will do.
+    // Requests a server: on_link(), on_rejected() or on_failed() follows, possibly from within this call,
+    // unless leave_unit() comes first. `linked_only`: only the linked server will do.
     virtual void request_server(UnitKind kind, bool linked_only) = 0;
     // Withdraws the unit, wherever it is. This also ends the link, if there is one, and discards the session
     // state at the server, unless `keep_link`: then no message of the unit has been sent to the server yet.
@@ -92,7 +93,7 @@
 
 class Session {
 public:
-    // `wanted`: the settings of the client's start-up packet, except user and database.
+    // `client_settings`: the settings of the client's start-up packet, except user and database.
     Session(SessionHost& host, Statements& statements, SessionOptions options,
             std::vector<StartupOption> client_settings);
 
@@ -117,7 +118,7 @@
     [[nodiscard]] bool on_link(ServerMachine& server);
     void on_server(const ServerEvent& event);
     // The linked server is lost. The result decides whether the unit may be sent to another server; if a unit
-    // was open, on_link(), on_refused() or on_failed() follows.
+    // was open, on_link(), on_rejected() or on_failed() follows.
     LossReport on_server_lost();
 
     // --- End of a unit or of the session ---
--- a/src/pg/sql.h
+++ b/src/pg/sql.h
@@ -9,8 +9,7 @@
 //
 // A plain text is one statement that begins with SELECT, INSERT, UPDATE, DELETE or VALUES. It has no comment,
 // backslash, dollar quote, string with a prefix letter (E'', U&''), INTO other than INSERT's, or word that
-// could
-// matter. It is analyzed without the parser; a test compares both analyses.
+// could matter. It is analyzed without the parser; a test compares both analyses.
 #pragma once
 
 #include <cstddef>
--- a/src/pg/stream.h
+++ b/src/pg/stream.h
@@ -1,6 +1,5 @@
 // A socket with optional TLS: received bytes are passed to the owner, and the owner's pending bytes are
-// written
-// as the socket accepts them.
+// written as the socket accepts them.
 //
 // Threading: the loop's thread only; no call blocks.
 // Ownership: the owner is borrowed until close(); it is not called afterwards.
--- a/src/pg/unit.h
+++ b/src/pg/unit.h
@@ -51,7 +51,7 @@
     // The server is draining. `at_limit`: the time limit for open transactions has passed.
     virtual void on_drain(bool at_limit) = 0;
     // Returns true while the client's output buffer is full.
-    virtual bool crowded() const = 0;
+    virtual bool is_output_full() const = 0;
 };
 
 struct ClientPayload : core::Payload {
--- a/src/pg/wire.h
+++ b/src/pg/wire.h
@@ -1,10 +1,10 @@
 // Messages of PostgreSQL's protocol, version 3.0: a Decoder splits a byte stream into messages, a Writer
-// composes
-// messages, and the read functions parse the bodies that matter here. No I/O and no clock.
+// composes messages, and the read functions parse the bodies that matter here. No I/O and no clock.
 //
 // Threading: one thread at a time.
 // Ownership: views point into the Decoder and are valid until its next call.
-// Errors: a format violation is reported as a text (SQLSTATE 08P01); a Decoder that has failed stays failed.
+// Errors:    a format violation is reported as a text (SQLSTATE 08P01); a Decoder that has failed stays
+//            failed.
 // Bounds:    a message of a type that may be large (DataRow, CopyData) is returned in pieces if it is larger
 //            than Limits::held; any other message is buffered whole, up to Limits::whole.
 // Format:    https://www.postgresql.org/docs/15/protocol-message-formats.html. Integers are big-endian; a
--- a/src/tls/tls.h
+++ b/src/tls/tls.h
@@ -1,7 +1,6 @@
 // TLS connections over OpenSSL, independent of sockets: the caller moves encrypted bytes between a Channel
-// and
-// the network, and plain bytes between the Channel and the application. Contexts exist for the server side
-// (with a certificate) and for the client side (which verifies the certificate chain and the host name).
+// and the network, and plain bytes between the Channel and the application. Contexts exist for the server
+// side (with a certificate) and for the client side (which verifies the certificate chain and the host name).
 //
 // Threading: channels of one thread may share a Context; a Channel belongs to one thread.
 // Ownership: a Channel shares ownership of its Context.
--- a/tests/pg/budget_test.cpp
+++ b/tests/pg/budget_test.cpp
@@ -40,8 +40,9 @@
     EXPECT_EQ(client->ask(unit(insert(2))).errors, 0);
     EXPECT_EQ(client->ask(simple("COMMIT")).tag, "COMMIT");
     for (const long i : {1, 2}) EXPECT_EQ(rig.journal.effects[i].committed, 1) << i;
-    EXPECT_EQ(client->ask(simple("BEGIN")).code, "53000") << "the next one needs its own";
-    EXPECT_EQ(client->ask(simple(insert(3))).code, "25P02") << "nothing of it runs outside of it";
+    EXPECT_EQ(client->ask(simple("BEGIN")).code, "53000") << "the next transaction needs its own permit";
+    EXPECT_EQ(client->ask(simple(insert(3))).code, "25P02")
+        << "no statement runs outside of the rejected transaction";
     EXPECT_EQ(rig.journal.effects[3].executed, 0);
 }
 
--- a/tests/pg/check_test.sh
+++ b/tests/pg/check_test.sh
@@ -1,5 +1,6 @@
 #!/bin/sh
-# What an operator can get wrong: `flaxdoor check` says the line and the key. usage: check_test.sh FLAXDOOR
+# Checks that `flaxdoor check` reports mistakes in the settings with their line and key.
+# Usage: check_test.sh FLAXDOOR
 set -eu
 . "$(dirname "$0")/../expect.sh"
 check=$1
@@ -40,4 +41,4 @@
 good | sed 's/^address.*/address = "db.example:5432"/' | expect 'file.toml:5:1: not an IPv4 address: db.example (postgres_server.address)'
 good | sed '1,2d' | expect '[[postgres_server]] without [postgres]'
 good | sed 's/^servers/server/' | expect 'did you mean servers?'
-echo "what is wrong is named with its line"
+echo "each mistake is reported with its line"
--- a/tests/pg/cut_test.cpp
+++ b/tests/pg/cut_test.cpp
@@ -197,7 +197,7 @@
     }
     if (client->ended()) {
         const bool reason = !answers.empty() && answers.back().severity == "FATAL";
-        if (!reason && !client->half_message()) add_violation("ended without a reason");
+        if (!reason && !client->half_message()) add_violation("the connection ended without a reason");
     } else {
         outcome.kept = true;
         if (answers.size() != script.steps.size()) add_violation("fewer answers than units");
@@ -206,15 +206,15 @@
     // No effect happens twice, and the client is told nothing false.
     const auto reports = reported_outcomes(script, answers, client->ended());
     for (const auto& [number, effect] : rig.journal.effects) {
-        if (effect.executed > 1) add_violation("ran twice: " + std::to_string(number));
+        if (effect.executed > 1) add_violation("executed twice: " + std::to_string(number));
         if (effect.committed > 1) add_violation("committed twice: " + std::to_string(number));
     }
     for (const auto& [number, report] : reports) {
         const int committed = rig.journal.effects[number].committed;
         if (report == Reported::committed && committed != 1)
-            add_violation("told committed and is not: " + std::to_string(number));
+            add_violation("reported as committed but is not: " + std::to_string(number));
         if (report == Reported::not_committed && committed != 0)
-            add_violation("told not committed and is: " + std::to_string(number));
+            add_violation("reported as not committed but is: " + std::to_string(number));
     }
 
     // The connection is usable afterwards.
@@ -222,7 +222,7 @@
         if (answers.back().status != 'I') (void)client->ask(wire::query("ROLLBACK"));
         const Answer after = client->ask(wire::query("SELECT 99"));
         if (after.rows != std::vector<std::string>{"99"} || after.status != 'I')
-            add_violation("of no use afterwards: " + after.types + " " + after.code + " " + after.text);
+            add_violation("unusable afterwards: " + after.types + " " + after.code + " " + after.text);
     }
     client->close();
     return outcome;
--- a/tests/pg/hard_cases_test.cpp
+++ b/tests/pg/hard_cases_test.cpp
@@ -46,7 +46,7 @@
             }
             unknown += answer.code == "08007";
         }
-        EXPECT_LE(unknown, 1u) << "only the one under way may be unknown";
+        EXPECT_LE(unknown, 1u) << "only the unit in progress may have an unknown outcome";
     }
 }
 
@@ -131,7 +131,7 @@
         again = client->ask(simple("SELECT 1"));
         if (again.errors > 0) again = {};
     }
-    EXPECT_EQ(again.rows.size(), 1u) << "it is found again";
+    EXPECT_EQ(again.rows.size(), 1u) << "the restarted server is used again";
 }
 
 TEST(Failover, RejectedBeginFailsThePipelinedTransaction) {
@@ -214,13 +214,13 @@
     EXPECT_EQ(first->answers()[0].errors, 0u);
     second->send(simple("SELECT pg_sleep(7)"));
     rig.settle();
-    EXPECT_EQ(with_text(rig, "pg_sleep(7)"), 0u) << "it waits until the cancel has come";
+    EXPECT_EQ(with_text(rig, "pg_sleep(7)"), 0u) << "the query must wait until the cancel has arrived";
     rig.servers[0]->hold_cancels(false);
     ASSERT_TRUE(rig.until([&] { return with_text(rig, "pg_sleep(7)") == 1; }));
     rig.settle();
     rig.servers[0]->release();
     ASSERT_TRUE(second->answered(1));
-    EXPECT_EQ(second->answers()[0].errors, 0u) << "the cancel was not its own";
+    EXPECT_EQ(second->answers()[0].errors, 0u) << "the cancel belonged to the other client";
 }
 
 TEST(Cancel, CancelsAWaitingUnit) {
@@ -257,7 +257,7 @@
     Answer next;
     for (int i = 0; i < 20 && next.rows.empty(); ++i) next = client->ask(simple("SELECT 3"));
     EXPECT_EQ(next.rows, std::vector<string>{"3"});
-    EXPECT_EQ(rig.servers[0]->logins(), 1u) << "the connection was used again";
+    EXPECT_EQ(rig.servers[0]->logins(), 1u) << "the connection was reused";
 }
 
 TEST(Deadline, FailsTheTransactionOfTheUnit) {
@@ -296,7 +296,8 @@
     EXPECT_EQ(other->ask(simple("SELECT 1")).rows.size(), 1u);
     const std::size_t held = rig.journal.sent;
     slow->resume();
-    ASSERT_TRUE(rig.until([&] { return slow->bytes() > held; })) << "it goes on when it is read again";
+    ASSERT_TRUE(rig.until([&] { return slow->bytes() > held; }))
+        << "the transfer continues when the client reads again";
     slow->close();
     ASSERT_TRUE(rig.until([&] { return rig.service->figures().connections == 1; }));
 }
@@ -397,20 +398,21 @@
         EXPECT_EQ(first->ask(simple("SELECT 1")).rows.size(), 1u);
         first->close();
         EXPECT_TRUE(rig.until([&] { return rig.service->figures().connections == 0; }));
-        EXPECT_FALSE(Client::logged_in(rig)->ended()) << "its place is free again";
+        EXPECT_FALSE(Client::logged_in(rig)->ended()) << "the closed client no longer counts";
     }
 }
 
 TEST(Limits, UnknownDatabaseOrUser) {
     Rig rig({"a"});
-    EXPECT_EQ(Client::logged_in(rig, {{"database", "none"}})->answers().size(),
-              0u);  // the first database option counts
+    // The first database option counts.
+    EXPECT_EQ(Client::logged_in(rig, {{"database", "none"}})->answers().size(), 0u);
     const auto client = Client::with_bytes(rig, wire::startup({{"user", "u"}, {"database", "none"}}));
     ASSERT_TRUE(client->wait_for_end());
     EXPECT_EQ(client->answers()[0].code, "3D000");
     const auto stranger = Client::with_bytes(rig, wire::startup({{"user", "nobody"}, {"database", "db"}}));
     ASSERT_TRUE(rig.until([&] { return !stranger->messages().empty(); }));
-    EXPECT_EQ(stranger->messages()[0].type, 'R') << "asked for a password that there is none of";
+    EXPECT_EQ(stranger->messages()[0].type, 'R')
+        << "an unknown user is asked for a password that can not match";
     EXPECT_EQ(wire::int32_at(stranger->messages()[0].body, 0), 10u);
 }
 
@@ -483,7 +485,7 @@
     // Another client must not see the changed value.
     const auto other = Client::logged_in(rig);
     (void)other->ask(simple("SELECT 1"));
-    EXPECT_EQ(with_text(rig, "set_config"), 1u) << "set back to what the other client knows";
+    EXPECT_EQ(with_text(rig, "set_config"), 1u) << "reset to the value that the other client has";
 }
 
 TEST(BadServer, RejectedLoginsAreNoServerFailure) {
@@ -500,8 +502,7 @@
     rig.servers[0]->release();
     ASSERT_TRUE(other->answered(1));
     EXPECT_EQ(other->answers()[0].rows.size(), 1u)
-        << "it waited for the one connection that there is: " << other->answers()[0].code
-        << other->answers()[0].text;
+        << "the unit waits for the only connection: " << other->answers()[0].code << other->answers()[0].text;
 }
 
 // --- Drains, roles, membership ---
@@ -526,9 +527,9 @@
     const std::size_t then = at_a();
     for (int i = 0; i < 40; ++i)
         EXPECT_EQ(clients[static_cast<std::size_t>(i % 8)]->ask(simple("SELECT 1")).rows.size(), 1u);
-    EXPECT_EQ(at_a(), then) << "nothing new on the drained server";
+    EXPECT_EQ(at_a(), then) << "the draining server got new units";
     ASSERT_TRUE(rig.until([&] { return rig.servers[0]->sessions() == 0; }))
-        << "its connections were given back";
+        << "the connections to the draining server were not closed";
 }
 
 TEST(Drain, UnitMovesIfTheDrainStartsWhileSettingsAreApplied) {
@@ -542,7 +543,7 @@
     rig.servers[0]->stall(false);
     ASSERT_TRUE(client->answered(1));
     EXPECT_EQ(client->answers()[0].tag, "INSERT 0 1") << client->answers()[0].code;
-    EXPECT_EQ(with_text(rig, "a: INSERT"), 0u) << "new work after the drain was told";
+    EXPECT_EQ(with_text(rig, "a: INSERT"), 0u) << "the draining server got a new unit";
     EXPECT_EQ(rig.journal.effects[1].committed, 1);
 }
 
@@ -604,7 +605,7 @@
     rig.settle();
     std::size_t served = 0;
     for (long i = 21; i <= 60 && served == 0; ++i) served += client->ask(simple(insert(i))).errors == 0;
-    EXPECT_EQ(served, 1u) << "the new primary is found";
+    EXPECT_EQ(served, 1u) << "the new primary was not found";
     for (const auto& [number, effect] : rig.journal.effects) EXPECT_LE(effect.executed, 1) << number;
 }
 
@@ -685,7 +686,7 @@
     (void)client->ask(simple("SELECT pg_advisory_xact_lock(1)"));
     client->close();
     rig.settle();
-    EXPECT_EQ(with_text(rig, "DISCARD ALL"), 4u) << "these leave nothing";
+    EXPECT_EQ(with_text(rig, "DISCARD ALL"), 4u) << "SET LOCAL and transaction locks leave no session state";
 }
 
 TEST(Pooling, SessionStateIsRejectedIfConfigured) {
@@ -697,9 +698,9 @@
     EXPECT_EQ(client->ask(unit("LISTEN x")).code, "0A000");
     EXPECT_EQ(client->ask(wire::extended(insert(1)) + wire::extended("LISTEN x") + wire::sync()).code,
               "0A000");
-    EXPECT_EQ(rig.journal.effects[1].committed, 0) << "an error ends its whole segment";
+    EXPECT_EQ(rig.journal.effects[1].committed, 0) << "an error aborts its whole segment";
     (void)client->ask(simple("BEGIN"));
-    EXPECT_EQ(client->ask(simple("LISTEN x")).status, 'E') << "as any error in a transaction";
+    EXPECT_EQ(client->ask(simple("LISTEN x")).status, 'E') << "the transaction has failed";
     EXPECT_EQ(client->ask(simple("ROLLBACK")).status, 'I');
     EXPECT_EQ(with_text(rig, "LISTEN"), 0u);
     const auto other = Client::with_bytes(
--- a/tests/pg/libpq_test.cpp
+++ b/tests/pg/libpq_test.cpp
@@ -270,7 +270,7 @@
     };
     EXPECT_EQ(execute(), "columns 1");
     ASSERT_TRUE(ask(second.get(), "ALTER TABLE t ADD COLUMN b int").ok);
-    EXPECT_EQ(execute(), "0A000") << "once, as without a pooler";
+    EXPECT_EQ(execute(), "0A000") << "an error once, as without a pooler";
     EXPECT_EQ(execute(), "columns 2");
 }
 
@@ -349,8 +349,8 @@
         if (outcome.ok) {
             outcome = ask(connection.get(), "COMMIT");
         } else if (outcome.code == "08007") {
-            outcome.code =
-                "08006";  // no COMMIT was sent: whatever happened to the rest, the number must be absent
+            // No COMMIT was sent: whatever happened to the rest, the number must be absent.
+            outcome.code = "08006";
         } else if (outcome.code.empty()) {
             outcome.code = "08006";
         }
@@ -388,12 +388,13 @@
             EXPECT_TRUE(present.insert(std::stol(row[0].value())).second) << "twice: " << *row[0];
     }
     for (const long number : ledger.committed)
-        EXPECT_TRUE(present.contains(number)) << "told committed and is not: " << number;
+        EXPECT_TRUE(present.contains(number)) << "reported as committed but is not: " << number;
     for (const long number : present)
         EXPECT_TRUE(ledger.committed.contains(number) || ledger.unknown.contains(number))
-            << "there, and told it is not: " << number;
-    std::cout << "told committed " << ledger.committed.size() << ", unknown " << ledger.unknown.size()
-              << ", not run or rolled back " << ledger.refused.size() << "; there " << present.size() << "\n";
+            << "committed but reported as not: " << number;
+    std::cout << "reported committed " << ledger.committed.size() << ", unknown " << ledger.unknown.size()
+              << ", not executed or rolled back " << ledger.refused.size() << "; there " << present.size()
+              << "\n";
 }
 
 TEST(Libpq, ServerKilledAndServerShutDownUnderLoad) {
--- a/tests/pg/line_test.cpp
+++ b/tests/pg/line_test.cpp
@@ -21,7 +21,7 @@
     EXPECT_EQ(queue.enqueue(3, 0, start), WaitQueue::EnqueueResult::offer);
     queue.on_placed();
     EXPECT_EQ(queue.enqueue(4, 1, start), WaitQueue::EnqueueResult::waits)
-        << "the other class has none served yet";
+        << "no unit of the other class has been served yet";
 }
 
 TEST(Line, UnplacedUnitReturnsToTheHead) {
@@ -38,7 +38,7 @@
     EXPECT_FALSE(queue.next()) << "nothing has ended";
     queue.on_ended(0);
     EXPECT_EQ(queue.next(), 2u) << "first come, first served";
-    EXPECT_FALSE(queue.may_requeue()) << "the only one: the module has its own way with it";
+    EXPECT_FALSE(queue.may_requeue()) << "the only unit: the policy module retries it itself";
 }
 
 TEST(Line, LengthAndWaitingTimeAreLimited) {
@@ -100,7 +100,8 @@
         }
         ASSERT_EQ(queue.waiting(), waiting);
         ASSERT_EQ(queue.in_policy(), in_policy.size());
-        ASSERT_TRUE(queue.waiting() == 0 || !in_policy.empty()) << "somebody waits for nobody";
+        ASSERT_TRUE(queue.waiting() == 0 || !in_policy.empty())
+            << "units wait although the policy module holds none";
     }
 }
 
--- a/tests/pg/pool_test.cpp
+++ b/tests/pg/pool_test.cpp
@@ -125,7 +125,7 @@
     (void)pull_all(pool);
     pool.request_connection(key(2), 1, "u", start);
     pool.on_login(pull_all(pool).at(0).connection, LoginResult::full, start);
-    EXPECT_TRUE(pull_all(pool).empty()) << "it waits for the connection that there is";
+    EXPECT_TRUE(pull_all(pool).empty()) << "the attempt waits for the existing connection";
     pool.on_gate();
     EXPECT_TRUE(pull_all(pool).empty());
     EXPECT_EQ(pool.next_time(), start + 1s);
@@ -163,7 +163,7 @@
                     case Kind::link:
                         ASSERT_EQ(waiting.erase(action->attempt), 1u);
                         ASSERT_EQ(idle.erase(action->connection), 1u)
-                            << "a connection that is not idle was given";
+                            << "a connection was assigned that is not idle";
                         busy.insert(action->connection);
                         break;
                     case Kind::close:
--- a/tests/pg/random_test.cpp
+++ b/tests/pg/random_test.cpp
@@ -142,7 +142,7 @@
             for (const long number : worker.units[i]) {
                 const int committed = rig_.journal.effects[number].committed;
                 if (answer.errors == 0) {
-                    EXPECT_EQ(committed, 1) << "told committed: " << number;
+                    EXPECT_EQ(committed, 1) << "reported as committed: " << number;
                 } else if (answer.code != "08007" && answer.code != "57014") {
                     EXPECT_EQ(committed, 0) << "told " << answer.code << ": " << number;
                 }
--- a/tests/pg/server_machine_test.cpp
+++ b/tests/pg/server_machine_test.cpp
@@ -50,7 +50,7 @@
     ScramSecret secret{"pw", {}, {}, 0};
     EXPECT_EQ(fails(error("FATAL", "57P03")), "57P03");
     EXPECT_EQ(fails(wire::message('R', wire::int32(3))), "28000");
-    EXPECT_EQ(fails(wire::message('R', wire::int32(5) + "salt")), "28000") << "no password is known";
+    EXPECT_EQ(fails(wire::message('R', wire::int32(5) + "salt")), "28000") << "no password is configured";
     EXPECT_EQ(fails(wire::message('R', wire::int32(10) + wire::text0("OTHER") + '\0'), &secret), "28000");
     EXPECT_EQ(fails(wire::message('Z', "I")), "08P01");
     EXPECT_EQ(fails(wire::message('D', "")), "08P01");
@@ -75,7 +75,7 @@
     options.tls = ServerOptions::Tls::prefer;
     ServerMachine prefers(options);
     prefers.receive("N" + welcome);
-    EXPECT_EQ(prefers.next()->kind, Kind::failed) << "more than the one byte came";
+    EXPECT_EQ(prefers.next()->kind, Kind::failed) << "bytes followed the one-byte answer";
     ServerMachine clear(options);
     clear.receive("N");
     EXPECT_FALSE(clear.next());
@@ -127,7 +127,7 @@
     machine.bind("", "s", wire::int16(0) + wire::int16(0) + wire::int16(0));
     machine.receive(error("ERROR", "42601"));
     EXPECT_EQ(machine.next()->kind, Kind::message);
-    EXPECT_FALSE(machine.is_prepared("s", statement)) << "it never was prepared";
+    EXPECT_FALSE(machine.is_prepared("s", statement)) << "the statement was not prepared";
     machine.execute(wire::text0("") + wire::int32(0));  // already in transit: the server discards it
     machine.sync();
     machine.receive(wire::message('Z', "E"));
@@ -168,7 +168,7 @@
     EXPECT_EQ(machine.next()->kind, Kind::local_answer);
     EXPECT_EQ(machine.next()->kind, Kind::ready);
     EXPECT_FALSE(machine.next());
-    EXPECT_EQ(statements.intern("SELECT 1", wire::int16(0)), statement) << "one for one text";
+    EXPECT_EQ(statements.intern("SELECT 1", wire::int16(0)), statement) << "equal texts share one statement";
 }
 
 TEST(ServerMachine, PreparedStatementsAreLimited) {
--- a/tests/pg/sql_test.cpp
+++ b/tests/pg/sql_test.cpp
@@ -12,8 +12,9 @@
 
 struct Expected {
     const char* text;
-    const char*
-        flags;  // c: may commit, b: begins, e: ends, l: leaves a failed transaction, i: copies in, p: pins, x: not parsed
+    // c: may commit, b: begins, e: ends, l: leaves a failed transaction, i: copies in, p: pins, x: not
+    // parsed
+    const char* flags;
 };
 
 std::string flags(const SqlFacts& facts) {
--- a/tests/pg/wire_test.cpp
+++ b/tests/pg/wire_test.cpp
@@ -79,7 +79,7 @@
         }
         const std::string error = decoder.error();
         decoder.feed(wire::sync());
-        EXPECT_FALSE(decoder.next()) << "it stays failed";
+        EXPECT_FALSE(decoder.next()) << "a failed decoder stays failed";
         return error;
     };
     EXPECT_EQ(error_of(Sender::client, "!"), "invalid message type '!'");
--- a/tests/tls/tls_test.cpp
+++ b/tests/tls/tls_test.cpp
@@ -66,7 +66,7 @@
     EXPECT_FALSE(fails(by_address, by_address, "127.0.0.1"));
     EXPECT_TRUE(fails(by_address, by_address, "127.0.0.2"));
     EXPECT_TRUE(fails(server_certificate, other, "server.example"));
-    EXPECT_FALSE(fails(server_certificate, other, "")) << "not asked to verify";
+    EXPECT_FALSE(fails(server_certificate, other, "")) << "verification was not requested";
 }
 
 TEST(Tls, SelectsCertificateByServerName) {
@@ -88,7 +88,7 @@
     };
     EXPECT_TRUE(connects(without_default, exact, "a.example"));
     EXPECT_TRUE(connects(without_default, wild, "c.w.example"));
-    EXPECT_FALSE(connects(without_default, any, "b.test")) << "nobody has it";
+    EXPECT_FALSE(connects(without_default, any, "b.test")) << "no certificate has this name";
     EXPECT_TRUE(connects(with_default, any, "b.test"));
     EXPECT_EQ(Context::fault_of(exact.certificate_text(), exact.key_text()), "");
     EXPECT_NE(Context::fault_of(exact.certificate_text(), wild.key_text()), "");
