--- a/src/pg/session.h
+++ b/src/pg/session.h
@@ -135,7 +135,7 @@
     bool over() const { return phase_ == Phase::over; }
     // Returns true between units, if no transaction is open and no lost transaction has to be ended.
     bool idle() const { return phase_ == Phase::idle && !unit_open_ && !transaction_lost_; }
-    // Returns true if any message of the open unit may be at the linked server.
+    // Returns true if anything of the open unit, its settings included, was sent to the linked server.
     bool uses_server() const {
         return server_ && unit_open_ && (phase_ != Phase::waiting || applying_settings_);
     }
