--- a/src/store/batch.h
+++ b/src/store/batch.h
@@ -1,4 +1,4 @@
-// Several changes that take effect together or not at all.
+// A group of changes that takes effect completely or not at all.
 #pragma once
 
 #include <cstddef>
@@ -9,11 +9,13 @@
 
 namespace flaxdoor::store {
 
-using SpaceId = std::uint32_t;  // of a named space, as Engine::space() tells it
+using SpaceId = std::uint32_t;  // identifies a named space; Engine::space() returns it
 
+// Limits of one batch, in bytes.
 inline constexpr std::size_t key_most = 1024;
 inline constexpr std::size_t value_most = 1024 * 1024;
-inline constexpr std::size_t batch_most = 4 * 1024 * 1024;  // bytes of keys and values
+inline constexpr std::size_t batch_most = 4 * 1024 * 1024;  // sum of all keys and values
+// Largest number of operations in one batch.
 inline constexpr std::size_t operations_most = 10'000;
 
 class Batch {
@@ -22,20 +24,20 @@
     struct Operation {
         Kind kind = Kind::put;
         SpaceId space = 0;
-        std::string key;           // or the stream's name
-        std::string value;         // of put and append
-        std::uint64_t before = 0;  // of trim: elements below this position go
+        std::string key;           // key, or name of the stream for append and trim
+        std::string value;         // for put and append
+        std::uint64_t before = 0;  // for trim: elements below this position are removed
     };
 
     void put(SpaceId space, std::string_view key, std::string_view value) {
         add({Kind::put, space, std::string(key), std::string(value), 0});
     }
     void erase(SpaceId space, std::string_view key) { add({Kind::erase, space, std::string(key), {}, 0}); }
-    // To the end of a stream; its position is told by Engine::Written.
+    // Appends an element to the end of a stream. Engine::Written::positions returns its position.
     void append(SpaceId space, std::string_view stream, std::string_view value) {
         add({Kind::append, space, std::string(stream), std::string(value), 0});
     }
-    // Positions are not given out again.
+    // Removes the elements below position `before`. Their positions are never reused.
     void trim(SpaceId space, std::string_view stream, std::uint64_t before) {
         add({Kind::trim, space, std::string(stream), {}, before});
     }
--- a/src/store/coding.cpp
+++ b/src/store/coding.cpp
@@ -24,7 +24,7 @@
     return value;
 }
 
-constexpr std::size_t digits = 10;
+constexpr std::size_t number_digits = 10;
 
 }  // namespace
 
@@ -68,39 +68,39 @@
         rest_ = {};
         return {};
     }
-    const auto taken = rest_.substr(0, n);
+    const auto field = rest_.substr(0, n);
     rest_.remove_prefix(n);
-    return taken;
+    return field;
 }
 
 std::uint64_t Reader::u64() {
-    const auto taken = bytes(8);
-    return good_ ? u64_at(taken, 0) : 0;
+    const auto field = bytes(8);
+    return good_ ? u64_at(field, 0) : 0;
 }
 std::uint32_t Reader::u32() {
-    const auto taken = bytes(4);
-    return good_ ? u32_at(taken, 0) : 0;
+    const auto field = bytes(4);
+    return good_ ? u32_at(field, 0) : 0;
 }
 std::uint8_t Reader::u8() {
-    const auto taken = bytes(1);
-    return good_ ? static_cast<std::uint8_t>(taken.front()) : 0;
+    const auto field = bytes(1);
+    return good_ ? static_cast<std::uint8_t>(field.front()) : 0;
 }
 
-std::string readable(std::string_view key) {
-    constexpr std::size_t most = 80;
+std::string printable_key(std::string_view key) {
+    constexpr std::size_t max_bytes = 80;
     Reader reader(key);
     std::string text = std::to_string(reader.varint()) + ":";
-    const std::string_view own = key.substr(key.size() - reader.left());
-    for (const char c : own.substr(0, most)) {
-        if (c >= ' ' && c <= '~' && c != '\\') {
-            text.push_back(c);
+    const std::string_view user_key = key.substr(key.size() - reader.left());
+    for (const char byte : user_key.substr(0, max_bytes)) {
+        if (byte >= ' ' && byte <= '~' && byte != '\\') {
+            text.push_back(byte);
         } else {
             char code[8];
-            std::snprintf(code, sizeof code, "\\x%02x", static_cast<unsigned char>(c));
+            std::snprintf(code, sizeof code, "\\x%02x", static_cast<unsigned char>(byte));
             text += code;
         }
     }
-    return own.size() > most ? text + "..." : text;
+    return user_key.size() > max_bytes ? text + "..." : text;
 }
 
 std::string name_of(std::uint64_t number, std::string_view kind) {
@@ -109,12 +109,12 @@
     return std::string(text).append(kind);
 }
 
-std::optional<FileName> parse_name(std::string_view name) {
-    FileName parsed;
-    if (name.size() < digits + 2 || name[digits] != '.') return std::nullopt;
-    const auto [end, error] = std::from_chars(name.data(), name.data() + digits, parsed.number);
-    if (error != std::errc{} || end != name.data() + digits) return std::nullopt;
-    parsed.kind = name.substr(digits + 1);
+std::optional<ParsedFileName> parse_file_name(std::string_view name) {
+    ParsedFileName parsed;
+    if (name.size() < number_digits + 2 || name[number_digits] != '.') return std::nullopt;
+    const auto [end, error] = std::from_chars(name.data(), name.data() + number_digits, parsed.number);
+    if (error != std::errc{} || end != name.data() + number_digits) return std::nullopt;
+    parsed.kind = name.substr(number_digits + 1);
     return parsed;
 }
 
--- a/src/store/coding.h
+++ b/src/store/coding.h
@@ -1,5 +1,5 @@
-// Numbers as bytes, and the hash: docs/store_format.md. Functions without state; readers never read past
-// their text.
+// Encoding of numbers and strings as bytes, and the hash function; docs/store_format.md describes the
+// encoding. Functions without state. Reader never reads past the end of its input.
 #pragma once
 
 #include <cstdint>
@@ -12,15 +12,16 @@
 void put_u32(std::string& out, std::uint32_t value);
 void put_u64(std::string& out, std::uint64_t value);
 void put_varint(std::string& out, std::uint64_t value);
-void put_text(std::string& out, std::string_view text);  // its length as a varint, and itself
+void put_text(std::string& out, std::string_view text);  // the length as a varint, then the bytes
 
-[[nodiscard]] std::uint32_t u32_at(std::string_view bytes,
-                                   std::size_t at);  // the caller knows that it is there
+// Decode the number at offset `at`. Requires that `bytes` holds it completely.
+[[nodiscard]] std::uint32_t u32_at(std::string_view bytes, std::size_t at);
 [[nodiscard]] std::uint64_t u64_at(std::string_view bytes, std::size_t at);
 
 [[nodiscard]] std::uint64_t hash_of(std::string_view bytes, std::uint64_t seed);
 
-// Takes from the front of a text. Once something was not there, all that follows is missing too.
+// Decodes values from the front of a byte string. After a value was missing or malformed, good() is false
+// and all later reads return zero or empty values.
 class Reader {
 public:
     explicit Reader(std::string_view bytes) : rest_(bytes) {}
@@ -40,15 +41,16 @@
     bool good_ = true;
 };
 
-// A key with its space, for people: "3:name", what is not printable as \xHH.
-[[nodiscard]] std::string readable(std::string_view key);
+// Formats an internal key for people as "space:key", e.g. "3:name". Bytes that are not printable appear as
+// \xHH.
+[[nodiscard]] std::string printable_key(std::string_view key);
 
-// Names of files: a number of ten digits and a kind.
+// File names consist of a number of ten digits and a kind, e.g. "0000000007.log".
 [[nodiscard]] std::string name_of(std::uint64_t number, std::string_view kind);
-struct FileName {
+struct ParsedFileName {
     std::uint64_t number = 0;
     std::string kind;
 };
-[[nodiscard]] std::optional<FileName> parse_name(std::string_view name);
+[[nodiscard]] std::optional<ParsedFileName> parse_file_name(std::string_view name);
 
 }  // namespace flaxdoor::store
--- a/src/store/cursor.h
+++ b/src/store/cursor.h
@@ -1,4 +1,4 @@
-// Entries in order of key, and of one key the newest first.
+// Iteration over entries in ascending order of key; entries of one key come newest first.
 #pragma once
 
 #include <cstdint>
@@ -13,71 +13,72 @@
 class Cursor {
 public:
     virtual ~Cursor() = default;
-    // To the first entry whose key is not below this one.
+    // Moves to the first entry whose key is not less than `key`.
     virtual Result seek(std::string_view key) = 0;
     virtual Result next() = 0;
     [[nodiscard]] virtual bool valid() const = 0;
-    // Of the entry where it stands; they hold until it moves.
+    // The current entry. Requires valid(). The returned views are valid until the cursor moves.
     [[nodiscard]] virtual std::string_view key() const = 0;
     [[nodiscard]] virtual std::uint64_t sequence() const = 0;
     [[nodiscard]] virtual bool is_put() const = 0;
     [[nodiscard]] virtual std::string_view value() const = 0;
 };
 
-// All entries of several, in one order. Few are expected: the first is looked for among all.
+// Merges the entries of several cursors into one order. Each move compares all inputs linearly, as there are
+// few.
 class MergeCursor final : public Cursor {
 public:
     explicit MergeCursor(std::vector<std::unique_ptr<Cursor>> cursors) {
-        for (auto& cursor : cursors) parts_.push_back({std::move(cursor)});
+        for (auto& cursor : cursors) inputs_.push_back({std::move(cursor)});
     }
     Result seek(std::string_view key) override {
-        for (Part& part : parts_) {
-            if (auto result = part.cursor->seek(key); !result) return result;
-            part.look();
+        for (Input& input : inputs_) {
+            if (auto result = input.cursor->seek(key); !result) return result;
+            input.refresh();
         }
-        choose();
+        select_smallest();
         return Result::ok();
     }
     Result next() override {
-        if (auto result = first_->cursor->next(); !result) return result;
-        first_->look();
-        choose();
+        if (auto result = smallest_->cursor->next(); !result) return result;
+        smallest_->refresh();
+        select_smallest();
         return Result::ok();
     }
-    bool valid() const override { return first_ != nullptr; }
-    std::string_view key() const override { return first_->key; }
-    std::uint64_t sequence() const override { return first_->sequence; }
-    bool is_put() const override { return first_->cursor->is_put(); }
-    std::string_view value() const override { return first_->cursor->value(); }
+    bool valid() const override { return smallest_ != nullptr; }
+    std::string_view key() const override { return smallest_->key; }
+    std::uint64_t sequence() const override { return smallest_->sequence; }
+    bool is_put() const override { return smallest_->cursor->is_put(); }
+    std::string_view value() const override { return smallest_->cursor->value(); }
 
 private:
-    // Where a part stands is asked once, not for each step of the others.
-    struct Part {
+    // An input with its cached position, so that a move of one input does not query the others.
+    struct Input {
         std::unique_ptr<Cursor> cursor;
         bool valid = false;
         std::string_view key = {};
         std::uint64_t sequence = 0;
-        void look() {
+        void refresh() {
             valid = cursor->valid();
             if (!valid) return;
             key = cursor->key();
             sequence = cursor->sequence();
         }
     };
-    void choose() {
-        first_ = nullptr;
-        for (Part& part : parts_) {
-            if (!part.valid) continue;
-            if (!first_) {
-                first_ = &part;
+    void select_smallest() {
+        smallest_ = nullptr;
+        for (Input& input : inputs_) {
+            if (!input.valid) continue;
+            if (!smallest_) {
+                smallest_ = &input;
                 continue;
             }
-            const int order = part.key.compare(first_->key);
-            if (order < 0 || (order == 0 && part.sequence > first_->sequence)) first_ = &part;
+            const int order = input.key.compare(smallest_->key);
+            if (order < 0 || (order == 0 && input.sequence > smallest_->sequence)) smallest_ = &input;
         }
     }
-    std::vector<Part> parts_;
-    Part* first_ = nullptr;
+    std::vector<Input> inputs_;
+    Input* smallest_ = nullptr;
 };
 
 }  // namespace flaxdoor::store
--- a/src/store/engine.h
+++ b/src/store/engine.h
@@ -1,9 +1,10 @@
-// The store's engine: log, memory table, runs, recovery, merging in bounded steps. A machine without threads
-// and without a clock: whoever owns it calls, and waits for the disk in the call. store.h puts it on a thread
-// of its own.
+// The storage engine: log, memory table, sorted runs, recovery, and merging in bounded steps (a
+// log-structured merge tree). It has no thread and no clock: its owner calls it, and calls wait for the
+// disk. store.h runs it on a thread of its own.
 //
-// Threading: one thread at a time.   Ownership: the files are borrowed and outlive it.
-// Errors:    status.h. After `unknown` nothing more is written until a new opening; reads go on.
+// Threading: one thread at a time.   Ownership: the files are borrowed and must outlive the engine.
+// Errors:    status.h. After `unknown` the engine refuses all writes until it is opened again; reads
+//            continue to work.
 // Bounds:    batch.h, EngineOptions; docs/design/store.md.
 #pragma once
 
@@ -29,37 +30,45 @@
 
 namespace flaxdoor::store {
 
+// Sizes are in bytes.
 struct EngineOptions {
+    // Size at which the memory table is written to a run.
     std::size_t memory_table = 4 * 1024 * 1024;
-    std::size_t log = 16 * 1024 * 1024;  // of overwrites a log takes more room than the table
+    // Size at which the memory table is written to a run, whatever its own size. With many overwrites the
+    // log grows faster than the table.
+    std::size_t log = 16 * 1024 * 1024;
+    // Capacity of the block cache.
     std::size_t cache = 8 * 1024 * 1024;
-    std::size_t run_bytes = 4 * 1024 * 1024;  // of one run below the first level
-    std::size_t step_bytes = 1024 * 1024;     // read or written by one step
-    std::size_t merge_at = 4;                 // runs of the first level
-    std::size_t crowded_at = 12;              // runs of the first level: writes wait for steps
-    std::uint64_t level_bytes =
-        40 * 1024 * 1024;              // of the second level; each further one holds ten times as much
-    bool make = true;                  // a folder without a store becomes one
-    std::optional<Identity> expected;  // refused when the store has another one
+    std::size_t run_bytes = 4 * 1024 * 1024;  // size of one run below level 0
+    std::size_t step_bytes = 1024 * 1024;     // bytes read or written by one background step
+    std::size_t merge_at = 4;                 // runs of level 0 that start a merge
+    std::size_t stall_at = 12;  // runs of level 0 at which writes should wait for background work
+    // Capacity of level 1. Each further level holds ten times as much.
+    std::uint64_t level_bytes = 40 * 1024 * 1024;
+    bool make = true;                  // creates a store in a folder without one
+    std::optional<Identity> expected;  // if set, a store with another identity is refused
 };
 
-inline constexpr std::size_t spaces_most = 1000;
+// Largest number of spaces in a store.
+inline constexpr std::size_t max_spaces = 1000;
 
 enum class SpaceKind : std::uint8_t { keys = 1, streams = 2 };
 
+// What opening a store found.
 struct Opening {
-    bool made = false;             // there was none
-    std::uint64_t records = 0;     // read from the logs
-    std::uint64_t dropped = 0;     // bytes of a tail that a cut left
-    std::string dropped_in;        // the file's name
-    std::uint64_t dropped_at = 0;  // offset
+    bool made = false;             // the folder held no store; a new one was created
+    std::uint64_t records = 0;     // log records that were replayed
+    std::uint64_t dropped = 0;     // bytes of an incomplete write at the end of the log
+    std::string dropped_in;        // name of the file that holds them
+    std::uint64_t dropped_at = 0;  // their offset in that file
 };
 
+// Counters since the engine was opened, and current sizes.
 struct EngineFigures {
-    std::uint64_t sequence = 0, synced = 0;
+    std::uint64_t sequence = 0, synced = 0;  // last sequence that was written; last one known to be durable
     std::uint64_t batches = 0, operations = 0, syncs = 0;
-    std::uint64_t user_bytes = 0;     // of keys and values written
-    std::uint64_t written_bytes = 0;  // to files, all in all
+    std::uint64_t user_bytes = 0;     // bytes of keys and values written by batches
+    std::uint64_t written_bytes = 0;  // bytes written to all files
     std::uint64_t steps = 0, flushes = 0, merges = 0;
     std::uint64_t runs = 0, run_bytes = 0, memory_bytes = 0;
     std::vector<std::uint64_t> level_bytes;
@@ -67,72 +76,80 @@
 
 class Engine {
 public:
-    // `chance` gives random numbers for salts and a new store's identity.
+    // Returns random numbers, used for salts and for the identity of a new store.
     using Chance = std::function<std::uint64_t()>;
     struct Opened {
         std::unique_ptr<Engine> engine;  // null unless the result is ok
         Result result;
         Opening opening;
     };
-    // Nothing is served, and nothing lost, when it fails: retry and refused are for calls on files (and for
-    // what is no store, another's, newer, or in use); corrupt is damage, and then the folder is as it was.
-    [[nodiscard]] static Opened open(Files& files, EngineOptions options, Chance chance);
+    // Opens the store. On failure there is no engine and no stored data is lost. `retry` and `refused`
+    // report failed file operations; `refused` also reports a folder that holds no store, another store or a
+    // newer format version, or that is in use. `corrupt` reports damage and leaves the folder unchanged.
+    [[nodiscard]] static Opened open(Files& files, EngineOptions options, Chance random);
     ~Engine();
 
-    // The space of this name; it is made when it is missing and `make` says so (a durable write of its own).
-    Result space(std::string_view name, SpaceKind kind, bool make, SpaceId& id);
+    // Finds a space by name. Creates it, with a durable write of its own, if it is missing and `create` is
+    // set.
+    Result space(std::string_view name, SpaceKind kind, bool create, SpaceId& id);
 
     struct Written {
         Result result;
-        // When it is ok, or unknown and there all the same:
-        std::uint64_t sequence = 0;            // of the batch's last operation
-        std::vector<std::uint64_t> positions;  // of its appends, in order
+        // Set if the result is ok, or if it is `unknown` but the batch may be stored:
+        std::uint64_t sequence = 0;            // sequence of the last operation
+        std::vector<std::uint64_t> positions;  // positions of the appended elements, in order
     };
-    // Writes batches one after the other, as one append, and syncs once for all when `durable`: what came
-    // before is durable then, too. Each batch has a result of its own: one that is refused does not hold up
-    // the others. retry: nothing of it is there, or ever will be. unknown: nothing more is written until a
-    // new opening.
+    // Writes batches in order with one append to the log. If `durable`, syncs once for all of them, which
+    // also makes all earlier writes durable. Each batch has its own result; a refused batch does not affect
+    // the others. After `retry` the batch is not stored and never will be. After `unknown` the engine
+    // refuses writes until it is opened again.
     [[nodiscard]] std::vector<Written> write(std::span<const Batch* const> batches, bool durable);
-    // Makes durable what was written without.
+    // Makes all earlier writes durable.
     Result sync();
-    bool synced() const;  // nothing waits for one
+    bool synced() const;  // whether all writes are durable
 
-    // Snapshots: what has been written by now. To be released.
+    // Returns a snapshot of all writes up to now. The caller must release it.
     std::uint64_t take_snapshot();
     void release_snapshot(std::uint64_t snapshot);
 
+    // Reads the value of a key, as of `snapshot` if given.
     Result get(SpaceId space, std::string_view key, std::optional<std::string>& value,
                std::optional<std::uint64_t> snapshot = std::nullopt);
     struct Item {
         std::string key, value;
     };
-    // Up to `most` items of a space with from <= key < to (an empty `to`: to the end), in order; no more than
-    // 10,000, and fewer once they have 4 MiB: all have been seen when a scan from behind the last gives none.
-    Result scan(SpaceId space, std::string_view from, std::string_view to, std::size_t most,
+    // Reads items with from <= key < to in key order; an empty `to` means the end of the space. Returns at
+    // most `max_items` and at most 10,000 items, and stops early once they amount to 4 MiB. A caller has
+    // seen all items when a scan that starts after the last key returns none.
+    Result scan(SpaceId space, std::string_view from, std::string_view to, std::size_t max_items,
                 std::vector<Item>& items, std::optional<std::uint64_t> snapshot = std::nullopt);
     struct Element {
         std::uint64_t position = 0;
         std::string value;
     };
-    Result read_stream(SpaceId space, std::string_view stream, std::uint64_t from, std::size_t most,
+    // Reads up to `max_elements` elements of a stream from position `from` on, under the same limits as
+    // scan().
+    Result read_stream(SpaceId space, std::string_view stream, std::uint64_t from, std::size_t max_elements,
                        std::vector<Element>& elements, std::optional<std::uint64_t> snapshot = std::nullopt);
+    // Returns the position that the next append to the stream will get.
     Result next_position(SpaceId space, std::string_view stream, std::uint64_t& position);
 
-    // Whether there is background work, and whether writes should wait for it: when they don't, they are
-    // refused (retry) at twice the bounds of table and log.
+    // Whether background work is pending, and whether writes should wait for it. If writers do not wait,
+    // writes are rejected with `retry` at twice the limits of memory table and log.
     bool has_work() const;
     bool crowded() const;
-    // One bounded step of it. `retry` (a full disk, say) leaves all as it was.
+    // Does one bounded step of background work. `retry`, for example on a full disk, leaves everything
+    // unchanged.
     Result step();
-    // Merges everything into as few runs as can be, step by step: starts it; step() does it.
+    // Requests a merge into as few runs as possible, which step() carries out.
     void compact_all();
 
-    // Reads all files that count and checks every hash.
+    // Reads all current files and checks every hash. Calls `progress` with one line per file.
     Result verify(const std::function<void(const std::string&)>& progress);
 
     const Identity& identity() const;
     EngineFigures figures() const;
-    // Nothing more is written until a new opening, and why.
+    // The error after which the engine refuses writes until it is opened again, if there is one.
     std::optional<Result> broken() const;
 
 private:
@@ -141,11 +158,11 @@
     std::unique_ptr<Impl> impl_;
 };
 
-// What can be read of a damaged store is written into a new one of the same identity (`to` must be empty of
-// files); what is lost is told line by line, and in the end what is there. `from` stays as it is. Refused
-// when `from` or `to` is in use, or of a newer version; retry when `to` can't be written, which is then no
-// store.
-Result salvage(Files& from, Files& to, Engine::Chance chance,
-               const std::function<void(const std::string&)>& told);
+// Copies what can be read of a damaged store into a new store of the same identity. `to` must hold no files.
+// Calls `report` with one line for each loss, and at the end with a line that states how much was copied.
+// `from` is not changed. Returns `refused` if `from` or `to` is in use or `from` is of a newer version, and
+// `retry` if `to` cannot be written; `to` is then no store.
+Result salvage(Files& from, Files& to, Engine::Chance random,
+               const std::function<void(const std::string&)>& report);
 
 }  // namespace flaxdoor::store
--- a/src/store/identity.cpp
+++ b/src/store/identity.cpp
@@ -23,22 +23,22 @@
     return out;
 }
 
-std::optional<Identity> decode_identity(std::string_view bytes, bool& newer) {
-    newer = false;
+std::optional<Identity> decode_identity(std::string_view bytes, bool& newer_version) {
+    newer_version = false;
     if (bytes.size() != identity_bytes || bytes.substr(0, identity_magic.size()) != identity_magic)
         return std::nullopt;
     if (hash_of(bytes.substr(0, 32), 0) != u64_at(bytes, 32)) return std::nullopt;
-    newer = u32_at(bytes, 8) > version;
-    if (!newer && (u32_at(bytes, 8) != version || u32_at(bytes, 12) != 0)) return std::nullopt;
+    newer_version = u32_at(bytes, 8) > version;
+    if (!newer_version && (u32_at(bytes, 8) != version || u32_at(bytes, 12) != 0)) return std::nullopt;
     return identity_at(bytes, 16);
 }
 
 std::string text_of(const Identity& identity) {
     std::string text;
     for (const std::uint8_t byte : identity) {
-        char digits[3];
-        std::snprintf(digits, sizeof digits, "%02x", byte);
-        text.append(digits);
+        char hex[3];
+        std::snprintf(hex, sizeof hex, "%02x", byte);
+        text.append(hex);
     }
     return text;
 }
--- a/src/store/log.cpp
+++ b/src/store/log.cpp
@@ -79,9 +79,9 @@
 LogReader::LogReader(std::string_view bytes, const Identity& identity, std::uint64_t number) : bytes_(bytes) {
     if (bytes.size() < log_header_bytes || bytes.substr(0, magic.size()) != magic) return;
     if (hash_of(bytes.substr(0, 56), 0) != u64_at(bytes, 56)) return;
-    newer_ = u32_at(bytes, 8) > version;
-    if (!newer_ && (u32_at(bytes, 8) != version || u32_at(bytes, 12) != 0)) return;
-    // A former file's, on the same blocks.
+    newer_version_ = u32_at(bytes, 8) > version;
+    if (!newer_version_ && (u32_at(bytes, 8) != version || u32_at(bytes, 12) != 0)) return;
+    // Disk blocks that are reused may hold the header of a former file.
     if (identity_at(bytes, 16) != identity || u64_at(bytes, 32) != number) return;
     salt_ = u64_at(bytes, 40);
     synced_ = u64_at(bytes, 48);
@@ -92,7 +92,8 @@
 std::uint64_t LogReader::stated_sequence(std::uint64_t offset) const { return u64_at(bytes_, offset + 16); }
 
 std::optional<Record> LogReader::at(std::uint64_t offset) const {
-    if (!has_header_ || newer_ || offset < log_header_bytes || offset > bytes_.size()) return std::nullopt;
+    if (!has_header_ || newer_version_ || offset < log_header_bytes || offset > bytes_.size())
+        return std::nullopt;
     const std::string_view rest = bytes_.substr(offset);
     if (rest.size() < record_header_bytes) return std::nullopt;
     Record record;
@@ -101,16 +102,17 @@
     record.operations = u32_at(rest, 12);
     record.first_sequence = u64_at(rest, 16);
     record.synced = u64_at(rest, 24);
-    if (length > rest.size() - record_header_bytes || length > record_most || record.operations == 0)
+    if (length > rest.size() - record_header_bytes || length > max_record_bytes || record.operations == 0)
         return std::nullopt;
-    const std::size_t whole = record_header_bytes + length;
-    if (hash_of(rest.substr(8, whole - 8), salt_) != u64_at(rest, 0)) return std::nullopt;
+    const std::size_t record_bytes = record_header_bytes + length;
+    if (hash_of(rest.substr(8, record_bytes - 8), salt_) != u64_at(rest, 0)) return std::nullopt;
     record.payload = rest.substr(record_header_bytes, length);
-    const std::size_t padding = (record_alignment - whole % record_alignment) % record_alignment;
-    const std::string_view zeros = rest.substr(whole, std::min(padding, rest.size() - whole));
-    if (zeros.size() != padding || zeros.find_first_not_of('\0') != std::string_view::npos)
+    const std::size_t padding = (record_alignment - record_bytes % record_alignment) % record_alignment;
+    const std::string_view padding_bytes =
+        rest.substr(record_bytes, std::min(padding, rest.size() - record_bytes));
+    if (padding_bytes.size() != padding || padding_bytes.find_first_not_of('\0') != std::string_view::npos)
         return std::nullopt;
-    record.end = offset + whole + padding;
+    record.end = offset + record_bytes + padding;
     return record;
 }
 
--- a/src/store/manifest.cpp
+++ b/src/store/manifest.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::string_view manifest_magic = "flaxsman";
 constexpr std::uint32_t version = 1;
-constexpr std::size_t least_bytes = 80;
+constexpr std::size_t min_bytes = 80;
 
 }  // namespace
 
@@ -22,7 +22,7 @@
     put_u64(out, manifest.sequence);
     put_u64(out, manifest.synced);
     put_u64(out, manifest.next_file);
-    for (const RunFacts& run : manifest.runs) {
+    for (const RunMetadata& run : manifest.runs) {
         put_u64(out, run.number);
         out.push_back(static_cast<char>(run.level));
         put_u64(out, run.size);
@@ -35,26 +35,25 @@
 
 Decoded decode_manifest(std::string_view bytes) {
     Decoded decoded;
-    if (bytes.size() < least_bytes || bytes.substr(0, manifest_magic.size()) != manifest_magic)
-        return decoded;
+    if (bytes.size() < min_bytes || bytes.substr(0, manifest_magic.size()) != manifest_magic) return decoded;
     const std::string_view body = bytes.substr(0, bytes.size() - 8);
     if (hash_of(body, 0) != u64_at(bytes, body.size())) return decoded;
     if (u32_at(bytes, 8) > version) {
-        decoded.newer = true;
+        decoded.newer_version = true;
         return decoded;
     }
     if (u32_at(bytes, 8) != version) return decoded;
     Manifest manifest;
     Reader reader(body.substr(manifest_magic.size() + 4));
-    const std::uint32_t runs = reader.u32();
+    const std::uint32_t run_count = reader.u32();
     manifest.identity = identity_at(reader.bytes(16), 0);
     manifest.number = reader.u64();
     manifest.log = reader.u64();
     manifest.sequence = reader.u64();
     manifest.synced = reader.u64();
     manifest.next_file = reader.u64();
-    for (std::uint32_t i = 0; i < runs && reader.good(); ++i) {
-        RunFacts run;
+    for (std::uint32_t i = 0; i < run_count && reader.good(); ++i) {
+        RunMetadata run;
         run.number = reader.u64();
         run.level = reader.u8();
         run.size = reader.u64();
--- a/src/store/posix_files.cpp
+++ b/src/store/posix_files.cpp
@@ -13,6 +13,7 @@
 
 namespace {
 
+// Owns a file descriptor.
 class Descriptor {
 public:
     explicit Descriptor(int fd = -1) : fd_(fd) {}
@@ -36,53 +37,55 @@
 
     int append(std::string_view bytes) override {
         while (!bytes.empty()) {
-            const auto n = ::pwrite(fd_.get(), bytes.data(), bytes.size(), static_cast<off_t>(end_));
-            if (n < 0 && errno == EINTR) continue;
-            if (n < 0) return errno;
-            if (n == 0) return EIO;
-            end_ += static_cast<std::uint64_t>(n);
-            bytes.remove_prefix(static_cast<std::size_t>(n));
+            const auto count =
+                ::pwrite(fd_.get(), bytes.data(), bytes.size(), static_cast<off_t>(end_offset_));
+            if (count < 0 && errno == EINTR) continue;
+            if (count < 0) return errno;
+            if (count == 0) return EIO;
+            end_offset_ += static_cast<std::uint64_t>(count);
+            bytes.remove_prefix(static_cast<std::size_t>(count));
         }
         return 0;
     }
 
     int read(std::uint64_t offset, std::size_t n, std::string& out) override {
         out.resize(n);
-        std::size_t got = 0;
-        while (got < n) {
-            const auto r = ::pread(fd_.get(), out.data() + got, n - got, static_cast<off_t>(offset + got));
-            if (r < 0 && errno == EINTR) continue;
-            if (r < 0) return errno;
-            if (r == 0) break;
-            got += static_cast<std::size_t>(r);
+        std::size_t total = 0;
+        while (total < n) {
+            const auto count =
+                ::pread(fd_.get(), out.data() + total, n - total, static_cast<off_t>(offset + total));
+            if (count < 0 && errno == EINTR) continue;
+            if (count < 0) return errno;
+            if (count == 0) break;
+            total += static_cast<std::size_t>(count);
         }
-        out.resize(got);
+        out.resize(total);
         return 0;
     }
 
     int truncate(std::uint64_t size) override {
         if (::ftruncate(fd_.get(), static_cast<off_t>(size)) != 0) return errno;
-        end_ = size;
+        end_offset_ = size;
         return 0;
     }
 
     int sync() override { return ::fdatasync(fd_.get()) == 0 ? 0 : errno; }
 
     int size(std::uint64_t& size) override {
-        struct stat told {};
-        if (::fstat(fd_.get(), &told) != 0) return errno;
-        size = static_cast<std::uint64_t>(told.st_size);
+        struct stat status {};
+        if (::fstat(fd_.get(), &status) != 0) return errno;
+        size = static_cast<std::uint64_t>(status.st_size);
         return 0;
     }
 
 private:
     Descriptor fd_;
-    std::uint64_t end_ = 0;
+    std::uint64_t end_offset_ = 0;
 };
 
-class Folder final : public Files {
+class PosixFolder final : public Files {
 public:
-    Folder(std::string path, Descriptor fd) : path_(std::move(path)), fd_(std::move(fd)) {}
+    PosixFolder(std::string path, Descriptor fd) : path_(std::move(path)), fd_(std::move(fd)) {}
 
     int create(const std::string& name, std::unique_ptr<File>& file) override {
         Descriptor fd(::openat(fd_.get(), name.c_str(), O_RDWR | O_CREAT | O_EXCL | O_CLOEXEC, 0600));
@@ -91,13 +94,13 @@
         return 0;
     }
     int open(const std::string& name, std::unique_ptr<File>& file) override {
-        // What is no file (a pipe without a writer) must not hold whoever opens it.
+        // O_NONBLOCK: opening a pipe without a writer must not block the caller.
         Descriptor fd(::openat(fd_.get(), name.c_str(), O_RDONLY | O_NONBLOCK | O_CLOEXEC));
         if (fd.get() < 0) return errno;
-        struct stat told {};
-        if (::fstat(fd.get(), &told) != 0) return errno;
-        if (S_ISDIR(told.st_mode)) return EISDIR;
-        if (!S_ISREG(told.st_mode)) return EINVAL;
+        struct stat status {};
+        if (::fstat(fd.get(), &status) != 0) return errno;
+        if (S_ISDIR(status.st_mode)) return EISDIR;
+        if (!S_ISREG(status.st_mode)) return EINVAL;
         file = std::make_unique<PosixFile>(std::move(fd));
         return 0;
     }
@@ -146,16 +149,17 @@
 
 }  // namespace
 
-int open_folder(const std::string& path, bool make, std::unique_ptr<Files>& files) {
-    if (make) {
-        const bool made = ::mkdir(path.c_str(), 0700) == 0;
-        if (!made && errno != EEXIST) return errno;
-        // The folder's own name is its parent's to keep. One that was there may not be ours to open.
-        if (const int error = sync_parent(path); error != 0 && made) return error;
+int open_folder(const std::string& path, bool create, std::unique_ptr<Files>& files) {
+    if (create) {
+        const bool created = ::mkdir(path.c_str(), 0700) == 0;
+        if (!created && errno != EEXIST) return errno;
+        // The name of a new folder must be durable in its parent. The parent of an existing folder may be
+        // unreadable for this process, so an error counts only for a new folder.
+        if (const int error = sync_parent(path); error != 0 && created) return error;
     }
     Descriptor fd(::open(path.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
     if (fd.get() < 0) return errno;
-    files = std::make_unique<Folder>(path, std::move(fd));
+    files = std::make_unique<PosixFolder>(path, std::move(fd));
     return 0;
 }
 
--- a/src/store/recovery.cpp
+++ b/src/store/recovery.cpp
@@ -6,125 +6,129 @@
 
 namespace {
 
-constexpr std::uint64_t least_operation = 3;  // bytes: kind, length, one byte of a key
-constexpr std::uint64_t looked_at_least = 64 * 1024 * 1024;
+// Bytes of the shortest operation: kind, key length and a key of one byte
+constexpr std::uint64_t min_operation_bytes = 3;
+// Lower limit of the bytes that are hashed while scanning.
+constexpr std::uint64_t min_hash_budget = 64 * 1024 * 1024;
 
-// Looks behind a bad record for the greatest sequence that a readable one states as synced. Anything may
-// stand there: what could be no record of these logs is not hashed, and there is a bound on what is.
-class Search {
+// Scans the bytes after an unreadable record for the greatest sequence that a readable record states as
+// synced. These bytes may be arbitrary. Bytes whose sequence or length is impossible for these logs are not
+// hashed, and the number of hashed bytes is bounded.
+class DurableSequenceScan {
 public:
-    Search(std::uint64_t sequence, std::uint64_t log_bytes)
-        : least_(sequence + 1),
-          most_(sequence + log_bytes / least_operation),
-          budget_(std::max(looked_at_least, 4 * log_bytes)) {}
+    DurableSequenceScan(std::uint64_t sequence, std::uint64_t log_bytes)
+        : min_sequence_(sequence + 1),
+          max_sequence_(sequence + log_bytes / min_operation_bytes),
+          hash_budget_(std::max(min_hash_budget, 4 * log_bytes)) {}
 
-    void look(const LogReader& reader, std::uint64_t from) {
+    void scan(const LogReader& reader, std::uint64_t from) {
         if (!reader.has_header()) return;
-        std::uint64_t at = std::max<std::uint64_t>(from, log_header_bytes);
-        at = (at + record_alignment - 1) / record_alignment * record_alignment;
-        while (!spent_ && at + record_header_bytes <= reader.size()) {
-            const std::uint64_t sequence = reader.stated_sequence(at);
-            const std::uint64_t length = reader.stated_length(at);
-            std::uint64_t next = at + record_alignment;
-            if (sequence >= least_ && sequence <= most_ &&
-                length <= reader.size() - at - record_header_bytes) {
-                spent_ = length > budget_;
-                if (spent_) return;
-                budget_ -= length;
-                if (const auto record = reader.at(at)) {
-                    vouched_ = std::max(vouched_, record->synced);
+        std::uint64_t offset = std::max<std::uint64_t>(from, log_header_bytes);
+        offset = (offset + record_alignment - 1) / record_alignment * record_alignment;
+        while (!exhausted_ && offset + record_header_bytes <= reader.size()) {
+            const std::uint64_t sequence = reader.stated_sequence(offset);
+            const std::uint64_t length = reader.stated_length(offset);
+            std::uint64_t next = offset + record_alignment;
+            if (sequence >= min_sequence_ && sequence <= max_sequence_ &&
+                length <= reader.size() - offset - record_header_bytes) {
+                exhausted_ = length > hash_budget_;
+                if (exhausted_) return;
+                hash_budget_ -= length;
+                if (const auto record = reader.at(offset)) {
+                    durable_sequence_ = std::max(durable_sequence_, record->synced);
                     next = record->end;
                 }
             }
-            at = next;
+            offset = next;
         }
     }
 
-    std::uint64_t vouched() const { return vouched_; }
-    bool spent() const { return spent_; }
+    std::uint64_t durable_sequence() const { return durable_sequence_; }
+    bool exhausted() const { return exhausted_; }
 
 private:
-    const std::uint64_t least_, most_;
-    std::uint64_t budget_;
-    std::uint64_t vouched_ = 0;
-    bool spent_ = false;
+    const std::uint64_t min_sequence_, max_sequence_;
+    std::uint64_t hash_budget_;
+    std::uint64_t durable_sequence_ = 0;
+    bool exhausted_ = false;
 };
 
 }  // namespace
 
-Recovered recover(const std::vector<LogBytes>& logs, const Identity& identity, std::uint64_t sequence,
-                  std::uint64_t synced) {
-    Recovered recovered;
+RecoveredLogs recover(const std::vector<LogBytes>& logs, const Identity& identity, std::uint64_t sequence,
+                      std::uint64_t synced) {
+    RecoveredLogs recovered;
     recovered.last_sequence = sequence;
-    recovered.vouched = synced;
+    recovered.durable_sequence = synced;
     std::uint64_t bytes = 0;
     for (const LogBytes& log : logs) bytes += log.bytes.size();
-    Search search(sequence, bytes);
+    DurableSequenceScan scanner(sequence, bytes);
     const auto damage = [&](const std::string& what) {
         if (!recovered.result) return;
-        recovered.result =
-            Result::corrupt(recovered.cut_in + ", offset " + std::to_string(recovered.cut_at) + ": " + what);
+        recovered.result = Result::corrupt(recovered.unreadable_file + ", offset " +
+                                           std::to_string(recovered.unreadable_offset) + ": " + what);
     };
     std::vector<LogOperation> operations;
     for (const LogBytes& log : logs) {
         const LogReader reader(log.bytes, identity, log.number);
-        if (reader.newer()) {
+        if (reader.newer_version()) {
             recovered.result = Result::refused(log.name + ": written by a newer version");
             return recovered;
         }
-        recovered.vouched = std::max(recovered.vouched, reader.synced());
-        if (recovered.cut) {
-            search.look(reader, 0);
-            recovered.dropped += log.bytes.size();
+        recovered.durable_sequence = std::max(recovered.durable_sequence, reader.synced());
+        if (recovered.has_unreadable) {
+            scanner.scan(reader, 0);
+            recovered.dropped_bytes += log.bytes.size();
             continue;
         }
         if (&log != &logs.front() && reader.synced() > recovered.last_sequence) {
-            // The log before is durable up to its end, and that is missing.
-            const LogBytes& before = *(&log - 1);
-            recovered.cut = true;
-            recovered.cut_in = before.name;
-            recovered.cut_at = before.bytes.size();
-            search.look(reader, 0);
+            // The previous log is durable up to its end, but its end is missing.
+            const LogBytes& previous = *(&log - 1);
+            recovered.has_unreadable = true;
+            recovered.unreadable_file = previous.name;
+            recovered.unreadable_offset = previous.bytes.size();
+            scanner.scan(reader, 0);
             continue;
         }
         std::uint64_t at = reader.has_header() ? log_header_bytes : 0;
-        bool whole = reader.has_header();
-        while (whole && at < reader.size()) {
+        bool intact = reader.has_header();
+        while (intact && at < reader.size()) {
             const auto record = reader.at(at);
-            whole = record && record->first_sequence == recovered.last_sequence + 1 &&
-                    read_operations(*record, operations);
-            if (!whole) break;
-            recovered.vouched = std::max(recovered.vouched, record->synced);
+            intact = record && record->first_sequence == recovered.last_sequence + 1 &&
+                     read_operations(*record, operations);
+            if (!intact) break;
+            recovered.durable_sequence = std::max(recovered.durable_sequence, record->synced);
             recovered.last_sequence = record->last_sequence();
             recovered.records.push_back(*record);
             at = record->end;
         }
-        if (whole) continue;
-        recovered.cut = true;
-        recovered.cut_in = log.name;
-        recovered.cut_at = at;
-        recovered.dropped = log.bytes.size() - at;
-        search.look(reader, at);
+        if (intact) continue;
+        recovered.has_unreadable = true;
+        recovered.unreadable_file = log.name;
+        recovered.unreadable_offset = at;
+        recovered.dropped_bytes = log.bytes.size() - at;
+        scanner.scan(reader, at);
         // A header is durable before a manifest names its log, and before a record follows it.
         const bool first = &log == &logs.front();
         if (!reader.has_header() && (first || log.bytes.size() > log_header_bytes)) {
-            damage("the header of a log can't be read");
+            damage("the header of the log cannot be read");
         }
     }
-    recovered.vouched = std::max(recovered.vouched, search.vouched());
-    if (recovered.cut && recovered.last_sequence < recovered.vouched) {
-        damage("a record that was durable can't be read (sequence " +
-               std::to_string(recovered.last_sequence + 1) + ", durable up to " +
-               std::to_string(recovered.vouched) + ")");
+    recovered.durable_sequence = std::max(recovered.durable_sequence, scanner.durable_sequence());
+    if (recovered.has_unreadable && recovered.last_sequence < recovered.durable_sequence) {
+        damage("a durable record cannot be read (sequence " + std::to_string(recovered.last_sequence + 1) +
+               ", durable up to " + std::to_string(recovered.durable_sequence) + ")");
     }
-    if (recovered.cut && search.spent()) damage("too much to look through behind what can't be read");
-    // Logs that end well may still be too short: something vouched for more.
-    if (!recovered.cut && recovered.last_sequence < recovered.vouched) {
+    if (recovered.has_unreadable && scanner.exhausted())
+        damage("the bytes after the unreadable record exceed the limit for scanning");
+    // Logs without an unreadable record may still be too short: another record or the manifest states a
+    // greater durable sequence.
+    if (!recovered.has_unreadable && recovered.last_sequence < recovered.durable_sequence) {
         const bool any = !logs.empty();
-        recovered.cut_in = any ? logs.back().name : "log";
-        recovered.cut_at = any ? logs.back().bytes.size() : 0;
-        damage("the log ends at sequence " + std::to_string(recovered.last_sequence) + ", though all up to " +
-               std::to_string(recovered.vouched) + " was durable");
+        recovered.unreadable_file = any ? logs.back().name : "log";
+        recovered.unreadable_offset = any ? logs.back().bytes.size() : 0;
+        damage("the log ends at sequence " + std::to_string(recovered.last_sequence) +
+               ", but operations up to " + std::to_string(recovered.durable_sequence) + " were durable");
     }
     return recovered;
 }
--- a/src/store/recovery.h
+++ b/src/store/recovery.h
@@ -1,5 +1,6 @@
-// What the logs of a store say after any end, also a power cut: which records count, and whether what comes
-// after them is the tail that a cut left, or damage. docs/store_format.md, "Recovery". No I/O.
+// Recovery of the log records after a normal end, a crash or a power cut. Determines the valid records, and
+// whether the bytes after them are an incomplete write (a tail) or damage. docs/store_format.md, "Recovery".
+// No I/O.
 #pragma once
 
 #include <cstdint>
@@ -12,27 +13,29 @@
 
 namespace flaxdoor::store {
 
+// A log file that was read completely.
 struct LogBytes {
     std::string name;
     std::uint64_t number = 0;
     std::string bytes;
 };
 
-struct Recovered {
-    std::vector<Record> records;  // that count, in order; they point into the bytes of the logs
+struct RecoveredLogs {
+    std::vector<Record> records;  // valid records in order; they refer to the bytes of the logs
     std::uint64_t last_sequence = 0;
-    std::uint64_t vouched = 0;  // the greatest sequence that is known to have been durable
-    // The first record that can't be read, if there is one, and what is lost with it.
-    bool cut = false;
-    std::string cut_in;  // the file's name
-    std::uint64_t cut_at = 0;
-    std::uint64_t dropped = 0;  // bytes from there to the end of the last log
-    Result result;              // corrupt when it is damage; refused when it is of a newer version
+    std::uint64_t durable_sequence = 0;  // greatest sequence known to have been durable
+    // The first unreadable record, if there is one, and the size of what is lost with it.
+    bool has_unreadable = false;
+    std::string unreadable_file;  // name of the file
+    std::uint64_t unreadable_offset = 0;
+    std::uint64_t dropped_bytes = 0;  // bytes from there to the end of the last log
+    Result result;  // `corrupt` if the logs are damaged, `refused` if they are of a newer version
 };
 
-// The logs in order of their numbers, the one that the manifest names first. The manifest also says that all
-// up to `sequence` is in the runs, and what was `synced`.
-[[nodiscard]] Recovered recover(const std::vector<LogBytes>& logs, const Identity& identity,
-                                std::uint64_t sequence, std::uint64_t synced);
+// Recovers the records of `logs`, which are in ascending order of number and start with the log named by the
+// manifest. The manifest also states that the runs hold all operations up to `sequence`, and that all up to
+// `synced` were durable.
+[[nodiscard]] RecoveredLogs recover(const std::vector<LogBytes>& logs, const Identity& identity,
+                                    std::uint64_t sequence, std::uint64_t synced);
 
 }  // namespace flaxdoor::store
--- a/src/store/run.h
+++ b/src/store/run.h
@@ -1,8 +1,9 @@
-// Sorted runs: docs/store_format.md, "Run". Written once, front to back; read by blocks through a cache.
+// Sorted runs; docs/store_format.md, "Run", describes the format. A run is written once, front to back, and
+// is read block by block through a cache.
 //
-// Threading: one thread at a time for a store's runs and its cache.
-// Errors:    a block whose hash does not match is corrupt, with file and offset; a call on a file that failed
-//            is retry (a read) or as the writer's caller takes it.
+// Threading: one thread at a time for all runs of a store and their cache.
+// Errors:    a block whose hash does not match returns `corrupt` with file and offset. A failed read returns
+//            `retry`. RunWriter returns errno values.
 #pragma once
 
 #include <cstdint>
@@ -22,49 +23,51 @@
 
 namespace flaxdoor::store {
 
-// Blocks that were read, the one used longest ago dropped first.
+// Least-recently-used cache of blocks, bounded by their total size in bytes.
 class BlockCache {
 public:
     using Block = std::shared_ptr<const std::string>;
-    struct Place {
+    struct Key {
         std::uint64_t run = 0;
         std::uint64_t offset = 0;
-        bool operator==(const Place&) const = default;
+        bool operator==(const Key&) const = default;
     };
-    explicit BlockCache(std::size_t most) : most_(most) {}
-    Block find(Place place);
-    void put(Place place, Block block);
+    explicit BlockCache(std::size_t capacity) : capacity_(capacity) {}
+    Block find(Key key);
+    void put(Key key, Block block);
 
 private:
-    struct Held {
-        Place place;
+    struct Entry {
+        Key key;
         Block block;
     };
     struct Hash {
-        std::size_t operator()(const Place& place) const {
-            return (place.run << 40 ^ place.offset) * 0x9e3779b97f4a7c15ULL >> 16;
+        std::size_t operator()(const Key& key) const {
+            return (key.run << 40 ^ key.offset) * 0x9e3779b97f4a7c15ULL >> 16;
         }
     };
-    const std::size_t most_;
+    const std::size_t capacity_;
     std::size_t bytes_ = 0;
-    std::list<Held> held_;  // the one used latest first
-    std::unordered_map<Place, std::list<Held>::iterator, Hash> places_;
+    std::list<Entry> entries_;  // most recently used first
+    std::unordered_map<Key, std::list<Entry>::iterator, Hash> by_key_;
 };
 
-// What a manifest says of a run.
-struct RunFacts {
+// Description of a run in the manifest.
+struct RunMetadata {
     std::uint64_t number = 0;
     std::uint8_t level = 0;
     std::uint64_t size = 0;
-    std::string first, last;  // keys; both empty when they are not known, as in a salvage without a manifest
+    std::string first, last;  // least and greatest key; both empty if unknown (salvage without a manifest)
 };
 
+// A run that can be read. Opens and loads its file on the first read.
 class Run {
 public:
-    Run(Files& files, BlockCache& cache, const Identity& identity, RunFacts facts);
-    const RunFacts& facts() const { return facts_; }
+    Run(Files& files, BlockCache& cache, const Identity& identity, RunMetadata metadata);
+    const RunMetadata& metadata() const { return metadata_; }
 
-    // The newest entry of the key that a snapshot sees; `found` false when there is none here.
+    // Returns the newest entry of `key` that is visible to `snapshot`. `found` is false if the run holds
+    // none.
     struct Found {
         bool found = false;
         bool put = false;
@@ -72,51 +75,53 @@
         std::string value;
     };
     Result get(std::string_view key, std::uint64_t snapshot, Found& out);
-    // All entries of runs in order of their keys, which do not overlap; one of them is read at a time. What
-    // is read once, as by a merge, is not kept in the cache, where it would push out what is read often.
+    // Iterates over runs that are sorted by key and do not overlap. At most one run is read at a time. With
+    // `cached` unset, blocks are not added to the cache, so that a merge does not evict frequently read
+    // blocks.
     static std::unique_ptr<Cursor> cursor(std::vector<std::shared_ptr<Run>> runs, bool cached);
-    // From the first entry on, past what can't be read: that is told, and its results are always ok. A second
-    // one of the same run, with `told` empty, passes over the same; what else can't be read then is its
-    // result.
-    using Told = std::function<void(const std::string&)>;
-    static std::unique_ptr<Cursor> salvage_cursor(const std::shared_ptr<Run>& self, Told told);
-    // Reads all of it and checks every hash and the order.
+    // Iterates from the first entry, skips unreadable blocks and reports each to `reporter`; all its results
+    // are ok. A second cursor over the same run with an empty reporter skips the same blocks. It returns an
+    // error for any other unreadable block.
+    using LossReporter = std::function<void(const std::string&)>;
+    static std::unique_ptr<Cursor> salvage_cursor(const std::shared_ptr<Run>& run, LossReporter reporter);
+    // Reads the whole run, and checks every hash and the order of entries.
     Result verify(std::uint64_t& entries);
-    // Whether the file is as long as the manifest says; it is not held open for that.
+    // Checks that the file has the size stated in the manifest. Does not keep the file open if it was closed.
     Result check_size();
 
 private:
     friend class RunCursor;
     friend class SalvageCursor;
-    struct Place {
-        std::string last;  // key
+    struct IndexEntry {
+        std::string last;  // greatest key of the block
         std::uint64_t offset = 0;
         std::uint64_t length = 0;
     };
     Result open_file(std::uint64_t& size);
-    Result load();                // once, before anything is read
-    Result load_without_index();  // finds the blocks that follow one another from the front
-    Result read_piece(std::uint64_t offset, std::uint64_t length, std::string& out);
-    Result read_block(std::size_t i, BlockCache::Block& out, bool cached = true);
-    std::size_t block_of(std::string_view key) const;  // the first whose last key is not below
-    bool within(std::size_t block, std::string_view key) const;
-    bool may_hold(std::string_view key) const;
-    Result damaged(std::uint64_t offset, const char* what) const;
+    Result load();                // reads footer, index and filter before the first read
+    Result load_without_index();  // rebuilds the index by scanning the blocks from the front
+    Result read_section(std::uint64_t offset, std::uint64_t length, std::string& out);
+    Result read_block(std::size_t block, BlockCache::Block& out, bool cached = true);
+    std::size_t find_block(std::string_view key) const;  // first block whose last key is not less than `key`
+    bool in_block_range(std::size_t block, std::string_view key) const;
+    bool may_contain(std::string_view key) const;
+    Result corruption(std::uint64_t offset, const char* what) const;
 
     Files& files_;
     BlockCache& cache_;
     const Identity identity_;
-    const RunFacts facts_;
+    const RunMetadata metadata_;
     std::unique_ptr<File> file_;
     bool loaded_ = false;
     std::uint64_t salt_ = 0;
     std::uint64_t entries_ = 0;
-    std::vector<Place> index_;
-    std::set<std::size_t> given_up_;  // blocks, by a salvage
+    std::vector<IndexEntry> index_;
+    std::set<std::size_t> skipped_blocks_;  // blocks that a salvage skipped
     std::string filter_;
 };
 
-// Builds a run: entries in order, finish(), sync(). What it has written is durable once that has returned 0.
+// Writes a run: add() for each entry in order, finish(), sync(). The run is durable once sync() has returned
+// 0.
 class RunWriter {
 public:
     RunWriter(std::unique_ptr<File> file, const Identity& identity, std::uint64_t number, std::uint64_t salt)
@@ -124,7 +129,7 @@
     [[nodiscard]] int add(std::string_view key, std::uint64_t sequence, bool put, std::string_view value);
     [[nodiscard]] int finish();
     [[nodiscard]] int sync() { return file_->sync(); }
-    std::uint64_t bytes() const { return written_ + block_.size(); }
+    std::uint64_t bytes() const { return written_bytes_ + block_.size(); }
     std::uint64_t entries() const { return entries_; }
     const std::string& first() const { return first_; }
     const std::string& last() const { return last_; }
@@ -137,12 +142,12 @@
     const Identity identity_;
     const std::uint64_t number_;
     const std::uint64_t salt_;
-    std::string block_, index_, pending_;
+    std::string block_, index_, write_buffer_;
     std::string first_, last_;
-    std::vector<std::uint64_t> hashes_;
-    std::uint64_t written_ = 0;
+    std::vector<std::uint64_t> key_hashes_;
+    std::uint64_t written_bytes_ = 0;
     std::uint64_t entries_ = 0;
-    std::uint64_t least_ = 0, greatest_ = 0;
+    std::uint64_t min_sequence_ = 0, max_sequence_ = 0;
 };
 
 }  // namespace flaxdoor::store
--- a/src/store/status.h
+++ b/src/store/status.h
@@ -1,4 +1,4 @@
-// What became of a request to the store, by what its caller can do. Plain values.
+// Outcome of a store operation, classified by what the caller can do about it. Plain values.
 #pragma once
 
 #include <cstdint>
@@ -10,10 +10,10 @@
 
 enum class Status {
     ok,
-    retry,    // nothing was done: the queue or the disk is full; again later
-    refused,  // nothing was done and never will be: `why` tells
-    unknown,  // it may be there after the next opening, or not: a sync failed
-    corrupt,  // what is stored can't be read: `why` names file and offset
+    retry,    // nothing was done because the queue or the disk is full; a later try may succeed
+    refused,  // nothing was done and a repetition fails as well; `why` states the reason
+    unknown,  // a sync failed: the change may or may not be present after the next opening
+    corrupt,  // stored data cannot be read; `why` names the file and the offset
 };
 [[nodiscard]] std::string_view text_of(Status status);
 
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -13,51 +13,54 @@
 
 namespace {
 
+// Limits of the requests that one engine write groups.
 constexpr std::size_t group_bytes = 1024 * 1024;
 constexpr std::size_t group_requests = 1000;
-constexpr auto again_after = std::chrono::milliseconds(200);  // background work that failed
+// Delay before failed background work is retried
+constexpr auto background_retry_delay = std::chrono::milliseconds(200);
 
-Engine::Chance from_the_system() {
+Engine::Chance system_random() {
     return [device = std::make_shared<std::random_device>()] {
         return static_cast<std::uint64_t>((*device)()) << 32 | (*device)();
     };
 }
 
-template <typename Span>
-std::chrono::microseconds in_micros(Span span) {
-    return std::chrono::duration_cast<std::chrono::microseconds>(span);
+template <typename Duration>
+std::chrono::microseconds to_microseconds(Duration duration) {
+    return std::chrono::duration_cast<std::chrono::microseconds>(duration);
 }
 
 }  // namespace
 
-// What the thread and the store's owner share: it outlives an owner that would not wait.
+// State shared by the thread and the Store object. It outlives a Store whose close() timed out.
 class Store::Shared {
 public:
     explicit Shared(Options options) : options_(std::move(options)) {}
 
-    // Before the thread runs, or on it.
-    Result open(std::unique_ptr<Files> files, Engine::Chance chance, Opening& opening) {
-        auto opened = Engine::open(*files, options_.engine, std::move(chance));
+    // Opens the engine. Called before the thread starts or on the thread.
+    Result open(std::unique_ptr<Files> files, Engine::Chance random, Opening& opening) {
+        auto opened = Engine::open(*files, options_.engine, std::move(random));
         opening = opened.opening;
         if (!opened.result) return opened.result;
         files_ = std::move(files);
         engine_ = std::move(opened.engine);
-        take_figures();
+        update_figures();
         return Result::ok();
     }
 
-    // `first` runs on the thread ahead of all else and tells whether the store is open.
-    static void begin(const std::shared_ptr<Shared>& self, std::function<Result(Shared&)> first) {
-        self->thread_ = std::thread([self, first = std::move(first)] {
-            const Result opened = first ? first(*self) : Result::ok();
-            if (opened) {
-                self->run();
+    // Starts the thread. `open_store`, if set, runs first and returns whether the store is open.
+    static void start_thread(const std::shared_ptr<Shared>& shared,
+                             std::function<Result(Shared&)> open_store) {
+        shared->thread_ = std::thread([shared, open_store = std::move(open_store)] {
+            const Result result = open_store ? open_store(*shared) : Result::ok();
+            if (result) {
+                shared->run();
             } else {
-                self->turn_down(opened);
+                shared->reject_requests(result);
             }
-            const std::lock_guard lock(self->mutex_);
-            self->over_ = true;
-            self->ended_.notify_all();
+            const std::lock_guard lock(shared->mutex_);
+            shared->finished_ = true;
+            shared->ended_.notify_all();
         });
     }
 
@@ -65,22 +68,22 @@
         std::unique_lock lock(mutex_);
         closing_ = true;
         wake_.notify_one();
-        if (left_) return over_;
+        if (abandoned_) return finished_;
         if (!within) {
-            ended_.wait(lock, [&] { return over_; });
-        } else if (!ended_.wait_for(lock, *within, [&] { return over_; })) {
-            left_ = true;
+            ended_.wait(lock, [&] { return finished_; });
+        } else if (!ended_.wait_for(lock, *within, [&] { return finished_; })) {
+            abandoned_ = true;
         }
-        const bool over = over_;
-        if (!thread_.joinable()) return over;
+        const bool finished = finished_;
+        if (!thread_.joinable()) return finished;
         std::thread thread = std::move(thread_);
         lock.unlock();
-        if (over) {
+        if (finished) {
             thread.join();
         } else {
             thread.detach();
         }
-        return over;
+        return finished;
     }
 
     Result write(Batch batch, Level level, Done done) {
@@ -89,19 +92,19 @@
         request.batch = std::move(batch);
         request.level = level;
         request.done = std::move(done);
-        return enter(std::move(request));
+        return enqueue(std::move(request));
     }
 
-    Result ask(std::function<void(Engine&)> question, std::function<void(Result)> done) {
+    Result ask(std::function<void(Engine&)> task, std::function<void(Result)> done) {
         Request request;
         request.bytes = sizeof(Request);
-        request.question = std::move(question);
+        request.task = std::move(task);
         if (done) {
             request.done = [done = std::move(done)](Engine::Written written) {
                 done(std::move(written.result));
             };
         }
-        return enter(std::move(request));
+        return enqueue(std::move(request));
     }
 
     StoreFigures figures() const {
@@ -112,17 +115,18 @@
         return figures;
     }
 
-    // Never while nobody is there to hear it: where it goes to may have gone.
-    void tell(std::function<void()> what) {
+    // Runs or posts a callback. Does nothing once the thread is abandoned, as the target of the callback may
+    // be destroyed.
+    void run_callback(std::function<void()> callback) {
         if (!options_.post) {
             {
                 const std::lock_guard lock(mutex_);
-                if (left_) return;
+                if (abandoned_) return;
             }
-            return what();
+            return callback();
         }
         const std::lock_guard lock(mutex_);
-        if (!left_) options_.post(std::move(what));
+        if (!abandoned_) options_.post(std::move(callback));
     }
 
     const Options& options() const { return options_; }
@@ -132,12 +136,12 @@
         Batch batch;
         Level level = Level::durable;
         Done done;
-        std::function<void(Engine&)> question;
+        std::function<void(Engine&)> task;
         std::size_t bytes = 0;
     };
     using Clock = std::chrono::steady_clock;
 
-    Result enter(Request request) {
+    Result enqueue(Request request) {
         {
             const std::lock_guard lock(mutex_);
             if (closing_) return Result::refused("the store is closed");
@@ -160,45 +164,45 @@
                 std::unique_lock lock(mutex_);
                 while (queue_.empty() && !closing_) {
                     const auto now = Clock::now();
-                    auto until = Clock::time_point::max();
-                    if (unsynced_) until = std::min(until, sync_by_);
-                    if (engine_->has_work()) until = std::min(until, work_after_);
-                    if (until <= now) break;
-                    if (until == Clock::time_point::max()) {
+                    auto wake_at = Clock::time_point::max();
+                    if (sync_pending_) wake_at = std::min(wake_at, sync_deadline_);
+                    if (engine_->has_work()) wake_at = std::min(wake_at, next_background_step_);
+                    if (wake_at <= now) break;
+                    if (wake_at == Clock::time_point::max()) {
                         wake_.wait(lock);
                     } else {
-                        wake_.wait_until(lock, until);
+                        wake_.wait_until(lock, wake_at);
                     }
                 }
                 if (queue_.empty() && closing_) break;
-                // Writes that follow one another join; a question goes alone.
+                // Consecutive writes form a group; a task is run alone.
                 std::size_t bytes = 0;
                 while (!queue_.empty() && group.size() < group_requests && bytes < group_bytes) {
-                    const bool question = static_cast<bool>(queue_.front().question);
-                    if (question && !group.empty()) break;
+                    const bool task = static_cast<bool>(queue_.front().task);
+                    if (task && !group.empty()) break;
                     bytes += queue_.front().bytes;
                     queued_bytes_ -= queue_.front().bytes;
                     group.push_back(std::move(queue_.front()));
                     queue_.pop_front();
-                    if (question) break;
+                    if (task) break;
                 }
             }
-            if (!group.empty() && group.front().question) {
-                group.front().question(*engine_);
-                finish(group.front().done, {});
+            if (!group.empty() && group.front().task) {
+                group.front().task(*engine_);
+                complete(group.front().done, {});
             } else if (!group.empty()) {
                 write_group(std::move(group));
             }
             sync_if_due(false);
-            if (engine_->has_work() && Clock::now() >= work_after_) work();
-            take_figures();
+            if (engine_->has_work() && Clock::now() >= next_background_step_) run_background_step();
+            update_figures();
         }
         sync_if_due(true);
-        take_figures();
+        update_figures();
     }
 
     void write_group(std::deque<Request> group) {
-        // A writer faster than merging waits here, in the queue: its bound is what it meets.
+        // Writers that outpace merging are stalled here, so that the queue fills and its bound limits them.
         while (engine_->crowded()) {
             if (!engine_->step()) break;
         }
@@ -208,97 +212,99 @@
             batches.push_back(&request.batch);
             durable = durable || request.level == Level::durable;
         }
-        const auto began = Clock::now();
+        const auto start = Clock::now();
         auto written = engine_->write(batches, durable);
-        const auto took = in_micros(Clock::now() - began);
-        // Not by what was asked for: a durable group that came to nothing has synced nothing.
+        const auto elapsed = to_microseconds(Clock::now() - start);
+        // Depends on the engine and not on the requested level, as a durable group whose writes all failed
+        // has synced nothing.
         if (engine_->synced()) {
-            unsynced_ = false;
-        } else if (!unsynced_) {
-            unsynced_ = true;
-            sync_by_ = began + options_.soon;
+            sync_pending_ = false;
+        } else if (!sync_pending_) {
+            sync_pending_ = true;
+            sync_deadline_ = start + options_.soon;
         }
         {
             const std::lock_guard lock(mutex_);
             ++figures_.groups;
-            figures_.longest_write = std::max(figures_.longest_write, took);
+            figures_.longest_write = std::max(figures_.longest_write, elapsed);
         }
-        for (std::size_t i = 0; i < group.size(); ++i) finish(group[i].done, std::move(written[i]));
+        for (std::size_t i = 0; i < group.size(); ++i) complete(group[i].done, std::move(written[i]));
     }
 
-    void finish(Done& done, Engine::Written written) {
+    void complete(Done& done, Engine::Written written) {
         if (!done) return;
-        tell([done = std::move(done), written = std::move(written)]() mutable { done(std::move(written)); });
+        run_callback(
+            [done = std::move(done), written = std::move(written)]() mutable { done(std::move(written)); });
     }
 
-    // It could not be opened: whoever waits, or still comes, is told why.
-    void turn_down(const Result& why) {
+    // The store could not be opened: completes all present and later requests with the reason.
+    void reject_requests(const Result& reason) {
         for (;;) {
-            std::deque<Request> all;
+            std::deque<Request> requests;
             {
                 std::unique_lock lock(mutex_);
                 wake_.wait(lock, [&] { return !queue_.empty() || closing_; });
                 if (queue_.empty()) return;
-                all.swap(queue_);
+                requests.swap(queue_);
                 queued_bytes_ = 0;
             }
-            for (Request& request : all) {
-                request.question = {};
-                finish(request.done, {why, 0, {}});
+            for (Request& request : requests) {
+                request.task = {};
+                complete(request.done, {reason, 0, {}});
             }
         }
     }
 
-    void sync_if_due(bool now) {
-        if (!unsynced_ || (!now && Clock::now() < sync_by_)) return;
-        unsynced_ = false;
-        // Who asked for `soon` was told; the next write says that the store is broken.
+    void sync_if_due(bool force) {
+        if (!sync_pending_ || (!force && Clock::now() < sync_deadline_)) return;
+        sync_pending_ = false;
+        // Requests with Level::soon are already acknowledged. The next write reports the error of the store.
         if (Result result = engine_->sync(); !result) {
             const std::lock_guard lock(mutex_);
             figures_.sync_failed = std::move(result);
         }
     }
 
-    void work() {
-        const std::uint64_t before = engine_->figures().written_bytes;
-        const auto began = Clock::now();
+    void run_background_step() {
+        const std::uint64_t bytes_before = engine_->figures().written_bytes;
+        const auto start = Clock::now();
         const Result result = engine_->step();
-        const auto ended = Clock::now();
-        work_after_ = ended;
+        const auto end = Clock::now();
+        next_background_step_ = end;
         if (!result) {
-            work_after_ += again_after;
+            next_background_step_ += background_retry_delay;
         } else if (options_.work_rate > 0) {
-            const std::uint64_t bytes = engine_->figures().written_bytes - before;
-            work_after_ = began + std::chrono::microseconds(bytes * 1'000'000 / options_.work_rate);
+            const std::uint64_t bytes = engine_->figures().written_bytes - bytes_before;
+            next_background_step_ = start + std::chrono::microseconds(bytes * 1'000'000 / options_.work_rate);
         }
         const std::lock_guard lock(mutex_);
-        figures_.longest_step = std::max(figures_.longest_step, in_micros(ended - began));
+        figures_.longest_step = std::max(figures_.longest_step, to_microseconds(end - start));
     }
 
-    void take_figures() {
-        EngineFigures taken = engine_->figures();
+    void update_figures() {
+        EngineFigures figures = engine_->figures();
         const std::lock_guard lock(mutex_);
-        figures_.engine = std::move(taken);
+        figures_.engine = std::move(figures);
     }
 
     const Options options_;
     std::unique_ptr<Files> files_;
-    std::unique_ptr<Engine> engine_;  // on the thread once it runs
+    std::unique_ptr<Engine> engine_;  // used only by the thread once it runs
 
     mutable std::mutex mutex_;
     std::condition_variable wake_, ended_;
     std::deque<Request> queue_;
     std::size_t queued_bytes_ = 0;
     bool closing_ = false;
-    bool over_ = false;  // the thread has nothing more to do
-    bool left_ = false;  // to itself
+    bool finished_ = false;   // the thread has finished its work
+    bool abandoned_ = false;  // the thread was abandoned by close()
     StoreFigures figures_;
     std::thread thread_;
 
-    // On the store's thread.
-    bool unsynced_ = false;
-    Clock::time_point sync_by_{};
-    Clock::time_point work_after_{};
+    // Used only by the thread.
+    bool sync_pending_ = false;
+    Clock::time_point sync_deadline_{};
+    Clock::time_point next_background_step_{};
 };
 
 Store::Opened Store::open(const std::string& folder, Options options) {
@@ -306,15 +312,15 @@
     if (const int error = store::open_folder(folder, options.engine.make, files); error != 0) {
         return {nullptr, Result::refused(folder + ": " + std::strerror(error)), {}};
     }
-    return open(std::move(files), std::move(options), from_the_system());
+    return open(std::move(files), std::move(options), system_random());
 }
 
-Store::Opened Store::open(std::unique_ptr<Files> files, Options options, Engine::Chance chance) {
+Store::Opened Store::open(std::unique_ptr<Files> files, Options options, Engine::Chance random) {
     Opened opened;
     auto shared = std::make_shared<Shared>(std::move(options));
-    opened.result = shared->open(std::move(files), std::move(chance), opened.opening);
+    opened.result = shared->open(std::move(files), std::move(random), opened.opening);
     if (!opened.result) return opened;
-    Shared::begin(shared, {});
+    Shared::start_thread(shared, {});
     opened.store.reset(new Store(std::move(shared)));
     return opened;
 }
@@ -322,14 +328,14 @@
 std::unique_ptr<Store> Store::start(const std::string& folder, Options options,
                                     std::function<void(Result, Opening)> opened, OpenFolder open_folder) {
     auto shared = std::make_shared<Shared>(std::move(options));
-    Shared::begin(
-        shared, [folder, opened = std::move(opened), open_folder = std::move(open_folder)](Shared& its) {
+    Shared::start_thread(
+        shared, [folder, opened = std::move(opened), open_folder = std::move(open_folder)](Shared& store) {
             std::unique_ptr<Files> files;
             Opening opening;
-            const int error = open_folder(folder, its.options().engine.make, files);
+            const int error = open_folder(folder, store.options().engine.make, files);
             const Result result = error != 0 ? Result::refused(folder + ": " + std::strerror(error))
-                                             : its.open(std::move(files), from_the_system(), opening);
-            if (opened) its.tell([opened, result, opening] { opened(result, opening); });
+                                             : store.open(std::move(files), system_random(), opening);
+            if (opened) store.run_callback([opened, result, opening] { opened(result, opening); });
             return result;
         });
     return std::unique_ptr<Store>(new Store(std::move(shared)));
@@ -341,8 +347,8 @@
 Result Store::write(Batch batch, Level level, Done done) {
     return shared_->write(std::move(batch), level, std::move(done));
 }
-Result Store::ask(std::function<void(Engine&)> question, std::function<void(Result)> done) {
-    return shared_->ask(std::move(question), std::move(done));
+Result Store::ask(std::function<void(Engine&)> task, std::function<void(Result)> done) {
+    return shared_->ask(std::move(task), std::move(done));
 }
 void Store::close() { (void)shared_->close(std::nullopt); }
 bool Store::close(std::chrono::milliseconds within) { return shared_->close(within); }
--- a/tests/store/crash_test.cpp
+++ b/tests/store/crash_test.cpp
@@ -1,6 +1,6 @@
-// A process that writes is killed again and again; what it had told as acknowledged is there. This shows that
-// a crash leaves a store that opens, not that syncs do their work: the kernel lives on (cut_test.cpp is for
-// those).
+// Kills a writing process repeatedly and checks that all acknowledged batches are present. This shows that a
+// crash leaves a store that opens. It does not test syncs, as the kernel keeps unsynced data; cut_test.cpp
+// does.
 #include <gtest/gtest.h>
 #include <signal.h>
 #include <sys/wait.h>
@@ -16,7 +16,7 @@
 namespace flaxdoor::store::test {
 namespace {
 
-Changes batch_number(std::uint64_t n) {
+Changes make_batch(std::uint64_t n) {
     const std::string key = "key" + std::to_string(n % 50);
     Changes changes = {{Batch::Kind::put, "lists", key, std::to_string(n), 0},
                        {Batch::Kind::put, "weights", key, std::to_string(n) + std::string(n % 100, 'w'), 0},
@@ -26,9 +26,9 @@
     return changes;
 }
 
-// Batch after batch, from the one that the stream's position tells; each is told by its number once it is
-// durable.
-[[noreturn]] void write_for_ever(const std::string& path, int tell) {
+// Writes batches without end, starting at the number given by the position of the stream. Reports the number
+// of each batch through a pipe once it is durable.
+[[noreturn]] void write_until_killed(const std::string& path, int report_fd) {
     std::unique_ptr<Files> files;
     if (open_folder(path, true, files) != 0) ::_exit(2);
     std::random_device device;
@@ -45,8 +45,8 @@
     if (!engine.space("ledger", SpaceKind::streams, false, ledger) || !engine.next_position(ledger, "a", n))
         ::_exit(4);
     for (;; ++n) {
-        if (!write(engine, batch_number(n)).result) ::_exit(5);
-        if (::write(tell, &n, sizeof n) != sizeof n) ::_exit(6);
+        if (!write(engine, make_batch(n)).result) ::_exit(5);
+        if (::write(report_fd, &n, sizeof n) != sizeof n) ::_exit(6);
         while (engine.crowded() || (n % 3 == 0 && engine.has_work())) {
             if (!engine.step()) ::_exit(7);
         }
@@ -67,20 +67,20 @@
         ASSERT_GE(child, 0);
         if (child == 0) {
             ::close(pipe[0]);
-            write_for_ever(path, pipe[1]);
+            write_until_killed(path, pipe[1]);
         }
         ::close(pipe[1]);
-        // At times while it still opens.
+        // In some rounds the process is killed while it is still opening the store.
         const std::uint64_t wanted = random() % (long_form() ? 60 : 20);
-        std::uint64_t n = 0, heard = 0;
+        std::uint64_t n = 0, reported = 0;
         bool killed = round > 0 && wanted < 3;
         if (killed) {
             ASSERT_EQ(::kill(child, SIGKILL), 0);
         }
-        // What it told before it died counts, too.
+        // Batches reported before the kill count as acknowledged.
         while (::read(pipe[0], &n, sizeof n) == sizeof n) {
             acknowledged = n + 1;
-            if (++heard >= wanted && !killed) {
+            if (++reported >= wanted && !killed) {
                 ASSERT_EQ(::kill(child, SIGKILL), 0);
                 killed = true;
             }
@@ -88,7 +88,8 @@
         ::close(pipe[0]);
         int status = 0;
         ASSERT_EQ(::waitpid(child, &status, 0), child);
-        ASSERT_TRUE(WIFSIGNALED(status)) << "it ended by itself: " << WEXITSTATUS(status);
+        ASSERT_TRUE(WIFSIGNALED(status))
+            << "the process exited by itself with status " << WEXITSTATUS(status);
 
         std::unique_ptr<Files> files;
         ASSERT_EQ(open_folder(path, false, files), 0);
@@ -99,15 +100,15 @@
         std::uint64_t found = 0;
         ASSERT_TRUE(opened.engine->next_position(ledger, "a", found));
         ASSERT_GE(found, acknowledged);
-        ASSERT_LE(found, acknowledged + 1);  // one was under way
+        ASSERT_LE(found, acknowledged + 1);  // one more batch may have been under way
         Model model;
         for (const auto& [space, kind] : names().spaces) model.make_space(space, kind);
-        for (std::uint64_t i = 0; i < found; ++i) model.apply(batch_number(i));
+        for (std::uint64_t i = 0; i < found; ++i) model.apply(make_batch(i));
         ASSERT_EQ(text_of(*opened.engine, names(), 100), model.text());
         ASSERT_TRUE(opened.engine->verify([](const std::string&) {}));
         acknowledged = found;
     }
-    std::cout << rounds << " times killed, " << acknowledged << " batches, seed " << seed << "\n";
+    std::cout << rounds << " processes killed, " << acknowledged << " batches, seed " << seed << "\n";
     EXPECT_GT(acknowledged, 0U);
 }
 
--- a/tests/store/cut_test.cpp
+++ b/tests/store/cut_test.cpp
@@ -1,5 +1,5 @@
-// A power cut at every byte: what is found afterwards is what was acknowledged, and nothing that was not
-// written.
+// Cuts the power at every byte of every file operation. Guards against the loss of acknowledged batches and
+// against content that was never written.
 #include <gtest/gtest.h>
 
 #include <iostream>
@@ -12,13 +12,14 @@
 
 constexpr std::uint64_t seed = 20;
 
-// A log of the same layout and with other salts: what may lie on blocks that are used again.
+// Returns a log of the same layout with other salts, which stands for the former content of reused disk
+// blocks.
 std::string former_log() {
     SimFiles files;
     std::string longest;
-    const Recording other = record(files, files, seed, 99, 30);
+    const Recording recording = record(files, files, seed, 99, 30);
     std::map<std::size_t, std::string> contents;
-    for (const Operation& operation : other.operations) {
+    for (const Operation& operation : recording.operations) {
         if (operation.kind != Operation::Kind::append) continue;
         std::string& content = contents[operation.inode];
         content.resize(std::max<std::size_t>(content.size(), operation.at));
@@ -28,7 +29,7 @@
     return longest;
 }
 
-std::string place(const Recording& recording, std::size_t done, std::size_t part) {
+std::string describe_point(const Recording& recording, std::size_t done, std::size_t part) {
     std::string what;
     for (const auto& [at, name] : recording.marks) {
         if (at <= done) what = name;
@@ -38,7 +39,7 @@
            (done < recording.operations.size() ? text_of(recording.operations[done]) : "nothing");
 }
 
-TEST(StoreCut, EveryByteOfEveryOperation) {
+TEST(StoreCut, PowerCutAtEveryByteOfEveryOperation) {
     SimFiles files;
     const Recording recording = record(files, files, seed, 1, long_form() ? 120 : 36);
     const std::string stale = former_log();
@@ -50,54 +51,57 @@
     Disk disk;
     std::uint64_t nested = 0, killed = 0;
     for (std::size_t done = 0; done <= recording.operations.size(); ++done) {
-        const std::size_t least = recording.least(done), most = recording.most(done);
+        const std::size_t min_batches = recording.min_batches(done),
+                          max_batches = recording.max_batches(done);
         const Operation* const next =
             done < recording.operations.size() ? &recording.operations[done] : nullptr;
         const bool append = next && next->kind == Operation::Kind::append;
         const std::size_t bytes = append ? next->bytes.size() : 0;
         const std::size_t stride = sanitized && !long_form() ? 20 : 1;
         for (std::size_t part = 0; part <= bytes; part += part + stride > bytes ? 1 : stride) {
-            // All that is not synced is there; nothing is; some of it.
+            // Three cuts: all unsynced data is kept, none of it, or a random part.
             const Cut cuts[] = {
                 {1, 1, {}, false, nullptr}, {0, 1, stale, true, nullptr}, random_cut(random, stale)};
             for (std::size_t i = 0; i < std::size(cuts); ++i) {
                 if (!long_form() && i != (done + part) % std::size(cuts)) continue;
                 const Cut& cut = cuts[i];
                 const Image image = append ? disk.cut_within(*next, part, cut) : disk.cut(cut);
-                const Checked checked = checker.check_once(image, recording.history, least, most);
-                ASSERT_EQ(checked.violation, "") << place(recording, done, part);
+                const Checked checked =
+                    checker.check_once(image, recording.history, min_batches, max_batches);
+                ASSERT_EQ(checked.violation, "") << describe_point(recording, done, part);
                 if (random() % 24 != 0) continue;
                 ++nested;
-                ASSERT_EQ(checker.check_nested(image, recording.history, least, most, random), "")
-                    << place(recording, done, part);
+                ASSERT_EQ(checker.check_nested(image, recording.history, min_batches, max_batches, random),
+                          "")
+                    << describe_point(recording, done, part);
             }
             if (part == 0 || random() % 24 == 0) {
                 ++killed;
                 Disk kept = disk;
                 if (append) kept.apply(*next, part);
-                ASSERT_EQ(checker.check_killed(kept, recording.history, least, most, random), "")
-                    << place(recording, done, part);
+                ASSERT_EQ(checker.check_killed(kept, recording.history, min_batches, max_batches, random), "")
+                    << describe_point(recording, done, part);
             }
         }
-        // More subsets where several operations wait for a sync.
+        // More random subsets, as several operations may await a sync.
         for (int i = 0; i < (long_form() ? 100 : 10); ++i) {
             const Image image = disk.cut(random_cut(random, stale));
-            ASSERT_EQ(checker.check_once(image, recording.history, least, most).violation, "")
-                << place(recording, done, 0);
+            ASSERT_EQ(checker.check_once(image, recording.history, min_batches, max_batches).violation, "")
+                << describe_point(recording, done, 0);
         }
         if (next) disk.apply(*next);
     }
     std::cout << recording.operations.size() << " operations, " << recording.history.states.size() - 1
               << " batches, " << recording.flushes << " flushes, " << recording.merges << " merges, "
-              << checker.states() << " states (" << checker.different() << " different), "
-              << checker.dropped() << " with a tail, " << nested << " cut again while opened, " << killed
-              << " killed first; seed " << seed << "\n";
+              << checker.states() << " states (" << checker.distinct_states() << " different), "
+              << checker.dropped() << " with a dropped tail, " << nested << " cut again during opening, "
+              << killed << " killed first; seed " << seed << "\n";
 }
 
-// The first violation that cuts between operations find.
-std::string violation(Forgetful::Forgets forgets) {
+// Returns the first violation found by cuts between operations, with a store that skips syncs.
+std::string first_violation(SyncSkippingFiles::Skipped skipped) {
     SimFiles files;
-    Forgetful through(files, forgets);
+    SyncSkippingFiles through(files, skipped);
     const Recording recording = record(files, through, seed, 1, 20);
     Checker checker;
     Random random(seed);
@@ -105,7 +109,7 @@
     for (std::size_t done = 0; done < recording.operations.size(); ++done) {
         for (int i = 0; i < 4; ++i) {
             const auto checked = checker.check_once(disk.cut(random_cut(random, {})), recording.history,
-                                                    recording.least(done), recording.most(done));
+                                                    recording.min_batches(done), recording.max_batches(done));
             if (!checked.violation.empty()) return checked.violation;
         }
         disk.apply(recording.operations[done]);
@@ -113,10 +117,12 @@
     return {};
 }
 
-// The checks are worth something: they find a store that does not sync.
-TEST(StoreCut, FindsAStoreThatSyncsNoFile) { EXPECT_NE(violation(Forgetful::Forgets::files), ""); }
-TEST(StoreCut, FindsAStoreThatSyncsNoFolder) { EXPECT_NE(violation(Forgetful::Forgets::folder), ""); }
-TEST(StoreCut, FindsAStoreThatSyncsNothing) { EXPECT_NE(violation(Forgetful::Forgets::both), ""); }
+// Validates the checks themselves: they must detect a store that skips syncs.
+TEST(StoreCut, DetectsSkippedFileSyncs) { EXPECT_NE(first_violation(SyncSkippingFiles::Skipped::files), ""); }
+TEST(StoreCut, DetectsSkippedFolderSyncs) {
+    EXPECT_NE(first_violation(SyncSkippingFiles::Skipped::folder), "");
+}
+TEST(StoreCut, DetectsSkippedSyncs) { EXPECT_NE(first_violation(SyncSkippingFiles::Skipped::both), ""); }
 
 }  // namespace
 }  // namespace flaxdoor::store::test
--- a/tests/store/damage_test.cpp
+++ b/tests/store/damage_test.cpp
@@ -1,4 +1,5 @@
-// Named cases: what a cut leaves of a compaction and of a record, and what is damage and not a cut.
+// Cases of what a power cut leaves of a compaction and of a record, and of damage that is not the result of
+// a cut.
 #include <gtest/gtest.h>
 #include <sys/stat.h>
 
@@ -15,25 +16,25 @@
 namespace flaxdoor::store::test {
 namespace {
 
-EngineOptions no_runs() {
+EngineOptions options_without_runs() {
     EngineOptions options = small_options();
     options.memory_table = options.log = 1'000'000;
     return options;
 }
 
-// A store of some batches in one log, and where its records begin.
-struct Small {
+// A store with a few batches in one log, and the offsets of its records.
+struct SmallStore {
     Image image;
     Identity identity{};
-    std::string log;  // its name
+    std::string log;  // name of the log
     std::uint64_t number = 0;
     std::vector<Record> records;
-    History history;  // a state for each batch
+    History history;  // one state per batch
     std::string bytes;
 
-    explicit Small(int batches, std::uint64_t salts = 1) {
+    explicit SmallStore(int batches, std::uint64_t salts = 1) {
         SimFiles files;
-        auto opened = Engine::open(files, no_runs(), counting(salts));
+        auto opened = Engine::open(files, options_without_runs(), counting(salts));
         identity = opened.engine->identity();
         Model model;
         make_spaces(*opened.engine, &model);
@@ -49,7 +50,7 @@
         for (const auto& [name, content] : image) {
             if (name.ends_with(".log")) log = name;
         }
-        number = parse_name(log)->number;
+        number = parse_file_name(log)->number;
         bytes = image[log];
         const LogReader reader(bytes, identity, number);
         for (std::uint64_t at = log_header_bytes; at < bytes.size();) {
@@ -62,30 +63,30 @@
     }
 };
 
-// One of some size, with runs.
-struct Large {
+// A larger store with runs.
+struct LargeStore {
     Image image;
     std::string text;
 
-    explicit Large(std::uint64_t seed = 20, std::uint64_t salts = 1) {
+    explicit LargeStore(std::uint64_t seed = 20, std::uint64_t salts = 1) {
         SimFiles files;
         text = *record(files, files, seed, salts, 20).history.states.back().text;
         image = files.disk().visible();
     }
 };
 
-struct Outcome {
+struct OpenOutcome {
     Result result;
     Opening opening;
     std::string text;
-    Result verified;       // what a look at all its files says, or that of the opening
-    bool changed = false;  // anything on the disk
+    Result verified;       // result of verify(), or of the opening if that failed
+    bool changed = false;  // whether the opening changed anything on the disk
     Image left;
 };
-Outcome open(const Image& image, EngineOptions options = small_options()) {
+OpenOutcome open(const Image& image, EngineOptions options = small_options()) {
     SimFiles files(image);
     auto opened = Engine::open(files, options, counting(5));
-    Outcome outcome{opened.result, opened.opening, {}, opened.result, !files.operations().empty(), {}};
+    OpenOutcome outcome{opened.result, opened.opening, {}, opened.result, !files.operations().empty(), {}};
     if (opened.engine) {
         outcome.text = text_of(*opened.engine, names(), 100);
         outcome.verified = opened.engine->verify([](const std::string&) {});
@@ -94,120 +95,123 @@
     return outcome;
 }
 
-Image flipped(Image image, const std::string& name, std::uint64_t at, int bits = 0x10) {
+Image with_flipped_bits(Image image, const std::string& name, std::uint64_t at, int bits = 0x10) {
     image[name][at] = static_cast<char>(image[name][at] ^ bits);
     return image;
 }
 
 void expect_damage(const Image& image, const std::string& file, std::uint64_t offset,
                    const std::string& what) {
-    const Outcome outcome = open(image);
+    const OpenOutcome outcome = open(image);
     EXPECT_EQ(outcome.result.status, Status::corrupt) << what << ": " << outcome.result.why;
     EXPECT_TRUE(outcome.result.why.starts_with(file + ", offset " + std::to_string(offset)))
         << what << ": " << outcome.result.why;
     EXPECT_FALSE(outcome.changed) << what;
 }
-// -------------------------------------------------------------------------------------------------- records
+// Records
 
-// Records that others vouch for, headers, manifests and the identity.
-TEST(StoreDamage, EachByteOfWhatIsVouchedFor) {
+// Damage of each byte of headers, manifests, the identity, and records that a later record states as
+// durable.
+TEST(StoreDamage, DamageOfEachDurableByteIsDetected) {
     struct Piece {
         std::string file;
         std::uint64_t begin, end;
     };
-    const Small small(8);
+    const SmallStore store(8);
     std::vector<Piece> pieces;
-    for (std::size_t r = 0; r + 1 < small.records.size(); ++r)
-        pieces.push_back({small.log, small.records[r].offset, small.records[r].end});
-    for (const auto& [name, content] : small.image)
-        pieces.push_back({name, 0, name == small.log ? log_header_bytes : content.size()});
+    for (std::size_t r = 0; r + 1 < store.records.size(); ++r)
+        pieces.push_back({store.log, store.records[r].offset, store.records[r].end});
+    for (const auto& [name, content] : store.image)
+        pieces.push_back({name, 0, name == store.log ? log_header_bytes : content.size()});
     for (const Piece& piece : pieces) {
         for (std::uint64_t at = piece.begin; at < piece.end; ++at) {
-            expect_damage(flipped(small.image, piece.file, at), piece.file, piece.begin,
+            expect_damage(with_flipped_bits(store.image, piece.file, at), piece.file, piece.begin,
                           piece.file + " byte " + std::to_string(at));
         }
     }
 }
 
-TEST(StoreDamage, EachByteOfTheLastRecordIsATail) {
-    const Small small(8);
-    const Record& last = small.records.back();
-    const auto& states = small.history.states;
+TEST(StoreDamage, DamagedLastRecordIsDroppedAsTail) {
+    const SmallStore store(8);
+    const Record& last = store.records.back();
+    const auto& states = store.history.states;
     for (std::uint64_t at = last.offset; at < last.end; ++at) {
-        const Outcome outcome = open(flipped(small.image, small.log, at));
+        const OpenOutcome outcome = open(with_flipped_bits(store.image, store.log, at));
         ASSERT_TRUE(outcome.result) << outcome.result.why;
         EXPECT_EQ(outcome.text, *states[states.size() - 2].text) << at;
-        EXPECT_EQ(outcome.opening.dropped_in, small.log);
+        EXPECT_EQ(outcome.opening.dropped_in, store.log);
         EXPECT_EQ(outcome.opening.dropped_at, last.offset);
         EXPECT_EQ(outcome.opening.dropped, last.end - last.offset);
     }
 }
 
 TEST(StoreDamage, LastRecordTornAtEveryByte) {
-    const Small small(8);
-    // The same log with other salts: what stands on blocks that are used again.
-    const Small former(8, 2);
-    ASSERT_EQ(former.bytes.size(), small.bytes.size());
-    const Record& last = small.records.back();
-    const auto& states = small.history.states;
+    const SmallStore store(8);
+    // The same log with other salts stands for the former content of reused disk blocks.
+    const SmallStore former(8, 2);
+    ASSERT_EQ(former.bytes.size(), store.bytes.size());
+    const Record& last = store.records.back();
+    const auto& states = store.history.states;
     for (std::uint64_t at = last.offset; at <= last.end; ++at) {
         for (const char filler : {'\0', '\x7f', 'f', '-'}) {
-            Image image = small.image;
-            std::string& log = image[small.log];
+            Image image = store.image;
+            std::string& log = image[store.log];
             log.resize(at);
             if (filler == 'f') {
-                log += former.bytes.substr(at);  // a former file's bytes follow
+                log += former.bytes.substr(at);  // the bytes of a former file follow
             } else if (filler != '-') {
                 log.resize(last.end, filler);
             }
-            const Outcome outcome = open(image);
+            const OpenOutcome outcome = open(image);
             ASSERT_TRUE(outcome.result) << outcome.result.why;
-            // What is missing may be zeros, and be right so.
-            const bool there = log == small.bytes;
-            EXPECT_EQ(outcome.text, *states[states.size() - (there ? 1 : 2)].text) << at;
+            // The missing bytes may be zeros, so that the filler completes the record.
+            const bool complete = log == store.bytes;
+            EXPECT_EQ(outcome.text, *states[states.size() - (complete ? 1 : 2)].text) << at;
         }
     }
 }
 
-TEST(StoreDamage, LengthOfARecord) {
-    const Small small(8);
-    const std::uint64_t last = small.records.back().offset, vouched = small.records[2].offset;
+TEST(StoreDamage, WrongRecordLength) {
+    const SmallStore store(8);
+    const std::uint64_t last = store.records.back().offset, durable_offset = store.records[2].offset;
     for (const std::uint32_t length : {0U, 1U, 8U, 1000U, 0xffffffU, 0x7fffffffU, 0xffffffffU}) {
         const auto with_length = [&](std::uint64_t record) {
-            Image image = small.image;
+            Image image = store.image;
             std::string number;
             put_u32(number, length);
-            image[small.log].replace(record + 8, 4, number);
+            image[store.log].replace(record + 8, 4, number);
             return image;
         };
-        expect_damage(with_length(vouched), small.log, vouched, "length " + std::to_string(length));
-        const Outcome outcome = open(with_length(last));
+        expect_damage(with_length(durable_offset), store.log, durable_offset,
+                      "length " + std::to_string(length));
+        const OpenOutcome outcome = open(with_length(last));
         ASSERT_TRUE(outcome.result) << outcome.result.why;
         EXPECT_EQ(outcome.opening.dropped_at, last);
     }
 }
 
-TEST(StoreDamage, TwoRecordsOfOneSequence) {
-    const Small small(8);
-    const Record& last = small.records.back();
-    const auto twice = [&](std::uint64_t vouches) {
-        Image image = small.image;
+TEST(StoreDamage, DuplicateSequence) {
+    const SmallStore store(8);
+    const Record& last = store.records.back();
+    const auto with_duplicate = [&](std::uint64_t durable_sequence) {
+        Image image = store.image;
         RecordWriter writer;
         writer.put("\x01key", "twice");
-        writer.finish(image[small.log], u64_at(small.bytes, 40), last.first_sequence, vouches);
+        writer.finish(image[store.log], u64_at(store.bytes, 40), last.first_sequence, durable_sequence);
         return image;
     };
-    expect_damage(twice(last.last_sequence() + 1), small.log, small.bytes.size(), "it vouches for more");
-    const Outcome outcome = open(twice(last.last_sequence()));
+    expect_damage(with_duplicate(last.last_sequence() + 1), store.log, store.bytes.size(),
+                  "states a greater durable sequence");
+    const OpenOutcome outcome = open(with_duplicate(last.last_sequence()));
     ASSERT_TRUE(outcome.result) << outcome.result.why;
-    EXPECT_EQ(outcome.text, *small.history.states.back().text);
-    EXPECT_EQ(outcome.opening.dropped_at, small.bytes.size());
+    EXPECT_EQ(outcome.text, *store.history.states.back().text);
+    EXPECT_EQ(outcome.opening.dropped_at, store.bytes.size());
 }
 
-TEST(StoreDamage, GoodRecordsBehindATailGoWithIt) {
-    // Written without a sync: none of them is vouched for.
+TEST(StoreDamage, IntactRecordsAfterATailAreDropped) {
+    // The batches are written without a sync, so no record states them as durable.
     SimFiles files;
-    auto opened = Engine::open(files, no_runs(), counting(1));
+    auto opened = Engine::open(files, options_without_runs(), counting(1));
     Model model;
     make_spaces(*opened.engine, &model);
     const std::string before = model.text();
@@ -216,22 +220,22 @@
     for (int i = 0; i < 5; ++i) {
         ASSERT_TRUE(write(*opened.engine, maker.next(), false).result);
     }
-    const std::uint64_t within_the_first = files.operations()[durable].at + 40;
-    SimFiles after(flipped(files.disk().visible(), name_of(1, "log"), within_the_first, 1));
-    auto again = Engine::open(after, no_runs(), counting(2));
+    const std::uint64_t offset_in_first_record = files.operations()[durable].at + 40;
+    SimFiles after(with_flipped_bits(files.disk().visible(), name_of(1, "log"), offset_in_first_record, 1));
+    auto again = Engine::open(after, options_without_runs(), counting(2));
     ASSERT_TRUE(again.result) << again.result.why;
     EXPECT_EQ(text_of(*again.engine, names()), before);
     EXPECT_GT(again.opening.dropped, 5U * 32);
-    // For good: the same after the byte is well again.
+    // The records stay dropped after the byte is restored.
     again.engine.reset();
-    again = Engine::open(after, no_runs(), counting(3));
+    again = Engine::open(after, options_without_runs(), counting(3));
     ASSERT_TRUE(again.result);
     EXPECT_EQ(again.opening.dropped, 0U);
     EXPECT_EQ(text_of(*again.engine, names()), before);
 }
 
-// A log that has been closed is durable as a whole, and the header of the next one says so.
-TEST(StoreDamage, LastRecordOfAClosedLog) {
+// A closed log is durable up to its end, and the header of the next log states so.
+TEST(StoreDamage, DamagedLastRecordOfAClosedLogIsDetected) {
     SimFiles files;
     auto opened = Engine::open(files, small_options(), counting(1));
     make_spaces(*opened.engine, nullptr);
@@ -245,29 +249,29 @@
     Image image = files.disk().visible();
     ASSERT_EQ(image[logs.back()].size(), log_header_bytes);
     const std::string log = logs.front();
-    const LogReader reader(image[log], opened.engine->identity(), parse_name(log)->number);
+    const LogReader reader(image[log], opened.engine->identity(), parse_file_name(log)->number);
     std::uint64_t last = log_header_bytes;
     while (reader.at(last)->end < image[log].size()) last = reader.at(last)->end;
-    expect_damage(flipped(image, log, last + 33, 1), log, last, "last record");
-    // Or it is gone as a whole.
+    expect_damage(with_flipped_bits(image, log, last + 33, 1), log, last, "last record");
+    // The record is missing completely.
     image[log].resize(last);
     expect_damage(image, log, last, "no last record");
 }
 
-// ---------------------------------------------------------------------------------------------------- files
+// Files
 
 TEST(StoreDamage, MissingFiles) {
-    const Large large;
+    const LargeStore store;
     std::set<std::string> kinds;
-    for (const auto& [name, content] : large.image) {
-        Image less = large.image;
-        less.erase(name);
+    for (const auto& [name, content] : store.image) {
+        Image remaining = store.image;
+        remaining.erase(name);
         const std::string kind = name.substr(name.find('.') + 1);
         kinds.insert(kind);
-        expect_damage(less, kind == "manifest" ? "manifest" : name, 0, name + " is missing");
+        expect_damage(remaining, kind == "manifest" ? "manifest" : name, 0, name + " is missing");
     }
     EXPECT_EQ(kinds, (std::set<std::string>{"IDENTITY", "log", "manifest", "run"}));
-    // All of them: a new store, unless that is not wished for.
+    // Without any file a new store is created, unless that is disabled.
     EngineOptions options;
     options.make = false;
     EXPECT_EQ(open({}, options).result.status, Status::refused);
@@ -275,57 +279,57 @@
 }
 
 TEST(StoreDamage, EmptyFiles) {
-    const Large large;
-    for (const auto& [name, content] : large.image) {
-        Image emptied = large.image;
+    const LargeStore store;
+    for (const auto& [name, content] : store.image) {
+        Image emptied = store.image;
         emptied[name].clear();
         expect_damage(emptied, name, 0, name + " is empty");
     }
-    // Files that a cut may have left empty.
+    // Files that a power cut may have left empty.
     for (const char* kind : {"log", "run", "manifest"}) {
-        Image more = large.image;
-        more[name_of(9999, kind)];
-        const Outcome outcome = open(more);
+        Image extended = store.image;
+        extended[name_of(9999, kind)];
+        const OpenOutcome outcome = open(extended);
         ASSERT_TRUE(outcome.result) << kind << ": " << outcome.result.why;
-        EXPECT_EQ(outcome.text, large.text) << kind;
+        EXPECT_EQ(outcome.text, store.text) << kind;
     }
 }
 
-TEST(StoreDamage, FilesThatNothingNames) {
-    const Large large;
-    Image image = large.image;
+TEST(StoreDamage, UnnamedFilesAreRemovedAndForeignFilesRefused) {
+    const LargeStore store;
+    Image image = store.image;
     image[name_of(9990, "run")] = "anything";
     image[name_of(0, "log")] = "an old one";
     image["0000000007.run.lost"] = "kept";
     image["lost+found"] = "";
-    const Outcome cleared = open(image);
+    const OpenOutcome cleared = open(image);
     ASSERT_TRUE(cleared.result) << cleared.result.why;
-    EXPECT_EQ(cleared.text, large.text);
+    EXPECT_EQ(cleared.text, store.text);
     EXPECT_FALSE(cleared.left.contains(name_of(9990, "run")));
     EXPECT_FALSE(cleared.left.contains(name_of(0, "log")));
     EXPECT_TRUE(cleared.left.contains("0000000007.run.lost"));
-    // A folder that holds something else is not touched.
+    // A folder with foreign files is not changed.
     for (const char* name : {"notes.txt", "0000000001.tmp", "00000001.run", "0000000001.manifest.bak"}) {
         Image other = image;
         other[name] = "mine";
-        const Outcome outcome = open(other);
+        const OpenOutcome outcome = open(other);
         EXPECT_EQ(outcome.result.status, Status::refused) << name;
         EXPECT_FALSE(outcome.changed);
     }
 }
 
-TEST(StoreDamage, EachByteOfARun) {
-    const Large large;
+TEST(StoreDamage, DamageOfEachByteOfARunIsDetected) {
+    const LargeStore store;
     int runs = 0;
-    for (const auto& [name, content] : large.image) {
+    for (const auto& [name, content] : store.image) {
         if (!name.ends_with(".run") || ++runs > 3) continue;
         for (std::size_t at = 0; at < content.size(); ++at) {
-            const Outcome outcome = open(flipped(large.image, name, at, 1));
-            // What is read is right or refused: the text is the model's or tells of the damage.
+            const OpenOutcome outcome = open(with_flipped_bits(store.image, name, at, 1));
+            // Content that is read is either correct or refused as damaged.
             if (outcome.text.starts_with("failed")) {
                 EXPECT_TRUE(outcome.text.starts_with("failed: corrupt: " + name + ", offset "));
             } else if (outcome.result) {
-                EXPECT_EQ(outcome.text, large.text);
+                EXPECT_EQ(outcome.text, store.text);
             }
             ASSERT_EQ(outcome.verified.status, Status::corrupt) << name << " byte " << at;
             ASSERT_TRUE(outcome.verified.why.starts_with(name + ", offset ")) << outcome.verified.why;
@@ -334,16 +338,16 @@
     EXPECT_GE(runs, 3);
 }
 
-// What lies under the name of a run but is another's, though as long.
-TEST(StoreDamage, AnotherStoresRun) {
-    const Large large, other(20, 2);
+// A file of the right name and size that belongs to another store.
+TEST(StoreDamage, RunOfAnotherStoreIsDetected) {
+    const LargeStore store, other(20, 2);
     int runs = 0;
-    for (const auto& [name, content] : large.image) {
+    for (const auto& [name, content] : store.image) {
         if (!name.ends_with(".run")) continue;
         ASSERT_TRUE(other.image.contains(name));
         ASSERT_EQ(other.image.at(name).size(), content.size());
         ++runs;
-        Image mixed = large.image;
+        Image mixed = store.image;
         mixed[name] = other.image.at(name);
         const Result verified = open(mixed).verified;
         EXPECT_EQ(verified.status, Status::corrupt);
@@ -353,33 +357,33 @@
 }
 
 TEST(StoreDamage, NewerVersionsAreRefused) {
-    const Large large;
-    for (const auto& [name, content] : large.image) {
-        Image newer = large.image;
-        std::string& bytes = newer[name];
-        const auto restate = [&](std::size_t version_at, std::size_t hashed, std::size_t hash_at,
-                                 std::size_t from) {
+    const LargeStore store;
+    for (const auto& [name, content] : store.image) {
+        Image newer_image = store.image;
+        std::string& bytes = newer_image[name];
+        const auto set_newer_version = [&](std::size_t version_at, std::size_t hashed_size,
+                                           std::size_t hash_at, std::size_t from) {
             bytes[version_at] = 2;
             std::string hash;
-            put_u64(hash, hash_of(std::string_view(bytes).substr(from, hashed), 0));
+            put_u64(hash, hash_of(std::string_view(bytes).substr(from, hashed_size), 0));
             bytes.replace(hash_at, 8, hash);
         };
         const std::size_t size = bytes.size();
-        if (name == "IDENTITY") restate(8, 32, 32, 0);
-        if (name.ends_with(".log")) restate(8, 56, 56, 0);
-        if (name.ends_with(".manifest")) restate(8, size - 8, size - 8, 0);
-        if (name.ends_with(".run")) restate(size - 112 + 88, 96, size - 112 + 96, size - 112);
-        const Outcome outcome = open(newer);
+        if (name == "IDENTITY") set_newer_version(8, 32, 32, 0);
+        if (name.ends_with(".log")) set_newer_version(8, 56, 56, 0);
+        if (name.ends_with(".manifest")) set_newer_version(8, size - 8, size - 8, 0);
+        if (name.ends_with(".run")) set_newer_version(size - 112 + 88, 96, size - 112 + 96, size - 112);
+        const OpenOutcome outcome = open(newer_image);
         EXPECT_EQ(outcome.verified.status, Status::refused) << name;
         EXPECT_EQ(outcome.verified.why, name + ": written by a newer version");
         EXPECT_TRUE(!outcome.changed || (name.ends_with(".run") && outcome.result)) << name;
     }
 }
 
-// ----------------------------------------------------------------------------------------------- compaction
+// Compaction
 
-TEST(StoreCut, CompactionAtEveryStep) {
-    // Some runs, and nothing in memory that waits; then one merge, and its operations.
+TEST(StoreCut, PowerCutAtEveryStepOfACompaction) {
+    // Prepares some runs without pending flushes, then records the operations of one merge.
     SimFiles files;
     auto opened = Engine::open(files, small_options(), counting(1));
     History history;
@@ -403,7 +407,7 @@
     Checker checker;
     Random random(1);
     std::set<std::string> steps;
-    std::map<std::size_t, std::string> kinds;  // of files
+    std::map<std::size_t, std::string> kinds;  // of files, by inode
     bool manifest_synced = false, folder_synced = false;
     for (std::size_t done = 0; done <= operations.size(); ++done) {
         const Operation* const next = done < operations.size() ? &operations[done] : nullptr;
@@ -431,7 +435,7 @@
                 const Image image = bytes > 0 ? disk.cut_within(*next, part, cut) : disk.cut(cut);
                 const Checked checked = checker.check_once(image, history, 1, 1);
                 ASSERT_EQ(checked.violation, "") << done << (next ? text_of(*next) : "") << " " << part;
-                // Nothing is left of the other runs.
+                // No file of an unnamed run is left.
                 SimFiles after(image);
                 auto again = Engine::open(after, small_options(), counting(2));
                 const auto left = after.disk().names();
@@ -439,7 +443,7 @@
                           static_cast<std::ptrdiff_t>(again.engine->figures().runs));
             }
         }
-        // Killed there, and the power cut while or after the next one opens it.
+        // Kills the process at this point, and cuts the power during or after the next opening.
         for (int i = 0; i < 40; ++i) ASSERT_EQ(checker.check_killed(disk, history, 1, 1, random), "") << done;
         if (!next) break;
         if (next->kind == Kind::create) kinds[next->inode] = next->name.substr(11);
@@ -453,7 +457,7 @@
                                             "old ones not deleted", "old ones half deleted", "all done"}));
 }
 
-// Logs that no writer made: an opening holds no more of them in memory than the bound of all.
+// Guards against unbounded memory use when a folder holds huge logs that no store wrote.
 TEST(StoreDamage, ManyHugeLogsAreNotReadIntoMemory) {
     const FolderHere folder;
     std::unique_ptr<Files> files;
@@ -463,7 +467,7 @@
     for (const char* name : {"0000000900.log", "0000000901.log"}) {
         const std::string path = folder.path() + "/" + name;
         std::ofstream(path).put('x');
-        std::filesystem::resize_file(path, 200 * 1024 * 1024);  // without blocks
+        std::filesystem::resize_file(path, 200 * 1024 * 1024);  // sparse
     }
     ASSERT_EQ(open_folder(folder.path(), false, files), 0);
     const auto opened = Engine::open(*files, {}, counting(2));
@@ -471,15 +475,15 @@
     EXPECT_TRUE(opened.result.why.starts_with("0000000901.log, offset ")) << opened.result.why;
 }
 
-// A store that could not count its files further is not begun.
-TEST(StoreDamage, AFileOfTheGreatestNumberLetsNoStoreBegin) {
-    const Outcome outcome = open({{"9999999999.log", ""}});
+// Guards against a new store that would run out of file numbers.
+TEST(StoreDamage, NoStoreIsCreatedWithoutFreeFileNumbers) {
+    const OpenOutcome outcome = open({{"9999999999.log", ""}});
     EXPECT_EQ(outcome.result.status, Status::refused) << outcome.result.why;
     EXPECT_FALSE(outcome.changed);
 }
 
-// A pipe by the name of a log: nobody writes to it, and an opening must not wait for one who does.
-TEST(StoreDamage, APipeByTheNameOfALogHoldsNoOpening) {
+// Guards against an opening that blocks on a pipe without a writer.
+TEST(StoreDamage, PipeNamedLikeALogDoesNotBlockOpening) {
     const FolderHere folder;
     ASSERT_EQ(::mkfifo((folder.path() + "/0000000005.log").c_str(), 0600), 0);
     std::unique_ptr<Files> files;
--- a/tests/store/engine_test.cpp
+++ b/tests/store/engine_test.cpp
@@ -1,4 +1,4 @@
-// Bounds, identity, snapshots, and the real files.
+// Tests of limits, identity, snapshots, streams, and the POSIX files.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -14,12 +14,12 @@
 namespace flaxdoor::store::test {
 namespace {
 
-struct Opened {
+struct OpenStore {
     SimFiles files;
     std::unique_ptr<Engine> engine;
     SpaceId keys = 0, streams = 0;
 
-    explicit Opened(EngineOptions options = {}) {
+    explicit OpenStore(EngineOptions options = {}) {
         auto opened = Engine::open(files, options, counting(1));
         EXPECT_TRUE(opened.result) << opened.result.why;
         engine = std::move(opened.engine);
@@ -30,29 +30,30 @@
 };
 
 TEST(StoreBounds, KeysValuesAndBatches) {
-    Opened store;
+    OpenStore store;
     const std::size_t before = store.files.operations().size();
-    const std::string key_fits(key_most, 'k'), value_fits(value_most, 'v');
+    const std::string longest_key(key_most, 'k'), longest_value(value_most, 'v');
     Batch batch;
     const auto expect_refused = [&](const char* what) {
         EXPECT_EQ(store.status(batch), Status::refused) << what;
         batch = {};
     };
-    batch.put(store.keys, key_fits + "k", "v");
-    expect_refused("a long key");
+    batch.put(store.keys, longest_key + "k", "v");
+    expect_refused("key too long");
     batch.put(store.keys, "", "v");
-    expect_refused("no key");
-    batch.put(store.keys, "k", value_fits + "v");
-    expect_refused("a long value");
-    for (int i = 0; i < 5; ++i) batch.put(store.keys, "k" + std::to_string(i), value_fits);
-    expect_refused("too much at once");
+    expect_refused("empty key");
+    batch.put(store.keys, "k", longest_value + "v");
+    expect_refused("value too long");
+    for (int i = 0; i < 5; ++i) batch.put(store.keys, "k" + std::to_string(i), longest_value);
+    expect_refused("too many bytes");
     for (std::size_t i = 0; i <= operations_most; ++i) batch.put(store.keys, "k", "v");
-    expect_refused("too many at once");
-    batch.append(store.streams, key_fits + "k", "v");
-    expect_refused("a long name of a stream");
+    expect_refused("too many operations");
+    batch.append(store.streams, longest_key + "k", "v");
+    expect_refused("stream name too long");
     EXPECT_EQ(store.files.operations().size(), before);
 
-    for (int i = 0; i < 3; ++i) batch.put(store.keys, key_fits.substr(1) + std::to_string(i), value_fits);
+    for (int i = 0; i < 3; ++i)
+        batch.put(store.keys, longest_key.substr(1) + std::to_string(i), longest_value);
     EXPECT_EQ(store.status(batch), Status::ok);
     batch = {};
     for (std::size_t i = 0; i < operations_most; ++i) batch.put(store.keys, "k", std::to_string(i));
@@ -60,14 +61,14 @@
     std::optional<std::string> value;
     ASSERT_TRUE(store.engine->get(store.keys, "k", value));
     EXPECT_EQ(value, std::to_string(operations_most - 1));
-    // A scan ends after 4 MiB, and goes on behind its last.
+    // A scan stops after 4 MiB and can be continued after its last key.
     std::vector<Engine::Item> items;
     ASSERT_TRUE(store.engine->scan(store.keys, "", "", 10'000, items));
     EXPECT_EQ(items.size(), 4U);
 }
 
-TEST(StoreBounds, ScansTakeLittleMemory) {
-    Opened store;
+TEST(StoreBounds, ScansStopAtTheByteLimit) {
+    OpenStore store;
     for (int i = 0; i < 6; ++i) {
         Batch batch;
         batch.put(store.keys, std::to_string(i), std::string(value_most, 'v'));
@@ -82,7 +83,7 @@
 }
 
 TEST(StoreBounds, SpacesAndKinds) {
-    Opened store;
+    OpenStore store;
     for (const bool streams : {false, true}) {
         for (const SpaceId space : {SpaceId{0}, SpaceId{99}, streams ? store.keys : store.streams}) {
             Batch put, erase;
@@ -97,7 +98,7 @@
             EXPECT_EQ(store.status(erase), Status::refused) << space;
         }
     }
-    // One that is refused does not hold up the others.
+    // A refused batch does not affect the others.
     Batch good, bad;
     good.put(store.keys, "k", "v");
     bad.put(SpaceId{99}, "k", "v");
@@ -120,8 +121,8 @@
     EXPECT_EQ(store.engine->scan(0, "", "", 10, items).status, Status::refused);
 }
 
-TEST(StoreBounds, AThousandSpaces) {
-    Opened store;
+TEST(StoreBounds, MaximumNumberOfSpaces) {
+    OpenStore store;
     std::vector<SpaceId> ids;
     SpaceId id = 0;
     for (int i = 0; i < 998; ++i) {
@@ -134,7 +135,7 @@
         ASSERT_EQ(store.status(batch), Status::ok);
     }
     EXPECT_EQ(store.engine->space("one more", SpaceKind::keys, true, id).status, Status::refused);
-    // Each holds its own and nothing of its neighbours.
+    // Each space holds only its own keys.
     for (std::size_t i = 0; i < ids.size(); ++i) {
         std::vector<Engine::Item> items;
         ASSERT_TRUE(store.engine->scan(ids[i], "", "", 10, items));
@@ -145,13 +146,13 @@
 }
 
 TEST(StoreStreams, PositionsOnlyGrow) {
-    Opened store;
+    OpenStore store;
     Batch batch;
     for (int i = 0; i < 10; ++i) batch.append(store.streams, "s", std::to_string(i));
     auto written = write(*store.engine, batch);
     ASSERT_EQ(written.positions.size(), 10U);
     EXPECT_EQ(written.positions.back(), 9U);
-    // All are trimmed, with some of the same group and batch.
+    // All elements are trimmed, including some of the same group and batch.
     Batch more, trim;
     more.append(store.streams, "s", "10");
     trim.append(store.streams, "s", "11");
@@ -178,8 +179,8 @@
     EXPECT_EQ(next, 13U);
 }
 
-TEST(StoreStreams, ManyElementsAreFoundAndTrimmedInParts) {
-    Opened store;
+TEST(StoreStreams, ManyElementsAreFoundAndTrimmedInSteps) {
+    OpenStore store;
     for (int n = 0; n < 3; ++n) {
         Batch batch;
         for (int i = 0; i < 9'000; ++i) batch.append(store.streams, "s", "x");
@@ -204,9 +205,10 @@
     EXPECT_EQ(elements.front().position, 20'000U);
 }
 
-// What a held snapshot reads is in model_test.cpp; here, that what it held goes with it.
-TEST(StoreSnapshot, WhatItHeldGoesWithIt) {
-    Opened store(small_options());
+// model_test.cpp tests what an open snapshot reads. This tests that a released snapshot frees the old
+// versions.
+TEST(StoreSnapshot, ReleasedSnapshotFreesOldVersions) {
+    OpenStore store(small_options());
     make_spaces(*store.engine, nullptr);
     WorkloadMaker maker(4);
     const auto write_and_compact = [&](int batches) {
@@ -220,15 +222,16 @@
     write_and_compact(60);
     const std::uint64_t snapshot = store.engine->take_snapshot();
     for (int i = 0; i < 4; ++i) write_and_compact(60);
-    const std::uint64_t held = store.engine->figures().run_bytes;
+    const std::uint64_t held_bytes = store.engine->figures().run_bytes;
     store.engine->release_snapshot(snapshot);
     write_and_compact(1);
-    EXPECT_LT(store.engine->figures().run_bytes, held);
+    EXPECT_LT(store.engine->figures().run_bytes, held_bytes);
 }
 
-// Overwrites of few keys: the table stays small, the log must too.
+// Guards against a log that grows without bound when few keys are overwritten, as the memory table then
+// stays small.
 TEST(StoreBounds, OverwritesDoNotFillTheLog) {
-    Opened store(small_options());
+    OpenStore store(small_options());
     Batch batch;
     batch.put(store.keys, "k", "some value");
     for (int i = 0; i < 2'000; ++i) {
@@ -238,9 +241,9 @@
     }
 }
 
-// Runs that can't be written: memory and log are bounded all the same, and the caller is told.
-TEST(StoreBounds, WritesAreRefusedWhenNothingIsWrittenToRuns) {
-    Opened store(small_options());
+// Memory and log stay bounded while no runs are written, and the caller gets an error.
+TEST(StoreBounds, WritesAreRejectedWhileNoRunIsWritten) {
+    OpenStore store(small_options());
     int written = 0;
     for (int i = 0; i < 2'000; ++i) {
         Batch batch;
@@ -257,8 +260,8 @@
     EXPECT_EQ(store.status(batch), Status::ok);
 }
 
-TEST(StoreIdentity, AStoreCopiedFromAnother) {
-    Opened store;
+TEST(StoreIdentity, UnexpectedIdentityIsRefused) {
+    OpenStore store;
     const Identity identity = store.engine->identity();
     store.engine.reset();
     const Image copied = store.files.disk().visible();
@@ -272,17 +275,17 @@
     EXPECT_TRUE(other.operations().empty());
     options.expected = identity;
     EXPECT_TRUE(Engine::open(other, options, counting(2)).result);
-    // Where one is expected, none is made.
+    // With an expected identity no store is created.
     SimFiles empty;
     EXPECT_EQ(Engine::open(empty, options, counting(3)).result.status, Status::refused);
-    // Two new ones differ.
+    // Two new stores have different identities.
     SimFiles second;
     EXPECT_NE(Engine::open(second, {}, counting(4)).engine->identity(), identity);
 }
 
-// ---------------------------------------------------------------------------------------------- real files
+// Real files
 
-TEST(StorePosix, LikePlainMaps) {
+TEST(StorePosix, MatchesModel) {
     const FolderHere folder;
     Model model;
     for (const auto& [space, kind] : names().spaces) model.make_space(space, kind);
@@ -302,7 +305,7 @@
         }
         ASSERT_EQ(text_of(*opened.engine, names()), model.text());
         ASSERT_TRUE(opened.engine->verify([](const std::string&) {}));
-        // A new opening by the same owner, after a sync that failed say, is not locked out.
+        // The same owner can open the store again without being locked out, for example after a failed sync.
         opened.engine.reset();
         opened = Engine::open(*files, small_options(), counting(100));
         ASSERT_TRUE(opened.result) << opened.result.why;
@@ -310,7 +313,7 @@
     }
 }
 
-TEST(StorePosix, CallsThatFailTellWhy) {
+TEST(StorePosix, FailedCallsReturnErrno) {
     const FolderHere folder;
     std::unique_ptr<Files> files;
     EXPECT_EQ(open_folder(folder.path() + "/none", false, files), ENOENT);
@@ -330,14 +333,14 @@
     ASSERT_EQ(file->read(1, 100, text), 0);
     EXPECT_EQ(text, "ello!");
     ASSERT_EQ(files->open("a", again), 0);
-    EXPECT_EQ(again->append("x"), EBADF);  // opened to be read
+    EXPECT_EQ(again->append("x"), EBADF);  // opened for reading
     ASSERT_EQ(files->remove("a"), 0);
     ASSERT_EQ(again->read(0, 2, text), 0);
     EXPECT_EQ(text, "he");
     EXPECT_EQ(files->sync_folder(), 0);
 }
 
-TEST(StorePosix, ASecondProcessIsKeptOut) {
+TEST(StorePosix, SecondProcessIsLockedOut) {
     const FolderHere folder;
     std::unique_ptr<Files> files;
     ASSERT_EQ(open_folder(folder.path(), false, files), 0);
@@ -346,9 +349,9 @@
     const auto second = [&] {
         const pid_t child = ::fork();
         if (child == 0) {
-            std::unique_ptr<Files> its;
-            if (open_folder(folder.path(), false, its) != 0) ::_exit(9);
-            const auto result = Engine::open(*its, {}, counting(2)).result;
+            std::unique_ptr<Files> child_files;
+            if (open_folder(folder.path(), false, child_files) != 0) ::_exit(9);
+            const auto result = Engine::open(*child_files, {}, counting(2)).result;
             ::_exit(result ? 1 : result.status == Status::refused ? 2 : 3);
         }
         int status = 0;
--- a/tests/store/faults_test.cpp
+++ b/tests/store/faults_test.cpp
@@ -1,5 +1,5 @@
-// Each call on a file fails once, in turn; a disk that is full and has room again; a folder that turns
-// read-only.
+// Makes each file call fail once in turn, fills the disk and frees it again, and makes the folder read-only.
+// Guards against lost acknowledged batches and against an engine that does not recover.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -14,12 +14,12 @@
 namespace flaxdoor::store::test {
 namespace {
 
-// What has been written, what of it must last, and the engine, through any failures.
+// Drives an engine through failures. Tracks what was written and what must be durable.
 class Driver {
 public:
     Driver(SimFiles& files, std::uint64_t seed) : files_(files), random_(seed), maker_(seed) {}
 
-    // A failed opening serves nothing and says why; the next one that may work does.
+    // Opens the store. A failed opening must state why, and is retried.
     void open() {
         engine_.reset();
         for (int tries = 0;; ++tries) {
@@ -27,18 +27,18 @@
             if (!opened.result) {
                 note(opened.result);
                 ASSERT_TRUE(opened.result.status == Status::retry || opened.result.status == Status::refused)
-                    << told(opened.result);
-                ASSERT_LT(tries, 4) << told(opened.result);
+                    << describe(opened.result);
+                ASSERT_LT(tries, 4) << describe(opened.result);
                 check_cut();
                 continue;
             }
             engine_ = std::move(opened.engine);
             break;
         }
-        settle("after opening");
-        history_.states.resize(found_ + 1);
-        model_ = *history_.states[found_].model;
-        least_ = found_;
+        check_recovered_state("after opening");
+        history_.states.resize(found_state_ + 1);
+        model_ = *history_.states[found_state_].model;
+        min_state_ = found_state_;
     }
 
     void spaces() {
@@ -48,7 +48,7 @@
                 const Result result = engine_->space(space, kind, true, id);
                 if (result) break;
                 note(result);
-                ASSERT_LT(tries, 4) << told(result);
+                ASSERT_LT(tries, 4) << describe(result);
                 if (result.status == Status::unknown) {
                     Model more = model_;
                     more.make_space(space, kind);
@@ -60,7 +60,7 @@
             if (model_.text().find(" " + space + "\n") != std::string::npos) continue;
             model_.make_space(space, kind);
             history_.add(engine_->figures().sequence, std::make_shared<const Model>(model_));
-            least_ = history_.states.size() - 1;
+            min_state_ = history_.states.size() - 1;
         }
     }
 
@@ -72,17 +72,17 @@
         const bool durable = random_() % 3 != 0;
         const auto written = test::write(*engine_, changes, durable);
         note(written.result);
-        const bool there = written.result || written.result.status == Status::unknown;
-        if (there && written.sequence != history_.states.back().sequence) {
+        const bool may_be_stored = written.result || written.result.status == Status::unknown;
+        if (may_be_stored && written.sequence != history_.states.back().sequence) {
             Model after = model_;
             after.apply(changes);
             history_.add(written.sequence, std::make_shared<const Model>(after));
-            // An append that failed is not in what the engine reads.
+            // The engine does not return the content of a failed append.
             if (engine_->figures().sequence == written.sequence) model_ = std::move(after);
         }
-        if (written.result && durable) least_ = history_.states.size() - 1;
+        if (written.result && durable) min_state_ = history_.states.size() - 1;
         if (!written.result || (thorough && !results.empty())) check_cut();
-        mend();
+        reopen_if_broken();
     }
 
     void step() {
@@ -90,17 +90,17 @@
         const Result result = engine_->step();
         note(result);
         if (!result) check_cut();
-        mend();
+        reopen_if_broken();
     }
 
     void sync() {
         const Result result = engine_->sync();
         note(result);
-        if (result) least_ = history_.states.size() - 1;
-        mend();
+        if (result) min_state_ = history_.states.size() - 1;
+        reopen_if_broken();
     }
 
-    // Reads tell what is there or that they failed.
+    // Reads return the stored content or an error.
     void read() {
         const std::string text = text_of(*engine_, names(), 100);
         if (text.starts_with("failed: retry")) {
@@ -110,12 +110,13 @@
         }
     }
 
-    // Opens it again where it is closed for good.
-    void mend() {
+    // Opens the store again if it refuses writes for good.
+    void reopen_if_broken() {
         if (engine_->broken()) after_unknown();
     }
 
-    // Nothing more is acknowledged, and reads go on, until it is opened again.
+    // After `unknown` the engine must acknowledge no writes and continue to serve reads until it is opened
+    // again.
     void after_unknown() {
         ++unknowns;
         Batch batch;
@@ -136,22 +137,22 @@
         check_cut();
     }
 
-    // A new store with its spaces.
-    void begin() {
+    // Opens a new store and creates its spaces.
+    void open_new() {
         ASSERT_NO_FATAL_FAILURE(open());
         spaces();
     }
-    // A batch, and a step of the background work.
+    // Writes a batch and does one background step.
     void write_and_step() {
         ASSERT_NO_FATAL_FAILURE(write());
         step();
     }
 
-    // Whatever a cut left now must do.
+    // Checks what a power cut at this point leaves.
     void check_cut() {
         for (int i = 0; i < 2; ++i) {
             const Image image = files_.disk().cut(random_cut(random_, {}));
-            const Checked checked = checker_.check(image, history_, least_, history_.states.size() - 1);
+            const Checked checked = checker_.check(image, history_, min_state_, history_.states.size() - 1);
             ASSERT_EQ(checked.violation, "");
         }
     }
@@ -159,13 +160,13 @@
     Engine& engine() { return *engine_; }
     Random& random() { return random_; }
     const Model& model() const { return model_; }
-    std::set<Status> seen;  // results that were not ok
+    std::set<Status> seen;  // statuses other than ok
     std::vector<std::pair<Status, std::string>> results;
     int unknowns = 0, failed_reads = 0;
-    bool thorough = false;  // after a failure a cut is looked at after each write
+    bool thorough = false;  // after a failure, checks a power cut after each write
 
 private:
-    static std::string told(const Result& result) {
+    static std::string describe(const Result& result) {
         return std::string(text_of(result.status)) + ": " + result.why;
     }
     void note(const Result& result) {
@@ -174,19 +175,19 @@
         results.emplace_back(result.status, result.why);
         ASSERT_NE(result.status, Status::corrupt) << result.why;
     }
-    void settle(const std::string& what) {
+    void check_recovered_state(const std::string& what) {
         const std::uint64_t sequence = engine_->figures().sequence;
         for (std::size_t n = 0; n < history_.states.size(); ++n) {
             if (history_.states[n].sequence != sequence) continue;
-            found_ = n;
-            ASSERT_GE(n, least_) << what;
+            found_state_ = n;
+            ASSERT_GE(n, min_state_) << what;
             const std::string text = text_of(*engine_, names(), 100);
             if (!text.starts_with("failed: retry")) {
                 ASSERT_EQ(text, *history_.states[n].text) << what;
             }
             return;
         }
-        FAIL() << what << ": sequence " << sequence << " is the end of no batch";
+        FAIL() << what << ": sequence " << sequence << " is not the end of a batch";
     }
 
     SimFiles& files_;
@@ -195,13 +196,13 @@
     std::unique_ptr<Engine> engine_;
     History history_;
     Model model_;
-    std::size_t least_ = 0, found_ = 0;
+    std::size_t min_state_ = 0, found_state_ = 0;
     std::uint64_t salts_ = 0;
     Checker checker_;
 };
 
 void work(Driver& driver, int batches) {
-    ASSERT_NO_FATAL_FAILURE(driver.begin());
+    ASSERT_NO_FATAL_FAILURE(driver.open_new());
     for (int i = 0; i < batches; ++i) {
         ASSERT_NO_FATAL_FAILURE(driver.write());
         for (std::uint64_t n = driver.random()() % 3; n > 0; --n) ASSERT_NO_FATAL_FAILURE(driver.step());
@@ -215,7 +216,7 @@
             ASSERT_NO_FATAL_FAILURE(driver.open());
         }
     }
-    // Without a failure all goes on.
+    // Without further failures all work completes.
     for (int n = 0; n < 1000 && driver.engine().has_work(); ++n) ASSERT_NO_FATAL_FAILURE(driver.step());
     ASSERT_FALSE(driver.engine().has_work());
     ASSERT_NO_FATAL_FAILURE(driver.sync());
@@ -238,59 +239,59 @@
         ASSERT_NO_FATAL_FAILURE(work(driver, batches));
         ASSERT_TRUE(driver.results.empty());
     }
-    std::map<std::string, int> told;
+    std::map<std::string, int> status_counts;
     std::uint64_t runs = 0;
     const std::size_t stride = sanitized && !long_form() ? 16 : 1;
     for (std::size_t n = 0; n < calls.size(); n += stride) {
-        struct Way {
+        struct FaultVariant {
             int error;
             std::size_t done;
-            int writes_after = 0;  // that fail too
+            int writes_after = 0;  // number of later writing calls that fail as well
         };
-        std::vector<Way> ways = {{EIO, 0}};
+        std::vector<FaultVariant> variants = {{EIO, 0}};
         if (calls[n].writes()) {
-            ways.push_back({ENOSPC, 0});
-            ways.push_back({EROFS, 0});
-            ways.push_back({EIO, 10, 1});
-            ways.push_back({EIO, 10, 3});
+            variants.push_back({ENOSPC, 0});
+            variants.push_back({EROFS, 0});
+            variants.push_back({EIO, 10, 1});
+            variants.push_back({EIO, 10, 3});
         }
         if (calls[n].kind == Call::Kind::append) {
-            ways.push_back({ENOSPC, 20});
-            ways.push_back({EIO, 1'000'000});  // all of it was written
+            variants.push_back({ENOSPC, 20});
+            variants.push_back({EIO, 1'000'000});  // all bytes are written
         }
-        for (const Way& way : ways) {
+        for (const FaultVariant& variant : variants) {
             SCOPED_TRACE("call " + std::to_string(n) + " " + text_of(calls[n].kind) + " " + calls[n].name +
-                         " " + std::to_string(way.error) + " done " + std::to_string(way.done));
+                         " " + std::to_string(variant.error) + " done " + std::to_string(variant.done));
             SimFiles files;
-            int left = way.writes_after;
+            int remaining_faults = variant.writes_after;
             files.fault = [&](const Call& call) -> std::optional<Fault> {
-                if (call.number == n) return Fault{way.error, way.done};
-                if (call.number < n || left == 0 || !call.writes()) return std::nullopt;
-                --left;
+                if (call.number == n) return Fault{variant.error, variant.done};
+                if (call.number < n || remaining_faults == 0 || !call.writes()) return std::nullopt;
+                --remaining_faults;
                 return Fault{EIO, 0};
             };
             Driver driver(files, seed);
-            driver.thorough = way.writes_after > 0 && calls[n].kind == Call::Kind::append &&
+            driver.thorough = variant.writes_after > 0 && calls[n].kind == Call::Kind::append &&
                               calls[n].name.ends_with(".log");
             work(driver, batches);
             ASSERT_FALSE(HasFatalFailure());
             ++runs;
-            // What is stated for each kind of call.
+            // Guarantees for each kind of call.
             const std::string kind = calls[n].name.substr(calls[n].name.find('.') + 1);
             const std::string call = text_of(calls[n].kind) + (kind.empty() ? "" : " " + kind);
             for (const auto& [status, why] : driver.results)
-                ++told[call + ": " + std::string(text_of(status))];
-            if (driver.results.empty()) ++told[call + ": not told"];
-            if (way.writes_after > 0) continue;
+                ++status_counts[call + ": " + std::string(text_of(status))];
+            if (driver.results.empty()) ++status_counts[call + ": not reported"];
+            if (variant.writes_after > 0) continue;
             if (calls[n].kind == Call::Kind::remove) {
                 ASSERT_EQ(driver.unknowns, 0);
             }
-            const bool never = way.error == EROFS && calls[n].kind != Call::Kind::sync &&
-                               calls[n].kind != Call::Kind::sync_folder;
-            if (never) {
+            const bool permanent = variant.error == EROFS && calls[n].kind != Call::Kind::sync &&
+                                   calls[n].kind != Call::Kind::sync_folder;
+            if (permanent) {
                 ASSERT_FALSE(driver.seen.contains(Status::retry));
             }
-            if (way.error != EROFS && driver.unknowns == 0) {
+            if (variant.error != EROFS && driver.unknowns == 0) {
                 ASSERT_FALSE(driver.seen.contains(Status::refused));
             }
             if (calls[n].kind == Call::Kind::sync) {
@@ -300,24 +301,24 @@
     }
     std::cout << calls.size() << " calls, " << runs << " runs, seed " << seed << "\n";
     if (!long_form()) return;
-    for (const auto& [what, times] : told) std::cout << "  " << what << " (" << times << ")\n";
+    for (const auto& [what, times] : status_counts) std::cout << "  " << what << " (" << times << ")\n";
 }
 
-// ------------------------------------------------------------------------------------------------ full disk
+// Full disk
 
-TEST(StoreFaults, FullDiskThenRoom) {
+TEST(StoreFaults, FullDiskThenSpace) {
     std::set<std::string> where;
     for (std::uint64_t room = 200; room < 9'000; room += long_form() ? 17 : 251) {
         SCOPED_TRACE("room " + std::to_string(room));
         SimFiles files;
         Driver driver(files, 5);
         files.fault = [&](const Call& call) -> std::optional<Fault> {
-            // Where it gets full, for the record.
+            // Notes which kinds of files fill the disk.
             if (call.kind == Call::Kind::append && files.room && files.disk().bytes() + 40 > *files.room)
                 where.insert(call.name.substr(call.name.find('.') + 1));
             return std::nullopt;
         };
-        ASSERT_NO_FATAL_FAILURE(driver.begin());
+        ASSERT_NO_FATAL_FAILURE(driver.open_new());
         files.room = room;
         int refused = 0;
         for (int i = 0; i < 200 && refused < 10; ++i) {
@@ -339,7 +340,7 @@
         ASSERT_NO_FATAL_FAILURE(driver.read());
         ASSERT_NO_FATAL_FAILURE(driver.sync());
         ASSERT_NO_FATAL_FAILURE(driver.check_cut());
-        // Nothing of what failed takes room.
+        // Failed operations leave no files.
         std::uint64_t runs = 0, others = 0;
         for (const std::string& name : files.disk().names()) ++(name.ends_with(".run") ? runs : others);
         ASSERT_EQ(runs, driver.engine().figures().runs);
@@ -371,7 +372,7 @@
         ASSERT_TRUE(opened.result) << opened.result.why;
         ASSERT_EQ(text_of(*opened.engine, names()), text);
     }
-    // What a cut merge has left does not keep it from opening.
+    // A run left by an interrupted merge does not prevent the opening.
     Image image = files.disk().visible();
     image[name_of(8888, "run")] = std::string(1000, 'x');
     SimFiles full(image);
@@ -383,7 +384,7 @@
 TEST(StoreFaults, FolderTurnsReadOnly) {
     SimFiles files;
     Driver driver(files, 8);
-    ASSERT_NO_FATAL_FAILURE(driver.begin());
+    ASSERT_NO_FATAL_FAILURE(driver.open_new());
     for (int i = 0; i < 30; ++i) {
         ASSERT_NO_FATAL_FAILURE(driver.write_and_step());
     }
@@ -404,34 +405,34 @@
     ASSERT_NO_FATAL_FAILURE(driver.open());
 }
 
-// A run of some failures one after the other, with room that comes and goes.
+// Random failures one after the other: I/O errors, a full disk, and a read-only folder.
 TEST(StoreFaults, ManyFailures) {
     const std::uint64_t seeds = long_form() ? 2000 : 40;
     int unknowns = 0;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         SCOPED_TRACE("seed " + std::to_string(seed));
         SimFiles files;
-        Random chance(seed);
+        Random random(seed);
         bool failing = false;
         files.fault = [&](const Call& call) -> std::optional<Fault> {
-            if (!failing || !call.writes() || chance() % 40 != 0) return std::nullopt;
-            failing = false;  // one for each request
+            if (!failing || !call.writes() || random() % 40 != 0) return std::nullopt;
+            failing = false;  // one fault per request
             const int errors[] = {EIO, ENOSPC, EROFS};
-            return Fault{errors[chance() % 3], static_cast<std::size_t>(chance() % 60)};
+            return Fault{errors[random() % 3], static_cast<std::size_t>(random() % 60)};
         };
         Driver driver(files, seed);
-        ASSERT_NO_FATAL_FAILURE(driver.begin());
+        ASSERT_NO_FATAL_FAILURE(driver.open_new());
         for (int i = 0; i < 100; ++i) {
             failing = true;
             ASSERT_NO_FATAL_FAILURE(driver.write());
             failing = true;
             ASSERT_NO_FATAL_FAILURE(driver.step());
-            failing = chance() % 2 == 0;
-            if (chance() % 10 == 0) {
+            failing = random() % 2 == 0;
+            if (random() % 10 == 0) {
                 ASSERT_NO_FATAL_FAILURE(driver.sync());
             }
-            failing = chance() % 2 == 0;
-            if (chance() % 20 == 0) {
+            failing = random() % 2 == 0;
+            if (random() % 20 == 0) {
                 ASSERT_NO_FATAL_FAILURE(driver.open());
             }
         }
@@ -443,10 +444,10 @@
     EXPECT_GT(unknowns, 0);
 }
 
-// One that changes nothing is acknowledged with what came before it: not while that is unknown, nor before it
-// is synced.
-TEST(StoreFaults, ABatchThatChangesNothingIsNotAcknowledgedAheadOfTheSync) {
-    for (const bool mended : {false, true}) {
+// An empty batch must not be acknowledged before the writes ahead of it are synced, nor while their outcome
+// is unknown.
+TEST(StoreFaults, EmptyBatchIsNotAcknowledgedBeforeTheSync) {
+    for (const bool repaired : {false, true}) {
         SimFiles files;
         auto opened = Engine::open(files, {}, counting(1));
         ASSERT_TRUE(opened.result);
@@ -458,20 +459,20 @@
         fails.put(space, "fails", "v");
         ASSERT_TRUE(write(*opened.engine, before, false).result);
         files.fault = [&](const Call& call) -> std::optional<Fault> {
-            if (call.kind == Call::Kind::append) return Fault{ENOSPC, mended ? 0U : 5U};
-            if (call.kind == Call::Kind::truncate && !mended) return Fault{EIO, 0};
+            if (call.kind == Call::Kind::append) return Fault{ENOSPC, repaired ? 0U : 5U};
+            if (call.kind == Call::Kind::truncate && !repaired) return Fault{EIO, 0};
             return std::nullopt;
         };
         const std::vector<const Batch*> both{&fails, &nothing};
         const auto written = opened.engine->write(both, true);
-        EXPECT_EQ(written[0].result.status, mended ? Status::retry : Status::unknown);
-        const bool there =
+        EXPECT_EQ(written[0].result.status, repaired ? Status::retry : Status::unknown);
+        const bool all_durable =
             files.disk().cut({0, 0, {}, false, nullptr}) == files.disk().cut({1, 1, {}, false, nullptr});
-        if (mended) {
+        if (repaired) {
             EXPECT_TRUE(written[1].result);
-            EXPECT_TRUE(there) << "acknowledged, and not synced";
+            EXPECT_TRUE(all_durable) << "acknowledged before the sync";
         } else {
-            EXPECT_FALSE(written[1].result) << "acknowledged by a store that is closed";
+            EXPECT_FALSE(written[1].result) << "acknowledged by a store that refuses writes";
         }
     }
 }
--- a/tests/store/folder_here.h
+++ b/tests/store/folder_here.h
@@ -1,4 +1,4 @@
-// A folder on the real disk that goes with its owner.
+// A temporary folder on the real disk that is removed with its owner.
 #pragma once
 
 #include <stdlib.h>
@@ -22,7 +22,7 @@
     FolderHere(const FolderHere&) = delete;
     FolderHere& operator=(const FolderHere&) = delete;
     const std::string& path() const { return path_; }
-    // A file in it; where it is.
+    // Writes a file into the folder and returns its path.
     std::string write(const std::string& name, const std::string& content) const {
         std::ofstream(path_ + "/" + name, std::ios::binary) << content;
         return path_ + "/" + name;
--- a/tests/store/format_test.cpp
+++ b/tests/store/format_test.cpp
@@ -1,5 +1,5 @@
-// The bytes of the files against docs/store_format.md, put together here by hand; and a store that was
-// written by format version 1 and lies in golden/.
+// Compares the bytes of the files with the format in docs/store_format.md, encoded here by hand. Also reads
+// a store that was written by format version 1 and is kept in golden/.
 #include <gtest/gtest.h>
 #define XXH_INLINE_ALL
 #include <xxhash.h>
@@ -28,17 +28,17 @@
     return bytes;
 }
 
-// Numbers that are easily told: 0x0101..., 0x0202...
-Engine::Chance telling(std::uint64_t first) {
+// Returns easily recognizable numbers: 0x0101..., 0x0202...
+Engine::Chance recognizable_random(std::uint64_t first) {
     auto next = std::make_shared<std::uint64_t>(first);
     return [next] { return (*next)++ * 0x0101010101010101; };
 }
-std::uint64_t told(std::uint64_t n) { return n * 0x0101010101010101; }
+std::uint64_t recognizable(std::uint64_t n) { return n * 0x0101010101010101; }
 
 TEST(StoreFormat, ByteForByte) {
     const std::string zero(1, '\0'), one(1, '\1');
     SimFiles files;
-    auto opened = Engine::open(files, {}, telling(1));
+    auto opened = Engine::open(files, {}, recognizable_random(1));
     ASSERT_TRUE(opened.result);
     SpaceId id = 0;
     ASSERT_TRUE(opened.engine->space("k", SpaceKind::keys, true, id));
@@ -50,40 +50,40 @@
 
     const Image first = files.disk().visible();
     ASSERT_EQ(first.size(), 3U);
-    const std::string identity = u64(told(1)) + u64(told(2));
+    const std::string identity = u64(recognizable(1)) + u64(recognizable(2));
     std::string expected = "flaxstor" + u32(1) + u32(0) + identity;
     EXPECT_EQ(first.at("IDENTITY"), expected + hash(expected));
 
-    // The log: two records.
-    expected = "flaxslog" + u32(1) + u32(0) + identity + u64(1) + u64(told(3)) + u64(0);
+    // The log holds two records.
+    expected = "flaxslog" + u32(1) + u32(0) + identity + u64(1) + u64(recognizable(3)) + u64(0);
     expected += hash(expected);
     const std::string space_key = zero + "nk";
     std::string payload = u8(1) + u8(3) + space_key + u8(2) + u8(1) + u8(1);
     std::string record = u32(payload.size()) + u32(1) + u64(1) + u64(0) + payload;
-    expected += padded(hash(record, told(3)) + record);
+    expected += padded(hash(record, recognizable(3)) + record);
     payload = u8(1) + u8(2) + one + "a" + u8(5) + "value" + u8(2) + u8(3) + one + "ab";
     record = u32(payload.size()) + u32(2) + u64(2) + u64(1) + payload;
-    expected += padded(hash(record, told(3)) + record);
+    expected += padded(hash(record, recognizable(3)) + record);
     EXPECT_EQ(first.at("0000000001.log"), expected);
 
     expected = "flaxsman" + u32(1) + u32(0) + identity + u64(2) + u64(1) + u64(0) + u64(0) + u64(3);
     EXPECT_EQ(first.at("0000000002.manifest"), expected + hash(expected));
 
-    // What was in the log is in a run after another opening.
+    // After another opening the content of the log is in a run.
     opened.engine.reset();
-    opened = Engine::open(files, {}, telling(7));
+    opened = Engine::open(files, {}, recognizable_random(7));
     ASSERT_TRUE(opened.result);
     const Image second = files.disk().visible();
     ASSERT_EQ(second.size(), 4U);
-    const std::uint64_t salt = told(7);
+    const std::uint64_t salt = recognizable(7);
     const std::string block = u8(0) + u8(3) + u8(1 * 2 + 1) + u8(2) + space_key + u8(1) + u8(1) +  //
                               u8(0) + u8(2) + u8(2 * 2 + 1) + u8(5) + one + "a" + "value" +        //
                               u8(2) + u8(1) + u8(3 * 2) + "b";
     const std::string index = u8(3) + one + "ab" + u8(0) + u8(block.size());
     std::string bits(8, '\0');
     for (const std::string& key : {space_key, one + "a", one + "ab"}) {
-        const std::uint64_t h = XXH3_64bits_withSeed(key.data(), key.size(), 0);
-        const std::uint64_t h1 = h & 0xffffffff, h2 = (h >> 32) | 1;
+        const std::uint64_t key_hash = XXH3_64bits_withSeed(key.data(), key.size(), 0);
+        const std::uint64_t h1 = key_hash & 0xffffffff, h2 = (key_hash >> 32) | 1;
         for (std::uint64_t i = 0; i < 7; ++i) {
             const std::uint64_t bit = (h1 + i * h2) % 64;
             bits[bit / 8] = static_cast<char>(bits[bit / 8] | 1 << bit % 8);
@@ -99,21 +99,21 @@
     ASSERT_EQ(footer.size(), 112U);
     EXPECT_EQ(second.at("0000000003.run"), front + footer);
 
-    expected = "flaxslog" + u32(1) + u32(0) + identity + u64(4) + u64(told(8)) + u64(1);
+    expected = "flaxslog" + u32(1) + u32(0) + identity + u64(4) + u64(recognizable(8)) + u64(1);
     EXPECT_EQ(second.at("0000000004.log"), expected + hash(expected));
     expected = "flaxsman" + u32(1) + u32(1) + identity + u64(5) + u64(4) + u64(3) + u64(3) + u64(6) +  //
                u64(3) + u8(0) + u64(front.size() + footer.size()) + u8(3) + space_key + u8(3) + one + "ab";
     EXPECT_EQ(second.at("0000000005.manifest"), expected + hash(expected));
 }
 
-// ---------------------------------------------------------------------------------------------------- golden
+// Golden files
 
 std::string read_file(const std::filesystem::path& path) {
     std::ifstream in(path, std::ios::binary);
     return {std::istreambuf_iterator<char>(in), {}};
 }
 
-// The folder as it was committed: a file "text" tells what it holds.
+// Reads the committed folder. Its file "text" states the expected content.
 TEST(StoreFormat, Version1IsRead) {
     const std::filesystem::path folder = STORE_GOLDEN "/1";
     Image image;
@@ -130,7 +130,7 @@
     EXPECT_GT(opened.opening.records, 0U);
     EXPECT_EQ(text_of(*opened.engine, names()), text);
     EXPECT_TRUE(opened.engine->verify([](const std::string&) {}));
-    // It goes on.
+    // The store can be written.
     EXPECT_TRUE(write(*opened.engine, Changes{{Batch::Kind::put, "lists", "new", "x", 0}}).result);
     opened.engine->compact_all();
     ASSERT_TRUE(finish_work(*opened.engine));
--- a/tests/store/golden.cpp
+++ b/tests/store/golden.cpp
@@ -1,5 +1,5 @@
-// Writes a store of today's format and what it holds into a folder: store_golden tests/store/golden/VERSION.
-// Done once for each version; format_test.cpp reads them ever after.
+// Writes a store of the current format, and a text of its content, into a folder: store_golden
+// tests/store/golden/VERSION. It is run once per format version; format_test.cpp reads all versions.
 #include <filesystem>
 #include <fstream>
 #include <iostream>
@@ -9,10 +9,11 @@
 using namespace flaxdoor::store;
 using namespace flaxdoor::store::test;
 
-// Runs on levels, two logs with batches, streams that were trimmed; nothing of it by chance.
-int main(int count, char** words) {
-    if (count != 2 || std::filesystem::exists(words[1])) {
-        std::cerr << "usage: store_golden FOLDER (a new one)\n";
+// The store has runs on several levels, two logs with batches, and trimmed streams. Its content is
+// deterministic.
+int main(int argument_count, char** arguments) {
+    if (argument_count != 2 || std::filesystem::exists(arguments[1])) {
+        std::cerr << "usage: store_golden NEW_FOLDER\n";
         return 2;
     }
     SimFiles files;
@@ -26,7 +27,7 @@
     }
     Image image = files.disk().visible();
     image["text"] = model.text();
-    std::filesystem::create_directories(words[1]);
+    std::filesystem::create_directories(arguments[1]);
     for (const auto& [name, content] : image)
-        std::ofstream(std::filesystem::path(words[1]) / name, std::ios::binary) << content;
+        std::ofstream(std::filesystem::path(arguments[1]) / name, std::ios::binary) << content;
 }
--- a/tests/store/history.h
+++ b/tests/store/history.h
@@ -1,4 +1,4 @@
-// What was written to a store, step by step, and the check of what a cut left of it.
+// The states of a store after each write, and the check of what a power cut left of it.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +15,7 @@
 
 namespace flaxdoor::store::test {
 
-// States of the store after each batch; the first is the empty one.
+// States of the store after each batch. The first one is empty.
 struct History {
     struct State {
         std::uint64_t sequence = 0;
@@ -26,61 +26,67 @@
 
     History();
     void add(std::uint64_t sequence, std::shared_ptr<const Model> model);
-    [[nodiscard]] History up_to(std::size_t n) const;  // the states 0 to n
+    [[nodiscard]] History up_to(std::size_t state) const;  // states 0 to `state`
     const Model& last() const { return *states.back().model; }
 };
 
+// A recorded workload.
 struct Recording {
     static constexpr std::size_t never = std::numeric_limits<std::size_t>::max();
     struct Times {
-        std::size_t submitted = 0;    // operations on files that were done before it was given to the engine
-        std::size_t durable = never;  // and when it was acknowledged as durable
+        std::size_t submitted = 0;    // file operations done before the batch was submitted
+        std::size_t durable = never;  // file operations done when it was acknowledged as durable
     };
     History history;
-    std::vector<Times> times;  // of state n: times[n - 1]
+    std::vector<Times> times;  // times[n - 1] belongs to state n
     std::vector<Operation> operations;
     std::uint64_t flushes = 0, merges = 0, levels = 0;
-    std::vector<std::pair<std::size_t, std::string>> marks;  // operations done, and what began then
+    // number of operations done, and what started then
+    std::vector<std::pair<std::size_t, std::string>> marks;
 
-    // After `done` operations, one more under way: how many batches must be there, and may be.
-    [[nodiscard]] std::size_t least(std::size_t done) const;
-    [[nodiscard]] std::size_t most(std::size_t done) const;
+    // The least and greatest number of batches that may be found after `done` operations while the next one
+    // is under way.
+    [[nodiscard]] std::size_t min_batches(std::size_t done) const;
+    [[nodiscard]] std::size_t max_batches(std::size_t done) const;
 };
 
-// Batches, steps of background work, a reopening; `files` has all operations in its own log.
+// Runs a random workload of batches, background steps and one reopening through `through`. `files` records
+// all operations.
 Recording record(SimFiles& files, Files& through, std::uint64_t seed, std::uint64_t salts, int batches);
 
 struct Checked {
-    std::string violation;  // empty when all is well
-    std::size_t n = 0;      // of the state that was found
+    std::string violation;  // empty if the check passed
+    std::size_t state = 0;  // index of the state that was found
 };
 
+// Checks images of a disk against a history.
 class Checker {
 public:
-    // Opens it: a state of the history from `least` to `most`; then closed and opened: the same; then a batch
-    // is written, acknowledged, and the disk cut: it is there, and nothing else.
-    [[nodiscard]] Checked check(const Image& image, const History& history, std::size_t least,
-                                std::size_t most);
-    // The same, unless this very state has been checked.
-    [[nodiscard]] Checked check_once(const Image& image, const History& history, std::size_t least,
-                                     std::size_t most);
-    // The opening itself is cut at a random place, and that checked.
-    [[nodiscard]] std::string check_nested(const Image& image, const History& history, std::size_t least,
-                                           std::size_t most, Random& random);
-    // A process that was killed: the next one opens what the kernel kept, goes on, and then the disk is cut.
-    [[nodiscard]] std::string check_killed(const Disk& disk, const History& history, std::size_t least,
-                                           std::size_t most, Random& random);
-    std::uint64_t states() const { return states_ + same_; }
-    std::uint64_t different() const { return states_; }
-    std::uint64_t dropped() const { return dropped_; }  // of them, those with a tail that was dropped
+    // Checks that `image` opens to a state of the history from `min_batches` to `max_batches`, and that a
+    // second opening yields the same state. Then writes a batch, cuts the disk after the acknowledgement,
+    // and checks that the batch and nothing else was added.
+    [[nodiscard]] Checked check(const Image& image, const History& history, std::size_t min_batches,
+                                std::size_t max_batches);
+    // As check(), but skips images that have been checked before.
+    [[nodiscard]] Checked check_once(const Image& image, const History& history, std::size_t min_batches,
+                                     std::size_t max_batches);
+    // Cuts the power at a random point of the opening, and checks the result.
+    [[nodiscard]] std::string check_nested(const Image& image, const History& history,
+                                           std::size_t min_batches, std::size_t max_batches, Random& random);
+    // Simulates a killed process: opens what the kernel kept, continues to write, and then cuts the power.
+    [[nodiscard]] std::string check_killed(const Disk& disk, const History& history, std::size_t min_batches,
+                                           std::size_t max_batches, Random& random);
+    std::uint64_t states() const { return states_ + repeated_; }
+    std::uint64_t distinct_states() const { return states_; }
+    std::uint64_t dropped() const { return dropped_; }  // states in which an incomplete tail was dropped
 
 private:
-    std::uint64_t states_ = 0, same_ = 0;
-    std::set<std::uint64_t> seen_;
+    std::uint64_t states_ = 0, repeated_ = 0;
+    std::set<std::uint64_t> checked_hashes_;
     std::uint64_t dropped_ = 0;
 };
 
-// A cut with chances drawn from `random`.
+// Returns a cut with probabilities drawn from `random`.
 Cut random_cut(Random& random, std::string_view stale);
 
 }  // namespace flaxdoor::store::test
--- a/tests/store/merge_test.cpp
+++ b/tests/store/merge_test.cpp
@@ -1,4 +1,4 @@
-// Merging keeps up with lasting writes at every level.
+// Guards against levels that grow without bound when merging falls behind sustained writes.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -10,18 +10,19 @@
 namespace flaxdoor::store::test {
 namespace {
 
-// Writes that come as fast as they are taken: one step a batch, more only when the engine asks for it.
-TEST(StoreMerge, NoLevelGrowsWithoutBoundUnderLastingWrites) {
+// Writes run as fast as they are accepted: one background step per batch, and more only while the engine
+// stalls writes.
+TEST(StoreMerge, NoLevelGrowsWithoutBoundUnderSustainedWrites) {
     SimFiles files;
     EngineOptions options = small_options();
     options.merge_at = 4;
-    options.crowded_at = 12;
+    options.stall_at = 12;
     Random random(3);
     auto opened = Engine::open(files, options, [&] { return random(); });
     ASSERT_TRUE(opened.result) << opened.result.why;
     SpaceId space = 0;
     ASSERT_TRUE(opened.engine->space("a", SpaceKind::keys, true, space));
-    std::uint64_t greatest = 0;
+    std::uint64_t max_level_1_bytes = 0;
     for (int i = 0; i < 6000; ++i) {
         while (opened.engine->crowded()) {
             ASSERT_TRUE(opened.engine->step());
@@ -32,11 +33,11 @@
         Batch batch;
         batch.put(space, std::to_string(random()), std::string(20, 'x'));
         ASSERT_TRUE(write(*opened.engine, batch, false).result);
-        greatest = std::max(greatest, opened.engine->figures().level_bytes[1]);
+        max_level_1_bytes = std::max(max_level_1_bytes, opened.engine->figures().level_bytes[1]);
     }
     const auto figures = opened.engine->figures();
-    EXPECT_GT(figures.level_bytes[2], options.level_bytes);  // it was enough to fill what is below
-    EXPECT_LT(greatest, 8 * options.level_bytes);
+    EXPECT_GT(figures.level_bytes[2], options.level_bytes);  // enough data to fill level 2
+    EXPECT_LT(max_level_1_bytes, 8 * options.level_bytes);
 }
 
 }  // namespace
--- a/tests/store/model.cpp
+++ b/tests/store/model.cpp
@@ -63,8 +63,8 @@
         return "failed: " + std::string(text_of(result.status)) + ": " + result.why;
     };
     for (const SpaceKind kind : {SpaceKind::keys, SpaceKind::streams}) {
-        for (const auto& [space, its_kind] : names.spaces) {
-            if (its_kind != kind) continue;
+        for (const auto& [space, space_kind] : names.spaces) {
+            if (space_kind != kind) continue;
             SpaceId id = 0;
             if (!engine.space(space, kind, false, id)) continue;
             if (kind == SpaceKind::keys) {
@@ -120,8 +120,8 @@
 }
 
 Engine::Written write(Engine& engine, const Batch& batch, bool durable) {
-    const Batch* const one = &batch;
-    return engine.write(std::span(&one, 1), durable).front();
+    const Batch* const pointer = &batch;
+    return engine.write(std::span(&pointer, 1), durable).front();
 }
 Engine::Written write(Engine& engine, const Changes& changes, bool durable) {
     return write(engine, batch_of(engine, changes), durable);
--- a/tests/store/model.h
+++ b/tests/store/model.h
@@ -1,5 +1,5 @@
-// What a store must hold, kept apart from the engine: plain maps, rebuilt from the batches. And the same told
-// by an engine, in the same words, so that the two can be compared.
+// The expected content of a store, kept independently of the engine in plain maps and rebuilt from the
+// batches. The content of an engine can be formatted as the same text, so that the two can be compared.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 namespace flaxdoor::store::test {
 
-// A change by the name of its space.
+// A change that names its space.
 struct Change {
     Batch::Kind kind = Batch::Kind::put;
     std::string space, key, value;
@@ -22,6 +22,7 @@
 
 SpaceKind kind_of(const Change& change);
 
+// Plain-map model of a store.
 class Model {
 public:
     void make_space(const std::string& space, SpaceKind kind);
@@ -42,27 +43,27 @@
     std::map<std::string, Streams> streams_;
 };
 
-// The names that a workload uses: a store has no list of its streams.
+// The names that a workload uses, as a store cannot list its streams.
 struct Names {
     std::map<std::string, SpaceKind> spaces;
     std::vector<std::string> streams;
 };
 
-// All that the engine tells of these names; an error's text when it fails.
+// Formats all content of these names that the engine returns, or the text of an error.
 std::string text_of(Engine& engine, const Names& names, std::size_t page = 7,
                     std::optional<std::uint64_t> snapshot = std::nullopt);
 
-// With the spaces' numbers; a space that is not there gets 0.
+// Builds a batch. A space that does not exist gets number 0.
 Batch batch_of(Engine& engine, const Changes& changes);
 
-// Writes one batch, or some in one group, and tells what came of it.
+// Write one batch, or several in one group, and return the results.
 Engine::Written write(Engine& engine, const Batch& batch, bool durable = true);
 Engine::Written write(Engine& engine, const Changes& changes, bool durable = true);
 std::vector<Engine::Written> write_group(Engine& engine, const std::vector<Changes>& group, bool durable);
-// All the background work that there is; or what failed.
+// Runs all background work. Returns the first error.
 Result finish_work(Engine& engine);
 
-// Numbers that are the same in each run.
+// Returns a pseudo-random source that is the same in each run.
 Engine::Chance counting(std::uint64_t seed);
 
 }  // namespace flaxdoor::store::test
--- a/tests/store/model_test.cpp
+++ b/tests/store/model_test.cpp
@@ -1,4 +1,4 @@
-// Random operations, reopenings and snapshots against plain maps.
+// Compares an engine with plain maps under random operations, reopenings and snapshots.
 #include "model.h"
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
 namespace flaxdoor::store::test {
 namespace {
 
-void run(std::uint64_t seed, int steps) {
+void run_random_operations(std::uint64_t seed, int steps) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     Random random(seed);
     SimFiles files;
@@ -30,7 +30,7 @@
         Engine& engine = *opened.engine;
         switch (random() % 16) {
             case 0: {
-                // Sequences, but no snapshots, go on over a reopening.
+                // Sequences continue after a reopening, snapshots do not.
                 snapshots.clear();
                 opened.engine.reset();
                 opened = Engine::open(files, options, counting(seed + static_cast<std::uint64_t>(step) + 1));
@@ -69,7 +69,7 @@
                 for (std::size_t n = 1 + random() % 3; n > 0; --n) group.push_back(maker.next());
                 const auto written = write_group(engine, group, random() % 2 == 0);
                 for (std::size_t i = 0; i < group.size(); ++i) {
-                    if (written[i].result.status == Status::retry) continue;  // its tables are full
+                    if (written[i].result.status == Status::retry) continue;  // the memory tables are full
                     ASSERT_TRUE(written[i].result) << written[i].result.why;
                     model.apply(group[i]);
                 }
@@ -96,9 +96,10 @@
     }
 }
 
-TEST(StoreModel, RandomOperationsLikePlainMaps) {
+TEST(StoreModel, RandomOperationsMatchModel) {
     const std::uint64_t seeds = long_form() ? 3000 : 60;
-    for (std::uint64_t seed = 1; seed <= seeds && !::testing::Test::HasFatalFailure(); ++seed) run(seed, 300);
+    for (std::uint64_t seed = 1; seed <= seeds && !::testing::Test::HasFatalFailure(); ++seed)
+        run_random_operations(seed, 300);
 }
 
 }  // namespace
--- a/tests/store/salvage_test.cpp
+++ b/tests/store/salvage_test.cpp
@@ -1,4 +1,4 @@
-// What can be read of a damaged store is saved, what is lost is told, and the old one stays as it is.
+// Salvage must copy what can be read of a damaged store, report every loss, and leave the source unchanged.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -11,15 +11,15 @@
 namespace flaxdoor::store::test {
 namespace {
 
-// A store with runs on levels and a log that has not been flushed, and all lines that were ever true of it.
-struct Written {
+// A store with runs on several levels and an unflushed log, and all lines of content that it ever had.
+struct WrittenStore {
     Image image;
     std::string text;
     std::set<std::string> lines;
     std::uint64_t runs = 0;
     std::string first_log;
 
-    explicit Written(std::uint64_t seed) {
+    explicit WrittenStore(std::uint64_t seed) {
         SimFiles files;
         const Recording recording = record(files, files, seed, 1, 30);
         auto opened = Engine::open(files, small_options(), counting(9));
@@ -50,14 +50,14 @@
             }
         }
     }
-    // Nothing that was never written.
-    void check(const std::string& text_now) const {
+    // Checks that the text holds nothing that was never written.
+    void check(const std::string& salvaged_text) const {
         std::string space, stream, line;
-        for (std::size_t at = 0; at < text_now.size(); at += line.size() + 1) {
-            line = text_now.substr(at, text_now.find('\n', at) - at);
+        for (std::size_t at = 0; at < salvaged_text.size(); at += line.size() + 1) {
+            line = salvaged_text.substr(at, salvaged_text.find('\n', at) - at);
             if (line.starts_with("  ")) {
-                const std::string told = space + "/" + (stream.empty() ? "" : stream + "/") + line.substr(2);
-                ASSERT_TRUE(lines.contains(told)) << told;
+                const std::string entry = space + "/" + (stream.empty() ? "" : stream + "/") + line.substr(2);
+                ASSERT_TRUE(lines.contains(entry)) << entry;
             } else if (line.starts_with(" ")) {
                 stream = line.substr(1, line.find(" next ") - 1);
             } else {
@@ -68,19 +68,19 @@
     }
 };
 
-struct Salvaged {
+struct SalvageOutcome {
     Result result;
-    std::vector<std::string> told;
+    std::vector<std::string> reported;
     SimFiles to;
     std::string text;
     Identity identity{};
 
-    explicit Salvaged(const Image& image) {
+    explicit SalvageOutcome(const Image& image) {
         SimFiles from(image);
-        result = salvage(from, to, counting(5), [&](const std::string& line) { told.push_back(line); });
+        result = salvage(from, to, counting(5), [&](const std::string& line) { reported.push_back(line); });
         EXPECT_TRUE(from.operations().empty());
         if (!result) return;
-        // It is a store, also after a cut, and goes on.
+        // The result is a store, also after a power cut, and can be written.
         SimFiles after(to.disk().cut({0, 0, {}, false, nullptr}));
         auto opened = Engine::open(after, small_options(), counting(6));
         EXPECT_TRUE(opened.result) << opened.result.why;
@@ -100,108 +100,109 @@
     }
 };
 
-TEST(StoreSalvage, AWholeStoreLosesNothing) {
+TEST(StoreSalvage, UndamagedStoreLosesNothing) {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-        const Written written(seed);
-        const Salvaged salvaged(written.image);
+        const WrittenStore written(seed);
+        const SalvageOutcome salvaged(written.image);
         ASSERT_TRUE(salvaged.result) << salvaged.result.why;
         EXPECT_EQ(salvaged.text, written.text);
-        ASSERT_EQ(salvaged.told.size(), 1U) << salvaged.told.front();
+        ASSERT_EQ(salvaged.reported.size(), 1U) << salvaged.reported.front();
     }
 }
 
 TEST(StoreSalvage, AnyByteFlipped) {
-    const Written written(3);
+    const WrittenStore written(3);
     ASSERT_GE(written.runs, 2U);
     for (const auto& [name, content] : written.image) {
         for (std::size_t at = 0; at < content.size(); at += long_form() ? 1 : 7) {
             SCOPED_TRACE(name + " byte " + std::to_string(at));
             Image image = written.image;
             image[name][at] = static_cast<char>(content[at] ^ 4);
-            const Salvaged salvaged(image);
+            const SalvageOutcome salvaged(image);
             ASSERT_TRUE(salvaged.result) << salvaged.result.why;
             ASSERT_NO_FATAL_FAILURE(written.check(salvaged.text));
-            // What is missing has been told, with the file.
-            ASSERT_TRUE(std::ranges::any_of(
-                salvaged.told, [&file = name](const std::string& line) { return line.starts_with(file); }));
+            // The loss is reported with the name of the file.
+            ASSERT_TRUE(std::ranges::any_of(salvaged.reported, [&file = name](const std::string& line) {
+                return line.starts_with(file);
+            }));
         }
     }
 }
 
 TEST(StoreSalvage, AnyFileMissing) {
-    const Written written(3);
+    const WrittenStore written(3);
     for (const auto& [name, content] : written.image) {
         SCOPED_TRACE(name);
         Image image = written.image;
         image.erase(name);
-        const Salvaged salvaged(image);
+        const SalvageOutcome salvaged(image);
         ASSERT_TRUE(salvaged.result) << salvaged.result.why;
         ASSERT_NO_FATAL_FAILURE(written.check(salvaged.text));
-        // A log that no manifest names is missed by none.
+        // The absence of a log that no manifest names cannot be noticed.
         const bool named = !name.ends_with(".log") || name == written.first_log;
-        EXPECT_GT(salvaged.told.size(), named ? 1U : 0U);
+        EXPECT_GT(salvaged.reported.size(), named ? 1U : 0U);
         if (name == "IDENTITY" || name.ends_with("manifest")) {
             EXPECT_EQ(salvaged.text, written.text);
         }
     }
 }
 
-TEST(StoreSalvage, OneBlockOfTheLog) {
-    const Written written(3);
+TEST(StoreSalvage, DamageWithinTheLog) {
+    const WrittenStore written(3);
     for (const auto& [name, content] : written.image) {
         if (!name.ends_with(".log")) continue;
         Image image = written.image;
         image[name].replace(100, 8, 8, '\0');
         SimFiles from(image);
         EXPECT_EQ(Engine::open(from, small_options(), counting(1)).result.status, Status::corrupt);
-        const Salvaged salvaged(image);
+        const SalvageOutcome salvaged(image);
         ASSERT_TRUE(salvaged.result);
-        // The batches behind it are kept, and those that are gone are told.
-        EXPECT_TRUE(std::ranges::any_of(salvaged.told, [](const std::string& line) {
+        // The batches after the damage are kept, and the lost ones are reported.
+        EXPECT_TRUE(std::ranges::any_of(salvaged.reported, [](const std::string& line) {
             return line.find("batches of sequence") != std::string::npos;
         }));
         EXPECT_NE(salvaged.text, written.text);
     }
 }
 
-TEST(StoreSalvage, WhereItDoesNotWrite) {
-    const Written written(3);
-    const auto none = [](const std::string&) {};
+TEST(StoreSalvage, UnusableTargetsAndFailingReads) {
+    const WrittenStore written(3);
+    const auto ignore_report = [](const std::string&) {};
     const auto fails_at = [](std::size_t n) {
         return [n](const Call& call) {
             return call.number == n ? std::optional(Fault{EIO, 0}) : std::nullopt;
         };
     };
     SimFiles from(written.image), full(written.image);
-    EXPECT_EQ(salvage(from, full, counting(1), none).status, Status::refused);
+    EXPECT_EQ(salvage(from, full, counting(1), ignore_report).status, Status::refused);
     EXPECT_TRUE(full.operations().empty());
-    // A target that fails is told, and is no store.
+    // A failing target is reported and is not a store.
     std::size_t calls = 0;
     {
         SimFiles to;
-        ASSERT_TRUE(salvage(from, to, counting(1), none));
+        ASSERT_TRUE(salvage(from, to, counting(1), ignore_report));
         calls = to.calls();
     }
     for (std::size_t n = 0; n < calls; ++n) {
         SimFiles to;
         to.fault = fails_at(n);
-        const Result result = salvage(from, to, counting(1), none);
+        const Result result = salvage(from, to, counting(1), ignore_report);
         EXPECT_EQ(result.status, Status::retry) << n << " " << result.why;
     }
-    // Reads that fail are losses like others.
+    // Failed reads are reported as losses.
     for (std::size_t n = 0; n < 40; ++n) {
-        SimFiles sick(written.image), to;
-        sick.fault = fails_at(n);
-        std::vector<std::string> told;
+        SimFiles failing(written.image), to;
+        failing.fault = fails_at(n);
+        std::vector<std::string> reported;
         const Result result =
-            salvage(sick, to, counting(1), [&](const std::string& t) { told.push_back(t); });
+            salvage(failing, to, counting(1), [&](const std::string& line) { reported.push_back(line); });
         EXPECT_TRUE(result || result.status == Status::retry) << n;
         if (!result) continue;
         auto opened = Engine::open(to, small_options(), counting(2));
         ASSERT_TRUE(opened.result) << opened.result.why;
         const std::string text = text_of(*opened.engine, names(), 50);
         ASSERT_NO_FATAL_FAILURE(written.check(text));
-        if (told.size() == 1) {
+        if (reported.size() == 1) {
             EXPECT_EQ(text, written.text) << n;
         }
     }
--- a/tests/store/sim_files.cpp
+++ b/tests/store/sim_files.cpp
@@ -21,13 +21,13 @@
         if (!fault && files_.read_only) fault = Fault{EROFS, 0};
         if (!fault && files_.room) {
             const std::uint64_t used = files_.disk_.bytes();
-            const std::uint64_t left = *files_.room - std::min(*files_.room, used);
-            if (bytes.size() > left) fault = Fault{ENOSPC, static_cast<std::size_t>(left)};
+            const std::uint64_t remaining = *files_.room - std::min(*files_.room, used);
+            if (bytes.size() > remaining) fault = Fault{ENOSPC, static_cast<std::size_t>(remaining)};
         }
         const std::string_view part = fault ? bytes.substr(0, std::min(fault->done, bytes.size())) : bytes;
         if (!part.empty()) {
-            files_.done({Operation::Kind::append, {}, inode_, end_, std::string(part)});
-            end_ += part.size();
+            files_.apply({Operation::Kind::append, {}, inode_, end_offset_, std::string(part)});
+            end_offset_ += part.size();
         }
         return fault ? fault->error : 0;
     }
@@ -40,13 +40,13 @@
     int truncate(std::uint64_t size) override {
         if (const auto fault = files_.next_call(Call::Kind::truncate, name_)) return fault->error;
         if (files_.read_only) return EROFS;
-        files_.done({Operation::Kind::truncate, {}, inode_, size});
-        end_ = size;
+        files_.apply({Operation::Kind::truncate, {}, inode_, size});
+        end_offset_ = size;
         return 0;
     }
     int sync() override {
         const auto fault = files_.next_call(Call::Kind::sync, name_);
-        files_.done({fault ? Operation::Kind::failed_sync : Operation::Kind::sync, {}, inode_});
+        files_.apply({fault ? Operation::Kind::failed_sync : Operation::Kind::sync, {}, inode_});
         return fault ? fault->error : 0;
     }
     int size(std::uint64_t& size) override {
@@ -59,7 +59,7 @@
     SimFiles& files_;
     const std::string name_;
     const std::size_t inode_;
-    std::uint64_t end_ = 0;
+    std::uint64_t end_offset_ = 0;
 };
 
 std::optional<Fault> SimFiles::next_call(Call::Kind kind, const std::string& name) {
@@ -67,7 +67,7 @@
     return fault ? fault(call) : std::nullopt;
 }
 
-void SimFiles::done(Operation operation) {
+void SimFiles::apply(Operation operation) {
     disk_.apply(operation);
     operations_.push_back(std::move(operation));
 }
@@ -78,7 +78,7 @@
     if (disk_.find(name)) return EEXIST;
     if (room && disk_.bytes() >= *room) return ENOSPC;
     const std::size_t inode = disk_.inodes();
-    done({Operation::Kind::create, name, inode});
+    apply({Operation::Kind::create, name, inode});
     file = std::make_unique<SimFile>(*this, name, inode);
     return 0;
 }
@@ -96,7 +96,7 @@
     if (read_only) return EROFS;
     const auto inode = disk_.find(name);
     if (!inode) return ENOENT;
-    done({Operation::Kind::remove, name, *inode});
+    apply({Operation::Kind::remove, name, *inode});
     return 0;
 }
 
@@ -108,7 +108,7 @@
 
 int SimFiles::sync_folder() {
     const auto fault = next_call(Call::Kind::sync_folder, {});
-    done({fault ? Operation::Kind::failed_sync_folder : Operation::Kind::sync_folder, {}});
+    apply({fault ? Operation::Kind::failed_sync_folder : Operation::Kind::sync_folder, {}});
     return fault ? fault->error : 0;
 }
 
@@ -117,13 +117,13 @@
     return fault ? fault->error : 0;
 }
 
-// ------------------------------------------------------------------------------------------------ forgetful
+// Skipped syncs
 
 namespace {
 
-class Unsynced final : public File {
+class UnsyncedFile final : public File {
 public:
-    explicit Unsynced(std::unique_ptr<File> file) : file_(std::move(file)) {}
+    explicit UnsyncedFile(std::unique_ptr<File> file) : file_(std::move(file)) {}
     int append(std::string_view bytes) override { return file_->append(bytes); }
     int read(std::uint64_t offset, std::size_t n, std::string& out) override {
         return file_->read(offset, n, out);
@@ -138,9 +138,9 @@
 
 }  // namespace
 
-int Forgetful::create(const std::string& name, std::unique_ptr<File>& file) {
+int SyncSkippingFiles::create(const std::string& name, std::unique_ptr<File>& file) {
     const int error = files_.create(name, file);
-    if (error == 0 && forgets_ != Forgets::folder) file = std::make_unique<Unsynced>(std::move(file));
+    if (error == 0 && skipped_ != Skipped::folder) file = std::make_unique<UnsyncedFile>(std::move(file));
     return error;
 }
 
--- a/tests/store/sim_files.h
+++ b/tests/store/sim_files.h
@@ -1,7 +1,7 @@
-// The store's files on a stand-in of a disk (standins/disk.h). Each call that changes something is logged; any call
-// can be made to fail.
+// The file interface of the store on a simulated disk (standins/disk.h). Records each call that changes
+// something, and can make any call fail.
 //
-// Threading: one thread.   Ownership: files that were handed out must not outlive their SimFiles.
+// Threading: one thread.   Ownership: files opened through a SimFiles must not outlive it.
 #pragma once
 
 #include <cstddef>
@@ -24,11 +24,12 @@
 using standins::disk::Operation;
 using standins::disk::Random;
 
+// A call to the file interface.
 struct Call {
     enum class Kind { create, open, remove, list, sync_folder, lock, append, read, truncate, sync, size };
-    std::size_t number = 0;  // from 0, of all calls
+    std::size_t number = 0;  // index of the call among all calls, from 0
     Kind kind = Kind::create;
-    std::string name;  // of the file when it was created or opened
+    std::string name;  // name of the file when it was created or opened
     bool writes() const {
         return kind == Kind::create || kind == Kind::remove || kind == Kind::sync_folder ||
                kind == Kind::append || kind == Kind::truncate || kind == Kind::sync;
@@ -38,7 +39,7 @@
 
 struct Fault {
     int error = 0;
-    std::size_t done = 0;  // bytes of an append that are written all the same
+    std::size_t done = 0;  // bytes of an append that are written in spite of the error
 };
 
 class SimFiles final : public Files {
@@ -54,9 +55,9 @@
     int sync_folder() override;
     int lock() override;
 
-    // Asked before each call.
+    // Called before each call. Returns the fault with which the call fails, if any.
     std::function<std::optional<Fault>(const Call&)> fault;
-    std::optional<std::uint64_t> room;  // bytes of all files
+    std::optional<std::uint64_t> room;  // limit for the total size of all files; unlimited if empty
     bool read_only = false;
 
     const Disk& disk() const { return disk_; }
@@ -66,30 +67,30 @@
 private:
     class SimFile;
     std::optional<Fault> next_call(Call::Kind kind, const std::string& name);
-    void done(Operation operation);
+    void apply(Operation operation);
 
     Disk disk_;
     std::vector<Operation> operations_;
     std::size_t calls_ = 0;
 };
 
-// Says yes to syncs and does nothing.
-class Forgetful final : public Files {
+// Wraps files so that some syncs succeed without any effect.
+class SyncSkippingFiles final : public Files {
 public:
-    enum class Forgets { files, folder, both };
-    Forgetful(Files& files, Forgets forgets) : files_(files), forgets_(forgets) {}
+    enum class Skipped { files, folder, both };
+    SyncSkippingFiles(Files& files, Skipped skipped) : files_(files), skipped_(skipped) {}
     int create(const std::string& name, std::unique_ptr<File>& file) override;
     int open(const std::string& name, std::unique_ptr<File>& file) override {
         return files_.open(name, file);
     }
     int remove(const std::string& name) override { return files_.remove(name); }
     int list(std::vector<std::string>& names) override { return files_.list(names); }
-    int sync_folder() override { return forgets_ == Forgets::files ? files_.sync_folder() : 0; }
+    int sync_folder() override { return skipped_ == Skipped::files ? files_.sync_folder() : 0; }
     int lock() override { return files_.lock(); }
 
 private:
     Files& files_;
-    const Forgets forgets_;
+    const Skipped skipped_;
 };
 
 }  // namespace flaxdoor::store::test
--- a/tests/store/workload.h
+++ b/tests/store/workload.h
@@ -1,5 +1,5 @@
-// What the tests write, made from a seed: a few spaces and few keys, so that they are overwritten and merged
-// often.
+// Random workload made from a seed. It uses few spaces and keys, so that keys are often overwritten and
+// merged.
 #pragma once
 
 #include <cstdint>
@@ -11,10 +11,10 @@
 
 namespace flaxdoor::store::test {
 
-// FLAXDOOR_STORE_LONG=1: all that takes minutes.
+// Whether FLAXDOOR_STORE_LONG is set, which enables the forms that take minutes.
 inline bool long_form() { return std::getenv("FLAXDOOR_STORE_LONG") != nullptr; }
 
-// The sanitizers' build looks at a part of the states.
+// Builds with sanitizers check only a part of the states.
 inline constexpr bool sanitized =
 #ifdef __SANITIZE_ADDRESS__
     true;
@@ -22,7 +22,7 @@
     false;
 #endif
 
-// So small that some dozen batches lead to runs on three levels.
+// Limits so small that a few dozen batches produce runs on three levels.
 inline EngineOptions small_options() {
     EngineOptions options;
     options.memory_table = 1500;
@@ -30,7 +30,7 @@
     options.run_bytes = 500;
     options.step_bytes = 300;
     options.merge_at = 2;
-    options.crowded_at = 4;
+    options.stall_at = 4;
     options.level_bytes = 1200;
     options.log = 3000;
     return options;
@@ -43,6 +43,7 @@
     return all;
 }
 
+// Creates the spaces of names(), in the model as well if it is given.
 inline void make_spaces(Engine& engine, Model* model) {
     for (const auto& [space, kind] : names().spaces) {
         SpaceId id = 0;
@@ -50,7 +51,7 @@
     }
 }
 
-// Lines of keys alone: the next position of a stream is not read by a snapshot.
+// Returns the text without the lines of next positions, which cannot be read as of a snapshot.
 inline std::string keys_of(const std::string& text) {
     std::string out;
     std::size_t at = 0;
@@ -63,6 +64,7 @@
     return out;
 }
 
+// Generates random batches.
 class WorkloadMaker {
 public:
     explicit WorkloadMaker(std::uint64_t seed) : random_(seed) {}
@@ -75,14 +77,14 @@
     Changes next() {
         Changes changes;
         for (std::size_t n = 1 + random_() % 5; n > 0; --n) {
-            const std::uint64_t what = random_() % 10;
+            const std::uint64_t choice = random_() % 10;
             const std::string space = random_() % 2 == 0 ? "lists" : "weights";
             const std::string stream = names().streams[random_() % names().streams.size()];
-            if (what < 5) {
+            if (choice < 5) {
                 changes.push_back({Batch::Kind::put, space, key(), value()});
-            } else if (what < 7) {
+            } else if (choice < 7) {
                 changes.push_back({Batch::Kind::erase, space, key(), {}});
-            } else if (what < 9) {
+            } else if (choice < 9) {
                 changes.push_back({Batch::Kind::append, "ledger", stream, value()});
                 ++appended_;
             } else {
