--- a/src/store/engine.h
+++ b/src/store/engine.h
@@ -52,6 +52,7 @@
 // Largest number of spaces in a store.
 inline constexpr std::size_t max_spaces = 1000;
 
+// What a space holds: key-value pairs, or streams of elements with ascending positions.
 enum class SpaceKind : std::uint8_t { keys = 1, streams = 2 };
 
 // What opening a store found.
--- a/src/store/manifest.h
+++ b/src/store/manifest.h
@@ -12,6 +12,7 @@
 
 namespace flaxdoor::store {
 
+// Content of a manifest.
 struct Manifest {
     Identity identity{};  // identity of the store
     std::uint64_t number = 0;
--- a/src/store/recovery.h
+++ b/src/store/recovery.h
@@ -20,6 +20,7 @@
     std::string bytes;
 };
 
+// Result of recover().
 struct RecoveredLogs {
     std::vector<Record> records;  // valid records in order; they refer to the bytes of the logs
     std::uint64_t last_sequence = 0;
--- a/tests/store/history.h
+++ b/tests/store/history.h
@@ -54,6 +54,7 @@
 // all operations.
 Recording record(SimFiles& files, Files& through, std::uint64_t seed, std::uint64_t salts, int batches);
 
+// Result of a check.
 struct Checked {
     std::string violation;  // empty if the check passed
     std::size_t state = 0;  // index of the state that was found
--- a/tests/store/sim_files.h
+++ b/tests/store/sim_files.h
@@ -37,6 +37,7 @@
 };
 std::string text_of(Call::Kind kind);
 
+// How a call fails.
 struct Fault {
     int error = 0;
     std::size_t done = 0;  // bytes of an append that are written in spite of the error
