--- a/tests/gateway/status_test.cpp
+++ b/tests/gateway/status_test.cpp
@@ -7,68 +7,68 @@
 
 using namespace std::chrono_literals;
 
-const std::string us = "flaxdoor.dev/gateway";
+const std::string own_controller = "flaxdoor.dev/gateway";
 
 Json condition(const std::string& type, const std::string& status, const std::string& reason = "R") {
     return {
         {"type", type}, {"status", status}, {"reason", reason}, {"message", ""}, {"observedGeneration", 1}};
 }
-Json timed(Json condition, const std::string& time) {
+Json with_time(Json condition, const std::string& time) {
     condition["lastTransitionTime"] = time;
     return condition;
 }
 
-TEST(Status, ATimeChangesOnlyWithItsStatus) {
+TEST(Status, TheTransitionTimeChangesOnlyWithTheStatus) {
     const Json current = {{"conditions",
-                           {timed(condition("Accepted", "True", "Old"), "2026-01-01T00:00:00Z"),
-                            timed(condition("Programmed", "True"), "2026-01-01T00:00:00Z")}}};
+                           {with_time(condition("Accepted", "True", "Old"), "2026-01-01T00:00:00Z"),
+                            with_time(condition("Programmed", "True"), "2026-01-01T00:00:00Z")}}};
     const Json desired = {
         {"conditions", {condition("Accepted", "True", "New"), condition("Programmed", "False")}}};
-    const auto made = merged(KindOf::gateway, current, desired, us, 1796083200);
-    ASSERT_TRUE(made);
-    EXPECT_EQ((*made)["conditions"][0]["lastTransitionTime"], "2026-01-01T00:00:00Z");
-    EXPECT_EQ((*made)["conditions"][0]["reason"], "New");
-    EXPECT_EQ((*made)["conditions"][1]["lastTransitionTime"], "2026-12-01T00:00:00Z");
-    EXPECT_FALSE(merged(KindOf::gateway, *made, desired, us, 1796999999))
-        << "nothing differs, nothing is written";
+    const auto merged_status = merged(KindOf::gateway, current, desired, own_controller, 1796083200);
+    ASSERT_TRUE(merged_status);
+    EXPECT_EQ((*merged_status)["conditions"][0]["lastTransitionTime"], "2026-01-01T00:00:00Z");
+    EXPECT_EQ((*merged_status)["conditions"][0]["reason"], "New");
+    EXPECT_EQ((*merged_status)["conditions"][1]["lastTransitionTime"], "2026-12-01T00:00:00Z");
+    EXPECT_FALSE(merged(KindOf::gateway, *merged_status, desired, own_controller, 1796999999))
+        << "nothing is written if nothing differs";
 }
 
-TEST(Status, OthersConditionsAndParentsStayAsTheyAre) {
-    const Json foreign = timed(condition("other.example/Seen", "True"), "2026-01-01T00:00:00Z");
+TEST(Status, KeepsConditionsAndParentsOfOtherControllers) {
+    const Json foreign = with_time(condition("other.example/Seen", "True"), "2026-01-01T00:00:00Z");
     const Json current = {{"conditions", {foreign}}};
-    const auto made =
-        merged(KindOf::gateway, current, {{"conditions", {condition("Accepted", "True")}}}, us, 1);
-    ASSERT_TRUE(made);
-    EXPECT_EQ((*made)["conditions"].size(), 2U);
-    EXPECT_EQ((*made)["conditions"][1], foreign);
+    const auto merged_status = merged(KindOf::gateway, current,
+                                      {{"conditions", {condition("Accepted", "True")}}}, own_controller, 1);
+    ASSERT_TRUE(merged_status);
+    EXPECT_EQ((*merged_status)["conditions"].size(), 2U);
+    EXPECT_EQ((*merged_status)["conditions"][1], foreign);
 
-    const Json theirs = {
+    const Json foreign_parent = {
         {"parentRef", {{"name", "g"}}}, {"controllerName", "other"}, {"conditions", {foreign}}};
-    const Json ours = {{"parentRef", {{"name", "g"}}},
-                       {"controllerName", us},
-                       {"conditions", {condition("Accepted", "True")}}};
+    const Json own_parent = {{"parentRef", {{"name", "g"}}},
+                             {"controllerName", own_controller},
+                             {"conditions", {condition("Accepted", "True")}}};
     const Json old = {
-        {"parentRef", {{"name", "old"}}}, {"controllerName", us}, {"conditions", Json::array()}};
-    const Json route = {{"parents", {old, theirs}}};
-    const auto parents = merged(KindOf::http_route, route, {{"parents", {ours}}}, us, 1);
+        {"parentRef", {{"name", "old"}}}, {"controllerName", own_controller}, {"conditions", Json::array()}};
+    const Json route = {{"parents", {old, foreign_parent}}};
+    const auto parents = merged(KindOf::http_route, route, {{"parents", {own_parent}}}, own_controller, 1);
     ASSERT_TRUE(parents);
-    EXPECT_EQ((*parents)["parents"].size(), 2U) << "ours that is wanted no more has gone";
-    EXPECT_EQ((*parents)["parents"][0], theirs);
-    const auto none = merged(KindOf::http_route, *parents, {{"parents", Json::array()}}, us, 1);
+    EXPECT_EQ((*parents)["parents"].size(), 2U) << "an own entry that is no longer desired is removed";
+    EXPECT_EQ((*parents)["parents"][0], foreign_parent);
+    const auto none = merged(KindOf::http_route, *parents, {{"parents", Json::array()}}, own_controller, 1);
     ASSERT_TRUE(none);
-    EXPECT_EQ((*none)["parents"], Json::array({theirs}));
-    EXPECT_FALSE(merged(KindOf::http_route, Json::object(), {{"parents", Json::array()}}, us, 1));
-    // The order in which another left them is no reason to write.
-    Json turned = *parents;
-    std::swap(turned["parents"][0], turned["parents"][1]);
-    EXPECT_FALSE(merged(KindOf::http_route, turned, {{"parents", {ours}}}, us, 1));
+    EXPECT_EQ((*none)["parents"], Json::array({foreign_parent}));
+    EXPECT_FALSE(merged(KindOf::http_route, Json::object(), {{"parents", Json::array()}}, own_controller, 1));
+    // A different order of the entries causes no write.
+    Json reordered = *parents;
+    std::swap(reordered["parents"][0], reordered["parents"][1]);
+    EXPECT_FALSE(merged(KindOf::http_route, reordered, {{"parents", {own_parent}}}, own_controller, 1));
 }
 
-struct Writer {
-    Writer()
+struct WriterFixture {
+    WriterFixture()
         : writer([] {
               StatusWriter::Options options;
-              options.controller = us;
+              options.controller = own_controller;
               options.per_s = 1;
               options.burst = 2;
               return options;
@@ -79,9 +79,9 @@
                        {"spec", Json::object()},
                        {"status", std::move(status)}});
     }
-    static Desired want(const std::string& name, const std::string& status) {
+    static DesiredStatus want(const std::string& name, const std::string& status) {
         const Json parent = {{"parentRef", {{"name", "g"}}},
-                             {"controllerName", us},
+                             {"controllerName", own_controller},
                              {"conditions", {condition("Accepted", status)}}};
         return {KindOf::http_route, name, {{"parents", {parent}}}};
     }
@@ -89,68 +89,69 @@
     StatusWriter writer;
 };
 
-TEST(StatusWriter, OneAtATimeGuardedByItsVersionAndOnlyByTheHolder) {
-    Writer w;
-    w.route("a", "5");
-    w.writer.want({Writer::want("a", "True")});
-    EXPECT_FALSE(w.writer.next(1s, false, w.resources));
-    const auto write = w.writer.next(1s, true, w.resources);
+TEST(StatusWriter, WritesOneAtATimeWithAVersionAndOnlyAsLeaseHolder) {
+    WriterFixture fixture;
+    fixture.route("a", "5");
+    fixture.writer.want({WriterFixture::want("a", "True")});
+    EXPECT_FALSE(fixture.writer.next(1s, false, fixture.resources));
+    const auto write = fixture.writer.next(1s, true, fixture.resources);
     ASSERT_TRUE(write);
     EXPECT_EQ(write->patch["metadata"]["resourceVersion"], "5");
-    EXPECT_FALSE(w.writer.next(1s, true, w.resources)) << "one is under way";
+    EXPECT_FALSE(fixture.writer.next(1s, true, fixture.resources)) << "a write is in flight";
     Json status = write->patch["status"];
-    w.route("a", "6", status);
-    w.writer.ended(1s, Written::done, 0.5);
-    EXPECT_FALSE(w.writer.next(1s, true, w.resources)) << "one's own event finds nothing to do";
-    EXPECT_EQ(w.writer.sent(), 1U);
+    fixture.route("a", "6", status);
+    fixture.writer.ended(1s, WriteResult::done, 0.5);
+    EXPECT_FALSE(fixture.writer.next(1s, true, fixture.resources))
+        << "the event of the own write causes no further write";
+    EXPECT_EQ(fixture.writer.sent(), 1U);
 }
 
-TEST(StatusWriter, AConflictWaitsForTheWatchAndARefusalForAnotherWish) {
-    for (const Written how : {Written::conflict, Written::refused, Written::gone}) {
-        Writer w;
-        w.route("a", "5");
-        w.writer.want({Writer::want("a", "True")});
-        ASSERT_TRUE(w.writer.next(1s, true, w.resources));
-        w.writer.ended(1s, how, 0.5);
-        EXPECT_FALSE(w.writer.next(100s, true, w.resources));
-        EXPECT_FALSE(w.writer.due(100s));
-        w.writer.want({Writer::want("a", "True")});
-        EXPECT_FALSE(w.writer.next(100s, true, w.resources)) << "the same wish again";
-        w.route("a", "7");
-        EXPECT_TRUE(w.writer.next(100s, true, w.resources)) << "another version";
+TEST(StatusWriter, AConflictOrRefusalIsNotRepeatedBeforeAChange) {
+    for (const WriteResult result : {WriteResult::conflict, WriteResult::refused, WriteResult::gone}) {
+        WriterFixture fixture;
+        fixture.route("a", "5");
+        fixture.writer.want({WriterFixture::want("a", "True")});
+        ASSERT_TRUE(fixture.writer.next(1s, true, fixture.resources));
+        fixture.writer.ended(1s, result, 0.5);
+        EXPECT_FALSE(fixture.writer.next(100s, true, fixture.resources));
+        EXPECT_FALSE(fixture.writer.due(100s));
+        fixture.writer.want({WriterFixture::want("a", "True")});
+        EXPECT_FALSE(fixture.writer.next(100s, true, fixture.resources)) << "the desired status is unchanged";
+        fixture.route("a", "7");
+        EXPECT_TRUE(fixture.writer.next(100s, true, fixture.resources)) << "another version";
     }
 }
 
-TEST(StatusWriter, OneThatFailsIsTriedLaterAndKeepsNoOtherWaiting) {
-    Writer w;
-    w.route("a", "5");
-    w.route("b", "5");
-    w.writer.want({Writer::want("a", "True"), Writer::want("b", "True")});
-    ASSERT_EQ(w.writer.next(1s, true, w.resources)->key, "a");
-    w.writer.ended(1s, Written::retry, 0.5);
-    const auto second = w.writer.next(1s, true, w.resources);
+TEST(StatusWriter, AFailedWriteIsRetriedLaterAndDoesNotBlockOthers) {
+    WriterFixture fixture;
+    fixture.route("a", "5");
+    fixture.route("b", "5");
+    fixture.writer.want({WriterFixture::want("a", "True"), WriterFixture::want("b", "True")});
+    ASSERT_EQ(fixture.writer.next(1s, true, fixture.resources)->key, "a");
+    fixture.writer.ended(1s, WriteResult::retry, 0.5);
+    const auto second = fixture.writer.next(1s, true, fixture.resources);
     ASSERT_TRUE(second);
     EXPECT_EQ(second->key, "b");
-    w.writer.ended(1s, Written::retry, 0.5);
-    EXPECT_FALSE(w.writer.next(1s, true, w.resources));
-    ASSERT_TRUE(w.writer.due(1s));
-    EXPECT_GT(*w.writer.due(1s), Time(1s));
-    EXPECT_TRUE(w.writer.next(10s, true, w.resources));
+    fixture.writer.ended(1s, WriteResult::retry, 0.5);
+    EXPECT_FALSE(fixture.writer.next(1s, true, fixture.resources));
+    ASSERT_TRUE(fixture.writer.due(1s));
+    EXPECT_GT(*fixture.writer.due(1s), Time(1s));
+    EXPECT_TRUE(fixture.writer.next(10s, true, fixture.resources));
 }
 
-TEST(StatusWriter, NotOftenerThanItMay) {
-    Writer w;
-    for (int i = 0; i < 10; ++i) w.route("r" + std::to_string(i), "5");
-    std::vector<Desired> all;
-    for (int i = 0; i < 10; ++i) all.push_back(Writer::want("r" + std::to_string(i), "True"));
-    w.writer.want(all);
+TEST(StatusWriter, LimitsTheWriteRate) {
+    WriterFixture fixture;
+    for (int i = 0; i < 10; ++i) fixture.route("r" + std::to_string(i), "5");
+    std::vector<DesiredStatus> all;
+    for (int i = 0; i < 10; ++i) all.push_back(WriterFixture::want("r" + std::to_string(i), "True"));
+    fixture.writer.want(all);
     int sent = 0;
     for (Time now = 10s; now < 13500ms; now += 100ms) {
-        if (!w.writer.next(now, true, w.resources)) continue;
+        if (!fixture.writer.next(now, true, fixture.resources)) continue;
         ++sent;
-        w.writer.ended(now, Written::refused, 0.5);
+        fixture.writer.ended(now, WriteResult::refused, 0.5);
     }
-    EXPECT_EQ(sent, 2 + 3) << "two at once, then one a second";
+    EXPECT_EQ(sent, 2 + 3) << "a burst of two, then one per second";
 }
 
 }  // namespace
--- a/tests/gateway/tls_test.cpp
+++ b/tests/gateway/tls_test.cpp
@@ -1,4 +1,4 @@
-// HTTPS listeners: the certificate by the name that the client asks for, and what is not served.
+// HTTPS listeners: certificates selected by the requested server name, and requests that are not served.
 #include <boost/asio/ssl.hpp>
 
 #include "rig.h"
@@ -21,18 +21,19 @@
     if (count > 0) out += digits[(bits << (6 - count)) & 63];
     return out;
 }
-std::string secret(const std::string& name, const standins::Certificate& made,
-                   const standins::Certificate& its_key) {
+std::string secret(const std::string& name, const standins::Certificate& certificate,
+                   const standins::Certificate& key_owner) {
     return "kind: Secret\nmetadata: {name: " + name +
            ", namespace: booking}\ntype: kubernetes.io/tls\ndata: {tls.crt: " +
-           base64(made.certificate_text()) + ", tls.key: " + base64(its_key.key_text()) + "}\n---\n";
+           base64(certificate.certificate_text()) + ", tls.key: " + base64(key_owner.key_text()) + "}\n---\n";
 }
 
-std::string secret(const std::string& name, const standins::Certificate& made) {
-    return secret(name, made, made);
+std::string secret(const std::string& name, const standins::Certificate& certificate) {
+    return secret(name, certificate, certificate);
 }
 
-// One request by TLS; the certificate must be `trusted`'s for `name`. "200 a", or what went wrong.
+// Sends one request over TLS. Requires the certificate `trusted` for `name`. Returns "200 a", or the step
+// that failed.
 std::string ask(Rig& rig, const std::string& name, const standins::Certificate& trusted,
                 const std::string& bytes) {
     ssl::context context(ssl::context::tls_client);
@@ -75,7 +76,7 @@
     return result;
 }
 
-TEST(GatewayTls, ListenersByNameAndWhatIsNotServed) {
+TEST(GatewayTls, SelectsListenersByNameAndRejectsOtherRequests) {
     const standins::Certificate a("a.example"), wild("*.wild.example"), renewed("a.example");
     Rig rig;
     Backend& backend = rig.add_backend("x");
@@ -94,15 +95,15 @@
     EXPECT_EQ(ask(rig, "a.example", a, get("q.wild.example", "/")).substr(0, 3), "421");
     EXPECT_EQ(ask(rig, "a.example", wild, get("a.example", "/")), "handshake");
     EXPECT_EQ(ask(rig, "other.example", a, get("a.example", "/")), "handshake")
-        << "no certificate is shown for it";
-    // Plain HTTP is no request here.
+        << "there is no certificate for the name";
+    // Plain HTTP is not answered on a TLS port.
     const auto plain = rig.send(get("a.example", "/"), 443);
     ASSERT_TRUE(rig.until([&] { return plain->ended; }));
     EXPECT_TRUE(plain->answers.empty());
-    // Renewed, for new connections.
+    // New connections use the renewed certificate.
     rig.api.play(secret("a", renewed));
     ASSERT_TRUE(rig.until([&] { return ask(rig, "a.example", renewed, get("a.example", "/")) == "200 x"; }));
-    // A key that is not the certificate's takes only its own listener out of service.
+    // A key that doesn't belong to the certificate disables only its own listener.
     rig.api.play(secret("a", a, wild));
     ASSERT_TRUE(rig.until([&] {
         return rig.listener_condition("booking/front", 0, "ResolvedRefs") == "False InvalidCertificateRef";
@@ -110,7 +111,7 @@
     EXPECT_EQ(rig.listener_condition("booking/front", 0, "Programmed"), "False Invalid");
     EXPECT_EQ(ask(rig, "q.wild.example", wild, get("q.wild.example", "/")), "200 x");
     EXPECT_EQ(ask(rig, "a.example", renewed, get("a.example", "/")), "handshake");
-    // A long answer and a long request, in pieces.
+    // A long request, sent in several TLS records.
     EXPECT_EQ(
         ask(rig, "q.wild.example", wild, get("q.wild.example", "/", "POST", "", std::string(60000, 'y'))),
         "200 x");
--- a/tests/gateway/words.h
+++ b/tests/gateway/words.h
@@ -1,4 +1,4 @@
-// Resources in few words, as YAML.
+// Helpers that build resources as YAML.
 #pragma once
 
 #include <chrono>
@@ -32,15 +32,15 @@
     std::string condition = "ready: true";
     std::string zone = {};
 };
-inline std::string slice(const std::string& of, const std::vector<Pod>& pods, const std::string& suffix = "1",
-                         const std::string& space = "booking") {
-    // A slice has one port for all: one slice for each pod, as their ports differ here.
+inline std::string slice(const std::string& service_name, const std::vector<Pod>& pods,
+                         const std::string& suffix = "1", const std::string& space = "booking") {
+    // An EndpointSlice has the same ports for all endpoints, so that each pod needs a separate slice.
     std::string out;
     int number = 0;
     for (const Pod& pod : pods) {
-        out += "apiVersion: discovery.k8s.io/v1\nkind: EndpointSlice\nmetadata: {name: " + of + "-" + suffix +
-               "-" + std::to_string(++number) + ", namespace: " + space +
-               ", labels: {kubernetes.io/service-name: " + of +
+        out += "apiVersion: discovery.k8s.io/v1\nkind: EndpointSlice\nmetadata: {name: " + service_name +
+               "-" + suffix + "-" + std::to_string(++number) + ", namespace: " + space +
+               ", labels: {kubernetes.io/service-name: " + service_name +
                "}}\naddressType: IPv4\nports: [{name: http, port: " + std::to_string(pod.port) +
                "}]\nendpoints:\n  - {addresses: [127.0.0.1], conditions: {" + pod.condition +
                "}, targetRef: {kind: Pod, name: " + pod.name + ", uid: uid-" + pod.name + "}" +
--- a/tests/routes/make.h
+++ b/tests/routes/make.h
@@ -1,4 +1,4 @@
-// Tables made in a few words.
+// Helpers that build route tables.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -38,7 +38,7 @@
     return fault ? nullptr : std::get<std::shared_ptr<const Table>>(built);
 }
 
-// The pool that a request goes to; "404" where no rule has it.
+// Returns the pool that a request is routed to, or "404" if no rule matches.
 inline std::string to(const Table& table, std::string_view host, std::string_view target,
                       std::string_view method = "GET",
                       const std::vector<std::pair<std::string, std::string>>& headers = {}) {
--- a/tests/routes/matcher_property_test.cpp
+++ b/tests/routes/matcher_property_test.cpp
@@ -1,6 +1,6 @@
-// The table against a slow, plain reading of the specification: every rule of every route is looked at, those
-// that fit are sorted by the precedence as it is written there, and the first one is taken. It shares no code
-// with the table; its expressions are std::regex's.
+// Compares the table with a slow reference implementation of the specification. The reference checks every
+// rule of every route, sorts the matching ones by the specified precedence and returns the first one. It
+// shares no code with the table and uses std::regex.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -17,12 +17,12 @@
 
 using namespace test;
 
-struct Asked {
+struct TestRequest {
     std::string host, path, method;
     std::vector<std::pair<std::string, std::string>> headers, queries;
 };
 
-bool star_fits(const std::string& pattern, const std::string& host) {
+bool host_pattern_matches(const std::string& pattern, const std::string& host) {
     if (pattern.empty()) return true;
     if (pattern[0] != '*') return pattern == host;
     const std::string rest = pattern.substr(1);  // ".example.com"
@@ -42,7 +42,7 @@
     return out;
 }
 
-bool prefix_fits(std::string value, const std::string& path) {
+bool prefix_matches(std::string value, const std::string& path) {
     while (!value.empty() && value.back() == '/') value.pop_back();
     const auto want = segments(value), have = segments(path);
     return want.size() <= have.size() && std::equal(want.begin(), want.end(), have.begin());
@@ -53,32 +53,34 @@
     return value;
 }
 
-bool value_fits(const FieldMatch& match, const std::string& value) {
+bool value_matches(const FieldMatch& match, const std::string& value) {
     return match.regex ? std::regex_match(value, std::regex(match.value)) : match.value == value;
 }
 
-bool fits(const Match& match, const Asked& asked) {
+bool matches_request(const Match& match, const TestRequest& request) {
     const std::string& value = match.path.value;
-    if (match.path.kind == PathKind::exact && asked.path != value) return false;
-    if (match.path.kind == PathKind::prefix && !prefix_fits(value, asked.path)) return false;
-    if (match.path.kind == PathKind::regex && !std::regex_match(asked.path, std::regex(value))) return false;
-    if (!match.method.empty() && match.method != asked.method) return false;
+    if (match.path.kind == PathKind::exact && request.path != value) return false;
+    if (match.path.kind == PathKind::prefix && !prefix_matches(value, request.path)) return false;
+    if (match.path.kind == PathKind::regex && !std::regex_match(request.path, std::regex(value)))
+        return false;
+    if (!match.method.empty() && match.method != request.method) return false;
     for (const auto& each : match.headers) {
-        const auto found = std::find_if(asked.headers.begin(), asked.headers.end(),
+        const auto found = std::find_if(request.headers.begin(), request.headers.end(),
                                         [&](const auto& h) { return h.first == each.name; });
-        if (found == asked.headers.end() || !value_fits(each, found->second)) return false;
+        if (found == request.headers.end() || !value_matches(each, found->second)) return false;
     }
     for (const auto& each : match.queries) {
-        const auto found = std::find_if(asked.queries.begin(), asked.queries.end(),
+        const auto found = std::find_if(request.queries.begin(), request.queries.end(),
                                         [&](const auto& q) { return q.first == each.name; });
-        if (found == asked.queries.end() || !value_fits(each, found->second)) return false;
+        if (found == request.queries.end() || !value_matches(each, found->second)) return false;
     }
     return true;
 }
 
-// "Characters in a matching non-wildcard hostname", then "characters in a matching hostname"; then the path,
-// the method, the number of headers and of query parameters; then age, name and order.
-std::string plainly(const Listener& listener, const Asked& asked) {
+// Precedence, in the words of the specification: "Characters in a matching non-wildcard hostname", then
+// "characters in a matching hostname"; then the path, the method, the number of headers and of query
+// parameters; then age, name and order.
+std::string reference_match(const Listener& listener, const TestRequest& request) {
     struct Candidate {
         std::tuple<long, long, int, long, int, long, long, std::int64_t, std::string, std::size_t,
                    std::size_t>
@@ -90,13 +92,13 @@
         std::vector<std::string> hosts = route.hosts;
         if (hosts.empty()) hosts.push_back(listener.host);
         for (const std::string& host : hosts) {
-            if (!star_fits(host, asked.host)) continue;
+            if (!host_pattern_matches(host, request.host)) continue;
             const bool wild = !host.empty() && host[0] == '*';
-            for (std::size_t r = 0; r < route.rules.size(); ++r) {
-                const Rule& rule = *route.rules[r];
-                for (std::size_t m = 0; m < rule.matches.size(); ++m) {
-                    const Match& match = rule.matches[m];
-                    if (!fits(match, asked)) continue;
+            for (std::size_t rule_number = 0; rule_number < route.rules.size(); ++rule_number) {
+                const Rule& rule = *route.rules[rule_number];
+                for (std::size_t match_number = 0; match_number < rule.matches.size(); ++match_number) {
+                    const Match& match = rule.matches[match_number];
+                    if (!matches_request(match, request)) continue;
                     const bool is_prefix = match.path.kind == PathKind::prefix;
                     const long length = is_prefix ? static_cast<long>(without_slash(match.path.value).size())
                                                   : static_cast<long>(match.path.value.size());
@@ -104,7 +106,7 @@
                         {{wild ? 0 : -static_cast<long>(host.size()), -static_cast<long>(host.size()),
                           static_cast<int>(match.path.kind), -length, match.method.empty() ? 1 : 0,
                           -static_cast<long>(match.headers.size()), -static_cast<long>(match.queries.size()),
-                          route.created, route.name, r, m},
+                          route.created, route.name, rule_number, match_number},
                          rule.backends.front().pool});
                 }
             }
@@ -116,7 +118,7 @@
         ->pool;
 }
 
-class Drawn : public flaxdoor::test::Drawn {
+class RandomRoutes : public flaxdoor::test::Drawn {
 public:
     using flaxdoor::test::Drawn::Drawn;
 
@@ -150,12 +152,12 @@
     }
 };
 
-TEST(RoutesProperty, TheTableTakesWhatThePlainReadingTakes) {
+TEST(RoutesProperty, TheTableAgreesWithTheReferenceImplementation) {
     const std::uint64_t seed = std::random_device{}();
     std::printf("seed %llu\n", static_cast<unsigned long long>(seed));
-    Drawn drawn(seed);
-    std::size_t asked_of = 0, found = 0;
-    for (int world = 0; world < 150; ++world) {
+    RandomRoutes drawn(seed);
+    std::size_t request_count = 0, found = 0;
+    for (int round = 0; round < 150; ++round) {
         TableSpec spec;
         Listener& listener = spec.listeners.emplace_back();
         listener.name = "l";
@@ -176,30 +178,30 @@
             listener.routes.push_back(route("r" + std::to_string(n), hosts, std::move(rules),
                                             static_cast<std::int64_t>(drawn.below(3))));
         }
-        const Listener plain = listener;
+        const Listener reference = listener;
         const auto built = Table::build(std::move(spec));
-        const auto& t = *std::get<std::shared_ptr<const Table>>(built);
+        const auto& table = *std::get<std::shared_ptr<const Table>>(built);
         for (int i = 0; i < 150; ++i) {
-            Asked asked{drawn.host(), drawn.path(), drawn.of({"GET", "POST", "PUT"}), {}, {}};
-            std::string target = asked.path;
+            TestRequest request{drawn.host(), drawn.path(), drawn.of({"GET", "POST", "PUT"}), {}, {}};
+            std::string target = request.path;
             for (const char* name : {"h1", "h2"}) {
-                if (drawn.once_in(2)) asked.headers.emplace_back(name, drawn.of({"u", "v", "w"}));
+                if (drawn.once_in(2)) request.headers.emplace_back(name, drawn.of({"u", "v", "w"}));
             }
             for (const char* name : {"q1", "q2"}) {
                 if (!drawn.once_in(2)) continue;
-                asked.queries.emplace_back(name, drawn.of({"u", "v", "w"}));
+                request.queries.emplace_back(name, drawn.of({"u", "v", "w"}));
                 target += (target.find('?') == std::string::npos ? "?" : "&") + std::string(name) + "=" +
-                          asked.queries.back().second;
+                          request.queries.back().second;
             }
-            const std::string wanted = plainly(plain, asked);
-            ASSERT_EQ(to(t, asked.host, target, asked.method, asked.headers), wanted)
-                << asked.method << " " << asked.host << " " << target << ", seed " << seed;
-            ++asked_of;
-            found += wanted == "404" ? 0 : 1;
+            const std::string expected = reference_match(reference, request);
+            ASSERT_EQ(to(table, request.host, target, request.method, request.headers), expected)
+                << request.method << " " << request.host << " " << target << ", seed " << seed;
+            ++request_count;
+            found += expected == "404" ? 0 : 1;
         }
     }
-    std::printf("%zu requests, %zu of them with a route\n", asked_of, found);
-    EXPECT_GT(found, asked_of / 4);
+    std::printf("%zu requests, %zu of them with a route\n", request_count, found);
+    EXPECT_GT(found, request_count / 4);
 }
 
 }  // namespace
--- a/tests/routes/table_test.cpp
+++ b/tests/routes/table_test.cpp
@@ -1,5 +1,5 @@
-// What the property against the plain reading (matcher_property_test.cpp) does not draw: precedence, prefixes
-// and hosts are its matter.
+// Cases that the comparison with the reference implementation (matcher_property_test.cpp) does not generate.
+// That test covers precedence, prefixes and hosts.
 #include "routes/table.h"
 
 #include <gtest/gtest.h>
@@ -11,15 +11,15 @@
 
 using namespace test;
 
-TEST(RoutesTable, ManyExpressionsAreTriedTogetherInTheSameOrder) {
+TEST(RoutesTable, ManyExpressionsAreEvaluatedAsASetInTheSameOrder) {
     std::vector<std::shared_ptr<const Rule>> rules;
     for (int i = 0; i < 100; ++i)
         rules.push_back(rule({regex("/x/" + std::to_string(i) + "[a-z]*")}, std::to_string(i)));
     rules.push_back(rule({regex("/x/7[a-z]*(long)?")}, "longer"));
-    const auto t = table({route("a", {}, rules)});
-    EXPECT_EQ(to(*t, "h", "/x/42abc"), "42");
-    EXPECT_EQ(to(*t, "h", "/x/7q"), "longer");
-    EXPECT_EQ(to(*t, "h", "/y"), "404");
+    const auto built_table = table({route("a", {}, rules)});
+    EXPECT_EQ(to(*built_table, "h", "/x/42abc"), "42");
+    EXPECT_EQ(to(*built_table, "h", "/x/7q"), "longer");
+    EXPECT_EQ(to(*built_table, "h", "/y"), "404");
 }
 
 TEST(RoutesTable, MethodThenHeadersThenQueryParametersThenAgeThenName) {
@@ -31,18 +31,19 @@
     one.headers = {{false, "x-a", "1"}};
     Match query = prefix("/a");
     query.queries = {{false, "q", "v v"}};
-    const auto t = table({route("z", {}, {rule({query}, "query"), rule({one}, "one"), rule({two}, "two")}, 5),
-                          route("y", {}, {rule({method}, "method"), rule({prefix("/a")}, "plain")}, 9),
-                          route("b", {}, {rule({prefix("/a")}, "older")}, 3),
-                          route("a", {}, {rule({prefix("/a")}, "same age, first by name")}, 3)});
-    EXPECT_EQ(to(*t, "h", "/a", "POST", {{"X-A", "1"}, {"X-B", "2"}}), "method");
-    EXPECT_EQ(to(*t, "h", "/a", "GET", {{"X-A", "1"}, {"X-B", "2"}}), "two");
-    EXPECT_EQ(to(*t, "h", "/a?q=v+v", "GET", {{"X-A", "1"}}), "one");
-    EXPECT_EQ(to(*t, "h", "/a?b&q=v%20v&q=other"), "query");
-    EXPECT_EQ(to(*t, "h", "/a?q=other"), "same age, first by name");
+    const auto built_table =
+        table({route("z", {}, {rule({query}, "query"), rule({one}, "one"), rule({two}, "two")}, 5),
+               route("y", {}, {rule({method}, "method"), rule({prefix("/a")}, "plain")}, 9),
+               route("b", {}, {rule({prefix("/a")}, "older")}, 3),
+               route("a", {}, {rule({prefix("/a")}, "same age, first by name")}, 3)});
+    EXPECT_EQ(to(*built_table, "h", "/a", "POST", {{"X-A", "1"}, {"X-B", "2"}}), "method");
+    EXPECT_EQ(to(*built_table, "h", "/a", "GET", {{"X-A", "1"}, {"X-B", "2"}}), "two");
+    EXPECT_EQ(to(*built_table, "h", "/a?q=v+v", "GET", {{"X-A", "1"}}), "one");
+    EXPECT_EQ(to(*built_table, "h", "/a?b&q=v%20v&q=other"), "query");
+    EXPECT_EQ(to(*built_table, "h", "/a?q=other"), "same age, first by name");
 }
 
-TEST(RoutesTable, AListenerOfANarrowerHostKeepsItsRequests) {
+TEST(RoutesTable, TheListenerWithTheMostSpecificHostHandlesARequest) {
     TableSpec spec;
     spec.listeners.push_back({"any", "", {route("a", {}, {rule({prefix("/")}, "any")})}});
     spec.listeners.push_back(
@@ -50,27 +51,27 @@
     spec.listeners.push_back(
         {"exact", "a.example.com", {route("c", {"a.example.com"}, {rule({prefix("/c")}, "exact")})}});
     const auto built = Table::build(std::move(spec));
-    const auto& t = *std::get<std::shared_ptr<const Table>>(built);
-    EXPECT_EQ(to(t, "a.example.com", "/c"), "exact");
-    EXPECT_EQ(to(t, "a.example.com", "/w"), "404") << "the other listener's routes are not its";
-    EXPECT_EQ(to(t, "b.example.com", "/w"), "wide");
-    EXPECT_EQ(to(t, "b.example.com", "/c"), "404");
-    EXPECT_EQ(to(t, "other", "/c"), "any");
+    const auto& table = *std::get<std::shared_ptr<const Table>>(built);
+    EXPECT_EQ(to(table, "a.example.com", "/c"), "exact");
+    EXPECT_EQ(to(table, "a.example.com", "/w"), "404") << "the routes of another listener do not apply";
+    EXPECT_EQ(to(table, "b.example.com", "/w"), "wide");
+    EXPECT_EQ(to(table, "b.example.com", "/c"), "404");
+    EXPECT_EQ(to(table, "other", "/c"), "any");
 }
 
-TEST(RoutesTable, SeveralHeadersOfOneNameAreOneAndTheFirstOfTwoMatchesCounts) {
+TEST(RoutesTable, JoinsRepeatedHeadersAndUsesTheFirstOfTwoConditions) {
     Match match = prefix("/");
     match.headers = {{false, "X-A", "1, 2"}, {false, "x-a", "never"}};
     Match by_regex = prefix("/r");
     by_regex.headers = {{true, "X-R", "[a-c]+"}};
-    const auto t = table({route("a", {}, {rule({match}, "joined"), rule({by_regex}, "regex")})});
-    EXPECT_EQ(to(*t, "h", "/", "GET", {{"X-A", "1"}, {"X-Other", "0"}, {"x-a", "2"}}), "joined");
-    EXPECT_EQ(to(*t, "h", "/", "GET", {{"X-A", "1"}}), "404");
-    EXPECT_EQ(to(*t, "h", "/r", "GET", {{"X-R", "abc"}}), "regex");
-    EXPECT_EQ(to(*t, "h", "/r", "GET", {{"X-R", "abcd"}}), "404");
+    const auto built_table = table({route("a", {}, {rule({match}, "joined"), rule({by_regex}, "regex")})});
+    EXPECT_EQ(to(*built_table, "h", "/", "GET", {{"X-A", "1"}, {"X-Other", "0"}, {"x-a", "2"}}), "joined");
+    EXPECT_EQ(to(*built_table, "h", "/", "GET", {{"X-A", "1"}}), "404");
+    EXPECT_EQ(to(*built_table, "h", "/r", "GET", {{"X-R", "abc"}}), "regex");
+    EXPECT_EQ(to(*built_table, "h", "/r", "GET", {{"X-R", "abcd"}}), "404");
 }
 
-TEST(RoutesTable, ATableThatCantBeBuiltIsNone) {
+TEST(RoutesTable, AnInvalidExpressionPreventsTheTable) {
     TableSpec spec;
     spec.listeners.push_back({"l", "", {route("a", {}, {rule({regex("(")})})}});
     const auto built = Table::build(std::move(spec));
@@ -78,7 +79,7 @@
     EXPECT_NE(std::get<std::string>(built).find("regular expression"), std::string::npos);
 }
 
-TEST(RoutesTable, TargetsWithDotsAreNoneAndAbsoluteOnesAreSplit) {
+TEST(RoutesTable, RejectsDotSegmentsAndSplitsAbsoluteTargets) {
     for (const char* bad : {"/a/../b", "/..", "/a/.", "/a/%2e%2E/b", "/%2e/x", "*", "host:443"})
         EXPECT_NE(split_target(bad).why, "") << bad;
     for (const char* good : {"/a/...", "/a/..b", "/.well-known", "/a?x=/../"})
@@ -90,19 +91,19 @@
     EXPECT_EQ(host_of("[::1]:80"), "[::1]");
 }
 
-TEST(RoutesTable, WeightsAreSharesAndNoWeightIsNoBackend) {
-    Rule r;
+TEST(RoutesTable, ChoosesByWeightAndNothingWithoutWeight) {
+    Rule rule;
     for (const auto& [pool, weight] : {std::pair("a", 1u), std::pair("b", 0u), std::pair("c", 3u)}) {
         Backend backend;
         backend.pool = pool;
         backend.weight = weight;
-        r.backends.push_back(backend);
+        rule.backends.push_back(backend);
     }
-    std::map<std::string, int> got;
-    for (int i = 0; i < 400; ++i) ++got[choose(r, i / 400.0)->pool];
-    EXPECT_EQ(got, (std::map<std::string, int>{{"a", 100}, {"c", 300}}));
-    for (auto& each : r.backends) each.weight = 0;
-    EXPECT_EQ(choose(r, 0.5), nullptr);
+    std::map<std::string, int> counts;
+    for (int i = 0; i < 400; ++i) ++counts[choose(rule, i / 400.0)->pool];
+    EXPECT_EQ(counts, (std::map<std::string, int>{{"a", 100}, {"c", 300}}));
+    for (auto& each : rule.backends) each.weight = 0;
+    EXPECT_EQ(choose(rule, 0.5), nullptr);
     EXPECT_EQ(choose(Rule{}, 0.5), nullptr);
 }
 
