--- a/src/gateway/plan.cpp
+++ b/src/gateway/plan.cpp
@@ -30,14 +30,15 @@
             {"message", std::move(message)},
             {"observedGeneration", meta.generation}};
 }
-Json yes(const Meta& meta, std::string_view type, std::string_view reason, std::string message = {}) {
+Json true_condition(const Meta& meta, std::string_view type, std::string_view reason,
+                    std::string message = {}) {
     return condition(meta, type, "True", reason, std::move(message));
 }
-Json no(const Meta& meta, std::string_view type, std::string_view reason, std::string message) {
+Json false_condition(const Meta& meta, std::string_view type, std::string_view reason, std::string message) {
     return condition(meta, type, "False", reason, std::move(message));
 }
 
-std::string texts(const std::vector<Problem>& problems) {
+std::string problem_texts(const std::vector<Problem>& problems) {
     std::string all;
     for (const Problem& each : problems) all += (all.empty() ? "" : "; ") + each.text();
     return all;
@@ -106,12 +107,12 @@
     std::string dropped_message;
 };
 
-class Planning {
+class Planner {
 public:
-    Planning(const Resources& resources, const PlanOptions& options)
+    Planner(const Resources& resources, const PlanOptions& options)
         : all_(resources), options_(options), grants_{resources} {}
 
-    Plan make() {
+    Plan make_plan() {
         plan_classes();
         plan_listeners();
         for (const auto& [key, route] : all_.http_routes) plan_route(key, *route);
@@ -127,11 +128,11 @@
             if (gateway_class->controller != options_.controller) continue;
             Json conditions = Json::array();
             if (gateway_class->has_parameters) {
-                conditions.push_back(no(gateway_class->meta, "Accepted", "InvalidParameters",
-                                        "spec.parametersRef is not supported; remove it"));
+                conditions.push_back(false_condition(gateway_class->meta, "Accepted", "InvalidParameters",
+                                                     "spec.parametersRef is not supported; remove it"));
             } else {
                 own_classes_.insert(key);
-                conditions.push_back(yes(gateway_class->meta, "Accepted", "Accepted"));
+                conditions.push_back(true_condition(gateway_class->meta, "Accepted", "Accepted"));
             }
             conditions.push_back(supported_version(gateway_class->meta));
             plan_.statuses.push_back({KindOf::gateway_class, key, {{"conditions", conditions}}});
@@ -150,10 +151,11 @@
             found == definition->annotations.end() ? std::string("none") : found->second;
         const bool known = std::any_of(versions.begin(), versions.end(),
                                        [&](std::string_view v) { return version.starts_with(v); });
-        if (known) return yes(meta, "SupportedVersion", "SupportedVersion");
-        return no(meta, "SupportedVersion", "UnsupportedVersion",
-                  "the resources are of version " + version +
-                      "; v1.0 to v1.4 are supported; other versions " + "are handled on a best-effort basis");
+        if (known) return true_condition(meta, "SupportedVersion", "SupportedVersion");
+        return false_condition(meta, "SupportedVersion", "UnsupportedVersion",
+                               "the resources are of version " + version +
+                                   "; v1.0 to v1.4 are supported; other versions " +
+                                   "are handled on a best-effort basis");
     }
 
     // -------------------------------------------------------------------------------------------- Listeners
@@ -186,8 +188,8 @@
     void check(ListenerState& state) const {
         const ListenerSpec& spec = *state.spec;
         if (!state.gateway->problems.empty())
-            state.refuse("UnsupportedValue", texts(state.gateway->problems));
-        if (!spec.problems.empty()) state.refuse("UnsupportedValue", texts(spec.problems));
+            state.refuse("UnsupportedValue", problem_texts(state.gateway->problems));
+        if (!spec.problems.empty()) state.refuse("UnsupportedValue", problem_texts(spec.problems));
         if (spec.protocol != "HTTP" && spec.protocol != "HTTPS") {
             state.refuse("UnsupportedProtocol",
                          "protocol is " + spec.protocol + "; HTTP and HTTPS are supported");
@@ -320,28 +322,28 @@
 
     Json listener_status(const ListenerState& state) const {
         const Meta& meta = state.gateway->meta;
-        Json accepted = yes(meta, "Accepted", "Accepted");
+        Json accepted = true_condition(meta, "Accepted", "Accepted");
         if (!state.conflict.empty()) {
-            accepted = no(meta, "Accepted", state.conflict, state.conflict_message);
+            accepted = false_condition(meta, "Accepted", state.conflict, state.conflict_message);
         } else if (!state.refused.empty()) {
-            accepted = no(meta, "Accepted", state.refused, state.refused_message);
+            accepted = false_condition(meta, "Accepted", state.refused, state.refused_message);
         } else if (!state.port_fault.empty()) {
-            accepted = no(meta, "Accepted", "PortUnavailable", state.port_fault);
+            accepted = false_condition(meta, "Accepted", "PortUnavailable", state.port_fault);
         }
-        Json programmed = yes(meta, "Programmed", "Programmed");
+        Json programmed = true_condition(meta, "Programmed", "Programmed");
         const auto port = options_.ports.find(state.spec->port);
         if (!state.accepted() || !state.has_certificate_if_needed() || !state.port_fault.empty()) {
-            programmed =
-                no(meta, "Programmed", "Invalid", "the listener can't be served; see its other conditions");
+            programmed = false_condition(meta, "Programmed", "Invalid",
+                                         "the listener can't be served; see its other conditions");
         } else if (options_.ports_known && port == options_.ports.end()) {
-            programmed = no(meta, "Programmed", "Pending", "the port is not open yet");
+            programmed = false_condition(meta, "Programmed", "Pending", "the port is not open yet");
         }
-        Json resolved = yes(meta, "ResolvedRefs", "ResolvedRefs");
+        Json resolved = true_condition(meta, "ResolvedRefs", "ResolvedRefs");
         if (!state.unresolved.empty())
-            resolved = no(meta, "ResolvedRefs", state.unresolved, state.unresolved_message);
+            resolved = false_condition(meta, "ResolvedRefs", state.unresolved, state.unresolved_message);
         Json conflicted = state.conflict.empty()
-                              ? no(meta, "Conflicted", "NoConflicts", "")
-                              : yes(meta, "Conflicted", state.conflict, state.conflict_message);
+                              ? false_condition(meta, "Conflicted", "NoConflicts", "")
+                              : true_condition(meta, "Conflicted", state.conflict, state.conflict_message);
         return {{"name", state.spec->name},
                 {"supportedKinds", state.kinds},
                 {"attachedRoutes", state.attached},
@@ -363,9 +365,9 @@
                 unusable = "spec.addresses: " + value + " is not an address of this gateway";
         }
         if (!foreign.empty()) {
-            conditions.push_back(no(meta, "Accepted", "UnsupportedAddress", foreign));
+            conditions.push_back(false_condition(meta, "Accepted", "UnsupportedAddress", foreign));
         } else if (accepted_count == count && count > 0) {
-            conditions.push_back(yes(meta, "Accepted", "Accepted"));
+            conditions.push_back(true_condition(meta, "Accepted", "Accepted"));
         } else {
             conditions.push_back(
                 condition(meta, "Accepted", accepted_count > 0 ? "True" : "False", "ListenersNotValid",
@@ -373,15 +375,17 @@
                               " listeners can't be accepted; see their conditions"));
         }
         if (!unusable.empty()) {
-            conditions.push_back(no(meta, "Programmed", "AddressNotUsable", unusable));
+            conditions.push_back(false_condition(meta, "Programmed", "AddressNotUsable", unusable));
         } else if (programmed > 0) {
-            conditions.push_back(yes(meta, "Programmed", "Programmed"));
+            conditions.push_back(true_condition(meta, "Programmed", "Programmed"));
         } else {
-            conditions.push_back(no(meta, "Programmed", accepted_count > 0 ? "Pending" : "Invalid",
-                                    "no listener is programmed; see the conditions of the listeners"));
+            conditions.push_back(
+                false_condition(meta, "Programmed", accepted_count > 0 ? "Pending" : "Invalid",
+                                "no listener is programmed; see the conditions of the listeners"));
         }
         if (!options_.held.empty())
-            conditions.push_back(yes(meta, "flaxdoor.dev/ListHeld", "ImplausibleList", options_.held));
+            conditions.push_back(
+                true_condition(meta, "flaxdoor.dev/ListHeld", "ImplausibleList", options_.held));
         Json addresses = Json::array();
         for (const std::string& each : options_.addresses)
             addresses.push_back({{"type", "IPAddress"}, {"value", each}});
@@ -492,44 +496,48 @@
         }
         Json conditions = Json::array();
         if (matched == 0) {
-            conditions.push_back(no(meta, "Accepted", "NoMatchingParent",
-                                    "parentRefs: the Gateway has no listener of that sectionName and port"));
+            conditions.push_back(
+                false_condition(meta, "Accepted", "NoMatchingParent",
+                                "parentRefs: the Gateway has no listener of that sectionName and port"));
         } else if (allowed == 0) {
-            conditions.push_back(no(
+            conditions.push_back(false_condition(
                 meta, "Accepted", "NotAllowedByListeners",
                 "the listeners' allowedRoutes do not allow HTTPRoutes of namespace " + meta.namespace_name));
         } else if (!route.problems.empty()) {
-            conditions.push_back(no(meta, "Accepted", "UnsupportedValue", texts(route.problems)));
+            conditions.push_back(
+                false_condition(meta, "Accepted", "UnsupportedValue", problem_texts(route.problems)));
         } else if (hostname_matched == 0) {
-            conditions.push_back(no(meta, "Accepted", "NoMatchingListenerHostname",
-                                    "spec.hostnames: no hostname matches a listener"));
+            conditions.push_back(false_condition(meta, "Accepted", "NoMatchingListenerHostname",
+                                                 "spec.hostnames: no hostname matches a listener"));
         } else if (!route_usable) {
-            conditions.push_back(no(meta, "Accepted",
-                                    rules.incompatible ? "IncompatibleFilters" : "UnsupportedValue",
-                                    rules.dropped_message));
+            conditions.push_back(false_condition(
+                meta, "Accepted", rules.incompatible ? "IncompatibleFilters" : "UnsupportedValue",
+                rules.dropped_message));
         } else if (serving == 0) {
-            conditions.push_back(no(meta, "Accepted", "NoMatchingParent",
-                                    "listener " + unaccepted_listener +
-                                        " matches the route but is not accepted; " +
-                                        "see the Gateway's status"));
+            conditions.push_back(false_condition(meta, "Accepted", "NoMatchingParent",
+                                                 "listener " + unaccepted_listener +
+                                                     " matches the route but is not accepted; " +
+                                                     "see the Gateway's status"));
         } else {
-            conditions.push_back(yes(meta, "Accepted", "Accepted"));
+            conditions.push_back(true_condition(meta, "Accepted", "Accepted"));
         }
         if (rules.unresolved.empty()) {
-            conditions.push_back(yes(meta, "ResolvedRefs", "ResolvedRefs"));
+            conditions.push_back(true_condition(meta, "ResolvedRefs", "ResolvedRefs"));
         } else {
-            conditions.push_back(no(meta, "ResolvedRefs", rules.unresolved, rules.unresolved_message));
+            conditions.push_back(
+                false_condition(meta, "ResolvedRefs", rules.unresolved, rules.unresolved_message));
         }
         if (route_usable && rules.dropped > 0) {
-            conditions.push_back(
-                yes(meta, "PartiallyInvalid", "UnsupportedValue",
-                    "Dropped Rule: " + rules.dropped_message + ". Requests that it matches get status 500"));
+            conditions.push_back(true_condition(
+                meta, "PartiallyInvalid", "UnsupportedValue",
+                "Dropped Rule: " + rules.dropped_message + ". Requests that it matches get status 500"));
         }
         if (route.has_class || !route.class_problems.empty()) {
-            conditions.push_back(route.class_problems.empty()
-                                     ? yes(meta, "flaxdoor.dev/ClassResolved", "Resolved")
-                                     : no(meta, "flaxdoor.dev/ClassResolved", "InvalidAnnotation",
-                                          texts(route.class_problems) + ". The annotation is ignored"));
+            conditions.push_back(
+                route.class_problems.empty()
+                    ? true_condition(meta, "flaxdoor.dev/ClassResolved", "Resolved")
+                    : false_condition(meta, "flaxdoor.dev/ClassResolved", "InvalidAnnotation",
+                                      problem_texts(route.class_problems) + ". The annotation is ignored"));
         }
         return conditions;
     }
@@ -543,7 +551,7 @@
             if (!spec.problems.empty()) {
                 ++out.dropped;
                 all_incompatible &= spec.incompatible;
-                const std::string problem_text = texts(spec.problems);
+                const std::string problem_text = problem_texts(spec.problems);
                 out.dropped_message += (out.dropped_message.empty() ? "" : "; ") + problem_text;
                 if (spec.has_matches && spec.readable.empty()) continue;
                 routes::Rule dropped;
@@ -656,7 +664,7 @@
 }  // namespace
 
 Plan plan(const Resources& resources, const PlanOptions& options) {
-    return Planning(resources, options).make();
+    return Planner(resources, options).make_plan();
 }
 
 std::string pod_of(const EndpointSlice::Endpoint& endpoint) {
--- a/src/gateway/resources.cpp
+++ b/src/gateway/resources.cpp
@@ -41,7 +41,7 @@
     const Json& json() const { return *value_; }
     const std::string& field() const { return field_; }
 
-    void wrong(std::string message, std::string remedy) const {
+    void report(std::string message, std::string remedy) const {
         problems_->push_back({field_, std::move(message), std::move(remedy)});
     }
 
@@ -49,8 +49,8 @@
         const std::string field = field_.empty() ? name : field_ + "." + name;
         if (!present()) return {nullptr, field, *problems_};
         if (!value_->is_object()) {
-            wrong(std::string("is not an object but of type ") + value_->type_name(),
-                  "write it as an object");
+            report(std::string("is not an object but of type ") + value_->type_name(),
+                   "write it as an object");
             return {nullptr, field, *problems_};
         }
         const auto found = value_->find(name);
@@ -64,12 +64,12 @@
         std::vector<Node> out;
         if (!present()) return out;
         if (!value_->is_array()) {
-            wrong(std::string("is not a list but of type ") + value_->type_name(), "write it as a list");
+            report(std::string("is not a list but of type ") + value_->type_name(), "write it as a list");
             return out;
         }
         if (value_->size() > max_count) {
-            wrong("has " + std::to_string(value_->size()) + " entries",
-                  "at most " + std::to_string(max_count) + " are allowed");
+            report("has " + std::to_string(value_->size()) + " entries",
+                   "at most " + std::to_string(max_count) + " are allowed");
             return out;
         }
         for (std::size_t i = 0; i < value_->size(); ++i)
@@ -80,13 +80,13 @@
     std::string text(std::string default_value = {}, std::size_t max_bytes = max_value) const {
         if (!present()) return default_value;
         if (!value_->is_string()) {
-            wrong(std::string("is not a string but of type ") + value_->type_name(), "write it as a string");
+            report(std::string("is not a string but of type ") + value_->type_name(), "write it as a string");
             return default_value;
         }
         const auto& string_value = value_->get_ref<const std::string&>();
         if (string_value.size() > max_bytes) {
-            wrong("has " + std::to_string(string_value.size()) + " bytes",
-                  "at most " + std::to_string(max_bytes) + " are allowed");
+            report("has " + std::to_string(string_value.size()) + " bytes",
+                   "at most " + std::to_string(max_bytes) + " are allowed");
             return default_value;
         }
         return string_value;
@@ -94,23 +94,23 @@
     std::string required(std::size_t max_bytes = max_value) const {
         const std::size_t before = problems_->size();
         std::string result = text({}, max_bytes);
-        if (result.empty() && problems_->size() == before) wrong("is missing or empty", "set it");
+        if (result.empty() && problems_->size() == before) report("is missing or empty", "set it");
         return result;
     }
 
     std::optional<std::int64_t> number(std::int64_t min, std::int64_t max) const {
         if (!present()) return std::nullopt;
         if (!value_->is_number_integer()) {
-            wrong(std::string("is not an integer but of type ") + value_->type_name(),
-                  "write it as an integer");
+            report(std::string("is not an integer but of type ") + value_->type_name(),
+                   "write it as an integer");
             return std::nullopt;
         }
         const bool too_large =
             value_->is_number_unsigned() && value_->get<std::uint64_t>() > std::uint64_t(max);
         const std::int64_t integer = too_large ? max + 1 : value_->get<std::int64_t>();
         if (integer < min || integer > max) {
-            wrong("is " + value_->dump(),
-                  "it must lie between " + std::to_string(min) + " and " + std::to_string(max));
+            report("is " + value_->dump(),
+                   "it must lie between " + std::to_string(min) + " and " + std::to_string(max));
             return std::nullopt;
         }
         return integer;
@@ -119,7 +119,7 @@
     std::optional<bool> flag() const {
         if (!present()) return std::nullopt;
         if (!value_->is_boolean()) {
-            wrong(std::string("is not a boolean but of type ") + value_->type_name(), "write true or false");
+            report(std::string("is not a boolean but of type ") + value_->type_name(), "write true or false");
             return std::nullopt;
         }
         return value_->get<bool>();
@@ -131,13 +131,13 @@
         if (!present() || std::find(known.begin(), known.end(), result) != known.end()) return result;
         std::string list;
         for (const auto& each : known) list += (list.empty() ? "" : ", ") + std::string(each);
-        wrong("is \"" + result.substr(0, 100) + "\", which is not supported", "use one of " + list);
+        report("is \"" + result.substr(0, 100) + "\", which is not supported", "use one of " + list);
         return {};
     }
 
     // Reports an unsupported field, which can't be ignored because it would change the meaning of the object.
-    void refuse(const char* name, const char* remedy) const {
-        if (const Node inner = at(name); inner.present()) inner.wrong("is not supported", remedy);
+    void reject_field(const char* name, const char* remedy) const {
+        if (const Node inner = at(name); inner.present()) inner.report("is not supported", remedy);
     }
 
 private:
@@ -236,10 +236,10 @@
         const std::string name = each.at("name").required(256);
         const std::string value = each.at("value").text();
         if (!name.empty() && !is_token(name)) {
-            each.at("name").wrong("is not a valid header name", "use letters, digits and dashes");
+            each.at("name").report("is not a valid header name", "use letters, digits and dashes");
         } else if (!is_plain(value)) {
-            each.at("value").wrong("contains characters that a header must not contain",
-                                   "remove line ends and control characters");
+            each.at("value").report("contains characters that a header must not contain",
+                                    "remove line ends and control characters");
         } else if (!name.empty()) {
             into.emplace_back(name, value);
         }
@@ -249,7 +249,7 @@
 routes::HeaderEdit read_edit(const Node& node) {
     routes::HeaderEdit out;
     if (!node.present()) {
-        node.wrong("is missing", "set at least one of set, add and remove");
+        node.report("is missing", "set at least one of set, add and remove");
         return out;
     }
     read_header_values(node.at("set"), out.set);
@@ -274,10 +274,10 @@
     out.prefix = type == "ReplacePrefixMatch";
     const Node value = node.at(out.prefix ? "replacePrefixMatch" : "replaceFullPath");
     out.value = value.text({}, max_path);
-    if (type.empty() && !node.at("type").present()) node.at("type").wrong("is missing", "set it");
-    if (!type.empty() && !value.present()) value.wrong("is missing", "set it, as the type requires it");
+    if (type.empty() && !node.at("type").present()) node.at("type").report("is missing", "set it");
+    if (!type.empty() && !value.present()) value.report("is missing", "set it, as the type requires it");
     if (!out.value.empty() && !is_path(out.value) && !(out.prefix && out.value == "/"))
-        value.wrong("is not a valid path", "start it with '/' and leave out '?', '#' and spaces");
+        value.report("is not a valid path", "start it with '/' and leave out '?', '#' and spaces");
     return out;
 }
 
@@ -285,14 +285,14 @@
     if (!node.present()) return std::nullopt;
     const std::string host = node.required(max_name);
     if (!host.empty() && !is_host(host, false))
-        node.wrong("is not a valid host name", "use lower-case letters, digits, dashes and dots");
+        node.report("is not a valid host name", "use lower-case letters, digits, dashes and dots");
     return host;
 }
 
 routes::Redirect read_redirect(const Node& node) {
     routes::Redirect out;
     if (!node.present()) {
-        node.wrong("is missing", "set it, or remove the filter");
+        node.report("is missing", "set it, or remove the filter");
         return out;
     }
     if (const Node scheme = node.at("scheme"); scheme.present()) {
@@ -306,7 +306,7 @@
         static constexpr std::array<int, 5> known = {301, 302, 303, 307, 308};
         out.status = static_cast<int>(*status);
         if (std::find(known.begin(), known.end(), out.status) == known.end())
-            node.at("statusCode").wrong("is not a redirect status", "use 301, 302, 303, 307 or 308");
+            node.at("statusCode").report("is not a redirect status", "use 301, 302, 303, 307 or 308");
     }
     return out;
 }
@@ -319,11 +319,11 @@
         match.name = each.at("name").required(256);
         match.value = each.at("value").required(max_value);
         if (headers && !match.name.empty() && !is_token(match.name))
-            each.at("name").wrong("is not a valid header name", "use letters, digits and dashes");
+            each.at("name").report("is not a valid header name", "use letters, digits and dashes");
         if (match.regex) {
             if (const std::string fault = routes::regex_fault(match.value); !fault.empty())
-                each.at("value").wrong("is not a valid regular expression (" + fault + ")",
-                                       "use the syntax of RE2");
+                each.at("value").report("is not a valid regular expression (" + fault + ")",
+                                        "use the syntax of RE2");
         }
         into.push_back(std::move(match));
     }
@@ -341,18 +341,18 @@
                                                       : routes::PathKind::prefix;
         if (out.path.kind == routes::PathKind::regex) {
             if (const std::string fault = routes::regex_fault(out.path.value); !fault.empty())
-                value.wrong("is not a valid regular expression (" + fault + ")", "use the syntax of RE2");
+                value.report("is not a valid regular expression (" + fault + ")", "use the syntax of RE2");
         } else if (!is_path(out.path.value) || out.path.value.find("//") != std::string::npos ||
                    !routes::split_target(out.path.value).why.empty()) {
-            value.wrong("is not a valid path",
-                        "start it with '/' and leave out '//', '?', '#' and the segments '.' and '..'");
+            value.report("is not a valid path",
+                         "start it with '/' and leave out '//', '?', '#' and the segments '.' and '..'");
         }
     }
     read_field_matches(node.at("headers"), true, out.headers);
     read_field_matches(node.at("queryParams"), false, out.queries);
     if (node.at("method").present()) out.method = node.at("method").one_of(methods);
-    if (out.method == "CONNECT") node.at("method").wrong("is CONNECT, which is not supported", "remove it");
-    if (node.present() && !node.json().is_object()) node.wrong("is not an object", "write it as an object");
+    if (out.method == "CONNECT") node.at("method").report("is CONNECT, which is not supported", "remove it");
+    if (node.present() && !node.json().is_object()) node.report("is not an object", "write it as an object");
     return out;
 }
 
@@ -370,7 +370,7 @@
         const std::string type = each.at("type").required(64);
         if (type.empty()) continue;
         if (!seen.insert(type).second) {
-            each.at("type").wrong("is " + type + " for the second time", "merge both into one filter");
+            each.at("type").report("is " + type + " for the second time", "merge both into one filter");
             continue;
         }
         if (type == "RequestHeaderModifier") {
@@ -381,19 +381,19 @@
             out.redirect = read_redirect(each.at("requestRedirect"));
         } else if (type == "URLRewrite" && !of_backend) {
             const Node rewrite = each.at("urlRewrite");
-            if (!rewrite.present()) rewrite.wrong("is missing", "set it, or remove the filter");
+            if (!rewrite.present()) rewrite.report("is missing", "set it, or remove the filter");
             out.rewrite.emplace();
             out.rewrite->host = read_host_edit(rewrite.at("hostname"));
             out.rewrite->path = read_path_edit(rewrite.at("path"));
         } else {
-            each.at("type").wrong("is \"" + type + "\", which is not supported" +
-                                      (of_backend ? std::string(" for a backend") : std::string()),
-                                  "remove the filter");
+            each.at("type").report("is \"" + type + "\", which is not supported" +
+                                       (of_backend ? std::string(" for a backend") : std::string()),
+                                   "remove the filter");
         }
     }
     if (out.redirect && out.rewrite) {
         out.incompatible = true;
-        list.wrong("has RequestRedirect and URLRewrite", "keep one of them");
+        list.report("has RequestRedirect and URLRewrite", "keep one of them");
     }
     return out;
 }
@@ -415,13 +415,13 @@
     const auto read = [&](const char* name) {
         const Node value = node.at(name);
         const auto span = value.present() ? read_duration(value.text()) : std::optional<Micros>(Micros{});
-        if (!span) value.wrong("is not a valid duration", "write it like 10s or 500ms");
+        if (!span) value.report("is not a valid duration", "write it like 10s or 500ms");
         return span.value_or(Micros{});
     };
     rule.request_timeout = read("request");
     rule.backend_timeout = read("backendRequest");
     if (rule.request_timeout > Micros{0} && rule.backend_timeout > rule.request_timeout)
-        node.at("backendRequest").wrong("exceeds timeouts.request", "lower it or raise timeouts.request");
+        node.at("backendRequest").report("exceeds timeouts.request", "lower it or raise timeouts.request");
 }
 
 // A rule with any problem is dropped. Its valid matches are kept, so that matching requests get an error
@@ -430,7 +430,7 @@
     RuleSpec out;
     const Node node = outer.into(out.problems);
     if (!node.present() || !node.json().is_object()) {
-        node.wrong("is not an object", "write it as an object");
+        node.report("is not an object", "write it as an object");
         return out;
     }
     const Node matches = node.at("matches");
@@ -451,15 +451,15 @@
         out.backends.push_back(read_backend(each));
     read_timeouts(node.at("timeouts"), out.rule);
     if (const Node retry = node.at("retry"); retry.present()) {
-        retry.refuse("codes", "remove it: the decision module decides which responses to retry");
-        retry.refuse("backoff", "remove it: the decision module chooses the back-off");
+        retry.reject_field("codes", "remove it: the decision module decides which responses to retry");
+        retry.reject_field("backoff", "remove it: the decision module chooses the back-off");
         if (const auto attempts = retry.at("attempts").number(0, 100))
             out.rule.retries.attempts = static_cast<int>(*attempts);
     }
-    node.refuse("sessionPersistence", "remove it");
+    node.reject_field("sessionPersistence", "remove it");
     if (out.rule.redirect && !out.backends.empty()) {
         out.incompatible = true;
-        node.at("filters").wrong("has RequestRedirect beside backendRefs", "keep one of them");
+        node.at("filters").report("has RequestRedirect beside backendRefs", "keep one of them");
     }
     const bool by_prefix = std::all_of(out.rule.matches.begin(), out.rule.matches.end(),
                                        [](const auto& m) { return m.path.kind == routes::PathKind::prefix; });
@@ -467,8 +467,8 @@
     const bool replaces_prefix = (out.rule.redirect && replaces(out.rule.redirect->path)) ||
                                  (out.rule.rewrite && replaces(out.rule.rewrite->path));
     if (replaces_prefix && !by_prefix) {
-        node.at("filters").wrong("replaces a prefix, but not every match is a PathPrefix",
-                                 "match by PathPrefix, or use ReplaceFullPath");
+        node.at("filters").report("replaces a prefix, but not every match is a PathPrefix",
+                                  "match by PathPrefix, or use ReplaceFullPath");
     }
     return out;
 }
@@ -489,8 +489,8 @@
             } else if (*effect == "by-method") {
                 route_.call.kind = Kind::by_method;
             } else if (*effect != "unsafe") {
-                wrong("effect", "is \"" + effect->substr(0, 100) + "\"",
-                      "use unsafe, safe, keyed or by-method");
+                report("effect", "is \"" + effect->substr(0, 100) + "\"",
+                       "use unsafe, safe, keyed or by-method");
             }
         }
         span("aim", route_.call.aim);
@@ -505,7 +505,7 @@
             if (percent && share && *share >= 0 && *share <= 100) {
                 route_.retries.share = *share / 100;
             } else {
-                wrong("retry-budget", "is not a percentage", "write it like 20%");
+                report("retry-budget", "is not a percentage", "write it like 20%");
             }
         }
         if (const auto floor = number("retry-floor", 0, 1e6)) route_.retries.floor_per_s = *floor;
@@ -529,7 +529,7 @@
         route_.has_class = true;
         return &found->second;
     }
-    void wrong(const char* name, std::string message, std::string remedy) {
+    void report(const char* name, std::string message, std::string remedy) {
         problems().push_back({"metadata.annotations[" + std::string(annotation_prefix) + name + "]",
                               std::move(message), std::move(remedy)});
     }
@@ -546,7 +546,7 @@
         if (value && *value >= min && *value <= max) return value;
         char range[64];
         std::snprintf(range, sizeof range, "a number from %g to %g", min, max);
-        wrong(name, "is \"" + text->substr(0, 100) + "\"", range);
+        report(name, "is \"" + text->substr(0, 100) + "\"", range);
         return std::nullopt;
     }
     void span(const char* name, Micros& into) {
@@ -556,7 +556,7 @@
         if (value && *value > Micros{0} && *value <= std::chrono::hours(1)) {
             into = *value;
         } else {
-            wrong(name, "is \"" + text->substr(0, 100) + "\"", "a duration up to 1h, like 500ms");
+            report(name, "is \"" + text->substr(0, 100) + "\"", "a duration up to 1h, like 500ms");
         }
     }
 
@@ -570,18 +570,18 @@
 Selector read_selector(const Node& node) {
     Selector out;
     if (!node.present()) {
-        node.wrong("is missing", "set it, since from is Selector");
+        node.report("is missing", "set it, since from is Selector");
         return out;
     }
     if (const Node labels = node.at("matchLabels"); labels.present()) {
         if (!labels.json().is_object()) {
-            labels.wrong("is not an object", "write it as an object");
+            labels.report("is not an object", "write it as an object");
         } else {
             for (const auto& [key, value] : labels.json().items()) {
                 if (value.is_string()) {
                     out.needs.push_back({key, Selector::Need::How::in, {value.get<std::string>()}});
                 } else {
-                    labels.wrong("has a value that is not a string at " + key, "write it as a string");
+                    labels.report("has a value that is not a string at " + key, "write it as a string");
                 }
             }
         }
@@ -592,7 +592,7 @@
         need.key = each.at("key").required();
         const std::string operator_name = each.at("operator").one_of(known);
         if (operator_name.empty() && !each.at("operator").present())
-            each.at("operator").wrong("is missing", "set it");
+            each.at("operator").report("is missing", "set it");
         need.how = operator_name == "In"       ? Selector::Need::How::in
                    : operator_name == "NotIn"  ? Selector::Need::How::not_in
                    : operator_name == "Exists" ? Selector::Need::How::exists
@@ -610,9 +610,9 @@
     out.host = node.at("hostname").text({}, max_name);
     if (!out.host.empty() && !is_host(out.host, true))
         node.at("hostname")
-            .wrong("is not a valid host name", "use lower-case letters, digits, dashes and dots");
+            .report("is not a valid host name", "use lower-case letters, digits, dashes and dots");
     if (const auto port = node.at("port").number(1, 65535)) out.port = static_cast<std::uint16_t>(*port);
-    if (out.port == 0 && !node.at("port").present()) node.at("port").wrong("is missing", "set it");
+    if (out.port == 0 && !node.at("port").present()) node.at("port").report("is missing", "set it");
     out.protocol = node.at("protocol").required(255);
     if (const Node tls = node.at("tls"); tls.present()) {
         out.has_tls = true;
@@ -620,7 +620,7 @@
         out.terminates = tls.at("mode").one_of(known, "Terminate") != "Passthrough";
         for (const Node& each : tls.at("certificateRefs").items(64))
             out.certificates.push_back(read_reference(each, "", "Secret"));
-        if (out.protocol == "HTTPS") tls.refuse("frontendValidation", "remove it");
+        if (out.protocol == "HTTPS") tls.reject_field("frontendValidation", "remove it");
     }
     const Node allowed = node.at("allowedRoutes");
     if (const Node namespaces = allowed.at("namespaces"); namespaces.present()) {
@@ -757,7 +757,7 @@
     return std::nullopt;
 }
 
-std::string Problem::text() const { return field + " " + what + "; " + mend; }
+std::string Problem::text() const { return field + " " + message + "; " + remedy; }
 
 bool Selector::fits(const std::map<std::string, std::string>& labels) const {
     return std::all_of(needs.begin(), needs.end(), [&](const Need& need) {
@@ -793,7 +793,7 @@
     for (const Node& each : spec.at("hostnames").items(max_hosts)) {
         const std::string host = each.required(max_name);
         if (!host.empty() && !is_host(host, true))
-            each.wrong("is not a valid host name", "use lower-case letters, digits, dashes and dots");
+            each.report("is not a valid host name", "use lower-case letters, digits, dashes and dots");
         out.hosts.push_back(host);
     }
     if (const Node rules = spec.at("rules"); rules.present()) {
--- a/src/gateway/resources.h
+++ b/src/gateway/resources.h
@@ -45,7 +45,7 @@
 
 // An error in a field and its remedy.
 struct Problem {
-    std::string field, what, mend;
+    std::string field, message, remedy;
     std::string text() const;
     bool operator==(const Problem&) const = default;
 };
--- a/src/ingress/cluster.cpp
+++ b/src/ingress/cluster.cpp
@@ -212,7 +212,7 @@
         if (!refused.empty()) log_event(log::events::gateway_refused, refused);
     }
 
-    // Schedules the work that a change has updates necessary.
+    // Schedules the work that a change has made necessary.
     void schedule_work() {
         if (controller_.dirty()) schedule_plan();
         if (controller_.take_status_written()) schedule_write();
--- a/src/ingress/router.cpp
+++ b/src/ingress/router.cpp
@@ -16,7 +16,7 @@
 
 constexpr std::string_view budget_field = "X-Budget-Ms";
 
-// Returns the time budget, shortened_budget by the client's X-Budget-Ms. The field never extends it.
+// Returns the time budget, shortened by the client's X-Budget-Ms. The field never extends it.
 Micros shortened_budget(Micros budget, const http::Fields& fields) {
     const auto text = fields[budget_field];
     std::uint32_t ms = 0;
--- a/src/ingress/runtime.cpp
+++ b/src/ingress/runtime.cpp
@@ -111,18 +111,18 @@
         options_.settings = options.settings;
         connection_budget_.most = options_.servers_most;
         for (const auto& [port, listener] : listeners_) {
-            if (listener->front) listener->front->set_limits(limits());
+            if (listener->http_listener) listener->http_listener->set_limits(limits());
         }
         for (auto& [key, pool] : pools_) {
             core_.change_pool(pool->id, settings_of_pool(*pool));
-            pool->back->set_options(back_options(pool->classes));
+            pool->upstream_connections->set_options(connection_options(pool->classes));
         }
     }
 
     void begin_drain() {
         draining_ = true;
         for (const auto& [port, listener] : listeners_) {
-            if (listener->front) listener->front->begin_drain();
+            if (listener->http_listener) listener->http_listener->begin_drain();
         }
     }
 
@@ -130,7 +130,7 @@
         draining_ = true;
         bool others = !closing_listeners_.empty();
         for (const auto& [port, listener] : listeners_) {
-            if (listener->front) others = listener->front->wind_down() || others;
+            if (listener->http_listener) others = listener->http_listener->wind_down() || others;
         }
         return others;
     }
@@ -141,9 +141,9 @@
         reopen_timer_.cancel();
         sweep_timer_.cancel();
         for (const auto& [port, listener] : listeners_) {
-            if (listener->front) listener->front->stop();
+            if (listener->http_listener) listener->http_listener->stop();
         }
-        for (const auto& listener : closing_listeners_) listener->front->stop();
+        for (const auto& listener : closing_listeners_) listener->http_listener->stop();
         listeners_.clear();
         closing_listeners_.clear();
         for (auto& [key, pool] : pools_) core_.remove_pool(pool->id);
@@ -155,8 +155,8 @@
 
     std::optional<loop::tcp::endpoint> address(std::uint16_t port) const {
         const auto found = listeners_.find(port);
-        if (found == listeners_.end() || !found->second->front) return std::nullopt;
-        return found->second->front->address();
+        if (found == listeners_.end() || !found->second->http_listener) return std::nullopt;
+        return found->second->http_listener->address();
     }
 
     Micros longest_deadline() const {
@@ -170,15 +170,15 @@
     RuntimeFigures figures() const {
         RuntimeFigures out = figures_;
         for (const auto& [port, listener] : listeners_) {
-            if (!listener->front) continue;
+            if (!listener->http_listener) continue;
             ++out.listeners;
-            out.clients += listener->front->figures().connections;
+            out.clients += listener->http_listener->figures().connections;
         }
         out.pools = pools_.size();
         out.retired = removed_pools_.size();
         for (const auto& [key, pool] : pools_) {
             out.servers += pool->servers.size();
-            out.idle_connections += pool->back->idle();
+            out.idle_connections += pool->upstream_connections->idle();
         }
         return out;
     }
@@ -187,7 +187,7 @@
     struct Pool {
         std::string key;
         core::PoolId id = 0;
-        std::unique_ptr<http::Back> back;
+        std::unique_ptr<http::Back> upstream_connections;
         std::vector<routes::CallClass> classes;
         std::map<UpstreamId, Server> servers;
         std::size_t ready = 0;  // number of servers that are not draining
@@ -231,7 +231,7 @@
         bool has_tls = false;
         std::shared_ptr<const routes::Table> table;
         std::string fault;  // why the port is not open; empty: it is open
-        std::unique_ptr<http::Front> front;
+        std::unique_ptr<http::Front> http_listener;
     };
 
     http::FrontLimits limits() const {
@@ -239,7 +239,7 @@
         out.body = options_.body;
         return out;
     }
-    http::BackOptions back_options(const std::vector<routes::CallClass>& classes) const {
+    http::BackOptions connection_options(const std::vector<routes::CallClass>& classes) const {
         http::BackOptions out;
         Micros aim = std::chrono::seconds(1);
         for (const auto& each : classes) aim = std::min(aim, each.aim);
@@ -338,19 +338,19 @@
             pool = std::make_shared<Pool>();
             pool->key = change.key;
             pool->zones.push_back(options_.zone);
-            pool->back = std::make_unique<http::Back>(executor_, core_, clock_, connection_budget_,
-                                                      back_options(change.classes));
+            pool->upstream_connections = std::make_unique<http::Back>(
+                executor_, core_, clock_, connection_budget_, connection_options(change.classes));
         }
         const std::size_t zones = pool->zones.size();
         const bool classes_changed = pool->classes != change.classes;
         if (!change.classes.empty()) pool->classes = std::move(change.classes);
         core::MemberList list = member_changes(*pool, change.servers);
         if (is_new) {
-            pool->id =
-                core_.add_pool({pool->key, settings_of_pool(*pool), options_.seed}, *pool->back, nullptr);
+            pool->id = core_.add_pool({pool->key, settings_of_pool(*pool), options_.seed},
+                                      *pool->upstream_connections, nullptr);
         } else if (classes_changed || zones != pool->zones.size()) {
             core_.change_pool(pool->id, settings_of_pool(*pool));
-            pool->back->set_options(back_options(pool->classes));
+            pool->upstream_connections->set_options(connection_options(pool->classes));
         }
         if (is_new || !list.members.empty()) core_.on_list(pool->id, std::move(list));
     }
@@ -458,11 +458,11 @@
     void open_listeners(bool notify) {
         bool any_closed = false;
         for (const auto& [port, listener] : listeners_) {
-            if (listener->front || draining_) continue;
+            if (listener->http_listener || draining_) continue;
             const std::string before = listener->fault;
             open(*listener);
-            any_closed |= !listener->front;
-            notify |= listener->fault != before || listener->front;
+            any_closed |= !listener->http_listener;
+            notify |= listener->fault != before || listener->http_listener;
         }
         if (any_closed) {
             reopen_timer_.expires_after(options_.port_retry_interval);
@@ -486,11 +486,12 @@
             };
         }
         try {
-            auto front = std::make_unique<http::Front>(executor_, core_, listener, clock_, limits(), channel);
-            front->listen(loop::parse_endpoint(options_.address + ":" + std::to_string(at)));
-            listener.front = std::move(front);
+            auto http_listener =
+                std::make_unique<http::Front>(executor_, core_, listener, clock_, limits(), channel);
+            http_listener->listen(loop::parse_endpoint(options_.address + ":" + std::to_string(at)));
+            listener.http_listener = std::move(http_listener);
             listener.fault.clear();
-            log_.tell(log::events::gateway_listening, loop::text_of(listener.front->address()),
+            log_.tell(log::events::gateway_listening, loop::text_of(listener.http_listener->address()),
                       listener.port);
         } catch (const std::exception& error) {
             if (listener.fault.empty())
@@ -505,9 +506,9 @@
         const auto found = listeners_.find(port);
         auto listener = std::move(found->second);
         listeners_.erase(found);
-        if (!listener->front) return;
+        if (!listener->http_listener) return;
         log_.tell(log::events::gateway_port_closed, port);
-        (void)listener->front->wind_down();
+        (void)listener->http_listener->wind_down();
         closing_listeners_.push_back(std::move(listener));
         schedule_sweep();
     }
@@ -515,8 +516,8 @@
     void sweep() {
         destroy_idle_pools();
         std::erase_if(closing_listeners_, [](const auto& listener) {
-            if (listener->front->wind_down()) return false;
-            listener->front->stop();
+            if (listener->http_listener->wind_down()) return false;
+            listener->http_listener->stop();
             return true;
         });
         if (!closing_listeners_.empty() || !removed_pools_.empty()) schedule_sweep();
--- a/src/kube/yaml.cpp
+++ b/src/kube/yaml.cpp
@@ -13,11 +13,11 @@
 
 constexpr int max_depth = 64;
 
-[[noreturn]] void wrong(const YAML::Mark& mark, const std::string& message) {
+[[noreturn]] void fail_at(const YAML::Mark& mark, const std::string& message) {
     throw std::runtime_error("line " + std::to_string(mark.line + 1) + ": " + message);
 }
 
-Json plain(const std::string& text) {
+Json convert_scalar(const std::string& text) {
     if (text.empty() || text == "~" || text == "null" || text == "Null" || text == "NULL") return nullptr;
     if (text == "true" || text == "True" || text == "TRUE") return true;
     if (text == "false" || text == "False" || text == "FALSE") return false;
@@ -36,25 +36,26 @@
 }
 
 // yaml-cpp resolves aliases to the same node. Counting the converted nodes limits their expansion.
-Json converted(const YAML::Node& node, int depth, std::size_t& nodes) {
-    if (depth > max_depth) wrong(node.Mark(), "nested too deeply");
-    if (++nodes > 2'000'000) wrong(node.Mark(), "too many values");
+Json convert_node(const YAML::Node& node, int depth, std::size_t& nodes) {
+    if (depth > max_depth) fail_at(node.Mark(), "nested too deeply");
+    if (++nodes > 2'000'000) fail_at(node.Mark(), "too many values");
     switch (node.Type()) {
         case YAML::NodeType::Undefined:
         case YAML::NodeType::Null: return nullptr;
-        case YAML::NodeType::Scalar: return node.Tag() == "!" ? Json(node.Scalar()) : plain(node.Scalar());
+        case YAML::NodeType::Scalar:
+            return node.Tag() == "!" ? Json(node.Scalar()) : convert_scalar(node.Scalar());
         case YAML::NodeType::Sequence: {
             Json out = Json::array();
-            for (const auto& each : node) out.push_back(converted(each, depth + 1, nodes));
+            for (const auto& each : node) out.push_back(convert_node(each, depth + 1, nodes));
             return out;
         }
         case YAML::NodeType::Map: {
             Json out = Json::object();
             for (const auto& each : node) {
-                if (!each.first.IsScalar()) wrong(each.first.Mark(), "a key is not a string");
+                if (!each.first.IsScalar()) fail_at(each.first.Mark(), "a key is not a string");
                 if (out.contains(each.first.Scalar()))
-                    wrong(each.first.Mark(), "key " + each.first.Scalar() + " occurs more than once");
-                out[each.first.Scalar()] = converted(each.second, depth + 1, nodes);
+                    fail_at(each.first.Mark(), "key " + each.first.Scalar() + " occurs more than once");
+                out[each.first.Scalar()] = convert_node(each.second, depth + 1, nodes);
             }
             return out;
         }
@@ -69,11 +70,11 @@
     try {
         std::size_t nodes = 0;
         for (const YAML::Node& document : YAML::LoadAll(text)) {
-            Json value = converted(document, 0, nodes);
+            Json value = convert_node(document, 0, nodes);
             if (!value.is_null()) out.push_back(std::move(value));
         }
     } catch (const YAML::Exception& error) {
-        wrong(error.mark, error.msg);
+        fail_at(error.mark, error.msg);
     }
     return out;
 }
--- a/src/routes/rule.h
+++ b/src/routes/rule.h
@@ -95,10 +95,9 @@
 };
 
 struct Rule {
-    std::vector<Match> matches;  // one of them must match; none: every path matches
-    std::optional<int>
-        status;       // if set, the response to every matching request; the other fields are ignored
-    std::string why;  // the reason for `status`, for people
+    std::vector<Match> matches;     // one of them must match; none: every path matches
+    std::optional<int> status;      // if set: response to each matching request; all else is ignored
+    std::string why;                // the reason for `status`, for people
     std::vector<Backend> backends;  // none, or all of weight 0: the response is 500
     HeaderEdit request, response;
     std::optional<Redirect> redirect;
--- a/tests/gateway/faults_test.cpp
+++ b/tests/gateway/faults_test.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 struct Faults : testing::Test {
-    // The rig's event loop outlives this fixture's members, so that the client must not call them any more.
+    // The rig is destroyed last and may still run the client's handler, which uses members destroyed before.
     ~Faults() override {
         if (client) client->on_answer = nullptr;
     }
--- a/tests/gateway/random_test.cpp
+++ b/tests/gateway/random_test.cpp
@@ -130,11 +130,11 @@
 
 // Returns a plan as text.
 std::string plan_text(const Resources& resources, const PlanOptions& options) {
-    const Plan updates = plan(resources, options);
+    const Plan current_plan = plan(resources, options);
     std::string out;
-    for (const auto& [port, its] : updates.ports) {
+    for (const auto& [port, port_plan] : current_plan.ports) {
         out += std::to_string(port) + "\n";
-        for (const auto& listener : its.table.listeners) {
+        for (const auto& listener : port_plan.table.listeners) {
             for (const auto& route : listener.routes) {
                 out += " " + route.name;
                 for (const auto& rule : route.rules)
@@ -145,13 +145,13 @@
             }
         }
     }
-    for (const auto& [key, pool] : updates.pools) {
+    for (const auto& [key, pool] : current_plan.pools) {
         out += key;
         for (const auto& each : endpoints_of(resources, pool))
             out += " " + each.id + (each.draining ? "!" : "");
         out += "\n";
     }
-    for (const auto& each : updates.statuses) out += each.key + " " + each.status.dump() + "\n";
+    for (const auto& each : current_plan.statuses) out += each.key + " " + each.status.dump() + "\n";
     return out;
 }
 
