--- a/src/gateway/plan.cpp
+++ b/src/gateway/plan.cpp
@@ -73,8 +73,8 @@
     std::string refused, refused_message;    // reason and message of Accepted=False; empty: accepted
     std::string conflict, conflict_message;  // reason and message of Conflicted=True
     std::string unresolved, unresolved_message;
-    std::string
-        port_fault;  // the port can't be opened now; opening is retried, so the table includes the listener
+    // Why the port can't be opened now. Opening is retried, so that the table includes the listener.
+    std::string port_fault;
     Certificate certificate;
     bool takes_routes = true;  // HTTPRoute is one of the allowed kinds
     Json kinds = Json::array();
@@ -410,8 +410,8 @@
     void plan_route(const std::string& key, const HttpRoute& route) {
         Json parents = Json::array();
         std::optional<RouteRules> rules;
-        std::set<std::pair<std::string, std::string>>
-            counted;  // listeners to which another parentRef has attached the route
+        // Listeners to which another parentRef has attached the route.
+        std::set<std::pair<std::string, std::string>> counted;
         for (const ParentRef& parent : route.parents) {
             if (parent.to.group != group || parent.to.kind != "Gateway") continue;
             const std::string namespace_name =
@@ -444,9 +444,8 @@
             case ListenerSpec::From::none: return false;
             case ListenerSpec::From::selector: break;
         }
-        const auto namespace_name = all_.namespaces.find(route.meta.namespace_name);
-        return namespace_name != all_.namespaces.end() &&
-               listener.spec->selector.fits(namespace_name->second->meta.labels);
+        const auto found = all_.namespaces.find(route.meta.namespace_name);
+        return found != all_.namespaces.end() && listener.spec->selector.fits(found->second->meta.labels);
     }
 
     Json attach(const HttpRoute& route, const ParentRef& parent, std::vector<ListenerState>& listeners,
@@ -462,9 +461,9 @@
             ++matched;
             if (!allows(listener, route)) continue;
             ++allowed;
-            const std::pair<std::string, std::string> place(listener.gateway->meta.key(),
-                                                            listener.spec->name);
-            const bool first = counted.insert(place).second;
+            const std::pair<std::string, std::string> listener_key(listener.gateway->meta.key(),
+                                                                   listener.spec->name);
+            const bool first = counted.insert(listener_key).second;
             // attachedRoutes counts the route even if the route or the listener is not accepted.
             listener.attached += first ? 1 : 0;
             std::vector<std::string> hosts;
--- a/src/ingress/explain.cpp
+++ b/src/ingress/explain.cpp
@@ -55,16 +55,16 @@
     for (const auto& [number, port] : plan.ports) {
         for (const auto& listener : port.table.listeners) {
             for (const auto& route : listener.routes) {
-                for (std::size_t r = 0; r < route.rules.size(); ++r) {
-                    const routes::Rule& rule = *route.rules[r];
+                for (std::size_t rule_number = 0; rule_number < route.rules.size(); ++rule_number) {
+                    const routes::Rule& rule = *route.rules[rule_number];
                     std::vector<routes::Match> matches = rule.matches;
                     if (matches.empty()) matches.emplace_back();
                     for (const auto& host : route.hosts) {
                         for (const auto& match : matches) {
-                            const std::string name = std::to_string(number) +
-                                                     (port.tls ? " https " : " http ") +
-                                                     (host.empty() ? "*" : host) + " " + text_of(match) +
-                                                     "  " + route.name + " rule " + std::to_string(r);
+                            const std::string name =
+                                std::to_string(number) + (port.tls ? " https " : " http ") +
+                                (host.empty() ? "*" : host) + " " + text_of(match) + "  " + route.name +
+                                " rule " + std::to_string(rule_number);
                             out[name] = target_of(rule);
                         }
                     }
--- a/src/kube/client.h
+++ b/src/kube/client.h
@@ -28,8 +28,8 @@
     struct Handlers {
         std::function<void(int status, Micros retry_after)> on_status;
         std::function<void(std::string_view)> on_body;
-        std::function<void(bool complete, const std::string& error)>
-            on_end;  // called once, never from within start()
+        // Called once, never from within start().
+        std::function<void(bool complete, const std::string& error)> on_end;
     };
 
     Client(const loop::Executor& executor, Config config);
--- a/src/kube/lease.cpp
+++ b/src/kube/lease.cpp
@@ -29,14 +29,14 @@
 
 }  // namespace
 
-Json Lease::spec(Time unix_now, bool fresh) const {
+Json Lease::spec(Time unix_now, bool acquired) const {
     const Json before = seen_.is_object() ? seen_.value("spec", Json::object()) : Json::object();
     Json out = before.is_object() ? before : Json::object();
     const std::string now = micro_time(unix_now);
     out["holderIdentity"] = options_.identity;
     out["leaseDurationSeconds"] = std::chrono::duration_cast<std::chrono::seconds>(options_.duration).count();
     out["renewTime"] = now;
-    if (fresh) {
+    if (acquired) {
         out["acquireTime"] = now;
         const auto changes = out.find("leaseTransitions");
         const bool counted = changes != out.end() && changes->is_number_integer();
@@ -47,24 +47,24 @@
 
 std::optional<Lease::Call> Lease::next(Time now, Time unix_now) {
     if (calling_ || now < not_before_) return std::nullopt;
-    const std::string all = "/apis/coordination.k8s.io/v1/namespaces/" + options_.space + "/leases";
+    const std::string collection = "/apis/coordination.k8s.io/v1/namespaces/" + options_.space + "/leases";
     calling_ = true;
     called_ = now;
     switch (step_) {
-        case Step::look: return Call{"GET", all + "/" + options_.name, {}};
+        case Step::look: return Call{"GET", collection + "/" + options_.name, {}};
         case Step::create: {
             seen_ = Json();
             const Json object = {{"apiVersion", "coordination.k8s.io/v1"},
                                  {"kind", "Lease"},
                                  {"metadata", {{"name", options_.name}, {"namespace", options_.space}}},
                                  {"spec", spec(unix_now, true)}};
-            return Call{"POST", all, object.dump()};
+            return Call{"POST", collection, object.dump()};
         }
         case Step::update: break;
     }
     Json object = seen_;
     object["spec"] = spec(unix_now, holder_ != options_.identity);
-    return Call{"PUT", all + "/" + options_.name, object.dump()};
+    return Call{"PUT", collection + "/" + options_.name, object.dump()};
 }
 
 void Lease::ended(Time now, int status, const std::string& body) {
@@ -83,10 +83,10 @@
     if (!object.is_object()) return;
     const Json spec = object.value("spec", Json::object());
     holder_ = text_of(spec, "holderIdentity");
-    const std::string mark = holder_ + " " + text_of(spec, "renewTime") + " " +
-                             text_of(object.value("metadata", Json::object()), "resourceVersion");
-    if (mark != seen_mark_) {
-        seen_mark_ = mark;
+    const std::string renewal = holder_ + " " + text_of(spec, "renewTime") + " " +
+                                text_of(object.value("metadata", Json::object()), "resourceVersion");
+    if (renewal != seen_renewal_) {
+        seen_renewal_ = renewal;
         seen_since_ = now;
     }
     seen_ = object;
@@ -98,8 +98,8 @@
         if (held_) step_ = Step::update;
         return;
     }
-    const bool free = holder_.empty() || now - seen_since_ >= options_.duration;
-    if (holder_ == options_.identity || free) {
+    const bool expired = holder_.empty() || now - seen_since_ >= options_.duration;
+    if (holder_ == options_.identity || expired) {
         step_ = Step::update;
         not_before_ = now;
     } else {
--- a/src/kube/lease.h
+++ b/src/kube/lease.h
@@ -41,14 +41,14 @@
 
 private:
     enum class Step { look, create, update };
-    nlohmann::json spec(Time unix_now, bool fresh) const;
+    nlohmann::json spec(Time unix_now, bool acquired) const;
 
     Options options_;
     Step step_ = Step::look;
     bool calling_ = false;
     Time not_before_{}, called_{};
-    nlohmann::json seen_;    // the object as last read
-    std::string seen_mark_;  // holder, renewal time and version of `seen_`
+    nlohmann::json seen_;       // the object as last read
+    std::string seen_renewal_;  // holder, renewal time and version of `seen_`
     Time seen_since_{};
     std::string holder_;
     bool held_ = false;
--- a/src/kube/reflector.h
+++ b/src/kube/reflector.h
@@ -52,8 +52,8 @@
         std::string target;  // path and query
         std::string accept;
         bool watch = false;
-        Micros
-            limit{};  // longest time without progress; then the caller ends the call and calls call_ended()
+        // Longest time without progress. After it the caller ends the call and calls call_ended().
+        Micros limit{};
     };
     // Returns the next call, or nothing while one is in flight or before due().
     [[nodiscard]] std::optional<Call> next(Time now, double chance);
@@ -74,9 +74,8 @@
     // Returns whether the response is unusable. The caller ends the call.
     bool response_unusable() const { return calling_ && !fault_.empty(); }
     const std::string& version() const { return version_; }
-    const std::string& last_error() const {
-        return last_error_;
-    }  // why the last call failed; empty: it succeeded
+    // Returns why the last call failed, or an empty text if it succeeded.
+    const std::string& last_error() const { return last_error_; }
     std::uint64_t lists() const { return lists_; }
 
 private:
--- a/src/routes/table.cpp
+++ b/src/routes/table.cpp
@@ -350,8 +350,8 @@
             if (host.set->Add(rows[row_number].match->path.value, nullptr) < 0) host.set.reset();
             if (!host.set) return;
         }
-        if (!host.set->Compile())
-            host.set.reset();  // exceeds set_memory_bytes: the expressions are tried one by one
+        // If the set exceeds set_memory_bytes, the expressions are tried one by one.
+        if (!host.set->Compile()) host.set.reset();
     }
 
     void finish(ListenerRows& listener_rows) {
--- a/tests/gateway/exchange_test.cpp
+++ b/tests/gateway/exchange_test.cpp
@@ -23,8 +23,8 @@
 
 struct Exchange {
     int line = 0;
-    std::string head, body,
-        expected;  // request head without its length, request body; expected response as JSON
+    // Request head without its length, request body, and the expected response as JSON.
+    std::string head, body, expected;
     int status = 0;
 };
 
--- a/tests/gateway/gone_test.cpp
+++ b/tests/gateway/gone_test.cpp
@@ -7,7 +7,7 @@
 namespace flaxdoor::gateway::test {
 namespace {
 
-const std::string all_spaces =
+const std::string listeners =
     "    - {name: http, port: 80, protocol: HTTP, allowedRoutes: {namespaces: {from: Selector, selector: "
     "{matchLabels: {team: booking}}}}}\n    - {name: other, port: 81, protocol: HTTP}\n";
 
@@ -67,11 +67,11 @@
     Rig rig;
     Backend &a = rig.add_backend("a"), &b = rig.add_backend("b"), &c = rig.add_backend("c");
     const bool other_namespace = std::string(removal.name) == "grant withdrawn";
-    const std::string space = other_namespace ? "far" : "booking";
-    rig.api.play(class_and_gateway(all_spaces));
-    rig.api.play(service("a", space) + service("c"));
+    const std::string namespace_name = other_namespace ? "far" : "booking";
+    rig.api.play(class_and_gateway(listeners));
+    rig.api.play(service("a", namespace_name) + service("c"));
     // Only a is ready until it has received the request.
-    rig.api.play(slice("a", {{a.port(), "pod-a"}}, "1", space) + slice("c", {{c.port(), "pod-c"}}));
+    rig.api.play(slice("a", {{a.port(), "pod-a"}}, "1", namespace_name) + slice("c", {{c.port(), "pod-c"}}));
     if (other_namespace) {
         rig.api.play(
             "apiVersion: gateway.networking.k8s.io/v1beta1\nkind: ReferenceGrant\n"
@@ -86,7 +86,7 @@
     a.hold = true;
     const auto in_flight = rig.send(get("h", "/donate", "POST", "", "x"));
     ASSERT_TRUE(rig.until([&] { return a.held() == 1; }));
-    rig.api.play(slice("a", {{b.port(), "pod-b"}}, "2", space));
+    rig.api.play(slice("a", {{b.port(), "pod-b"}}, "2", namespace_name));
     ASSERT_TRUE(rig.until([&] {
         return std::any_of(rig.listed.begin(), rig.listed.end(),
                            [&](const auto& pool) { return pool.second.contains(b.address()); });
