--- a/lab/random/stream.cpp
+++ b/lab/random/stream.cpp
@@ -28,7 +28,7 @@
 
 Stream::Stream(std::uint64_t seed, Whose whose, std::uint64_t owner, std::uint32_t part)
     : key_{static_cast<std::uint32_t>(seed), static_cast<std::uint32_t>(seed >> 32U)},
-      // The lowest word counts blocks; `whose` and `part` share one: 4 and 28 bits.
+      // The lowest word counts blocks. The next one holds `whose` in 4 bits and `part` in 28 bits.
       counter_{0, static_cast<std::uint32_t>(whose) << 28U | (part & 0xFFFFFFFU),
                static_cast<std::uint32_t>(owner), static_cast<std::uint32_t>(owner >> 32U)} {}
 
@@ -46,10 +46,10 @@
 double Stream::share() { return static_cast<double>((*this)() >> 11U) * 0x1.0p-53; }
 
 std::uint64_t Stream::below(std::uint64_t n) {
-    // The part of the range that would favour small numbers is drawn again.
-    const std::uint64_t unfair = (max() - n + 1) % n;
+    // Numbers from the incomplete part of the range are rejected, because they would favour small results.
+    const std::uint64_t rejected = (max() - n + 1) % n;
     std::uint64_t number = (*this)();
-    while (number < unfair) number = (*this)();
+    while (number < rejected) number = (*this)();
     return number % n;
 }
 
