--- a/lab/trace/file.cpp
+++ b/lab/trace/file.cpp
@@ -27,7 +27,7 @@
 
 constexpr std::size_t largest_record = 2 + 10 + 2 * 5 + 3 * 10;
 
-// Which numbers of a record are not zero.
+// Flags the fields of a record that are not zero.
 enum Mask : unsigned { has_who = 1, has_peer = 2, has_call = 4, has_a = 8, has_b = 16, all_of_mask = 31 };
 
 template <typename Number>
@@ -44,14 +44,14 @@
     return value;
 }
 
-// There are ten bytes for it; returns where it ends.
+// Writes a varint and returns its end. Requires ten bytes of space.
 char* varint_to(char* to, std::uint64_t value) {
     for (; value >= 0x80; value >>= 7U) *to++ = static_cast<char>(value | 0x80);
     *to++ = static_cast<char>(value);
     return to;
 }
 
-// False: it is not there, or longer than 64 bits.
+// Removes a varint from the front of `rest`. Returns false if it is incomplete or exceeds 64 bits.
 bool take_varint(std::string_view& rest, std::uint64_t& value) {
     value = 0;
     for (unsigned shift = 0; shift < 64 && !rest.empty(); shift += 7) {
@@ -64,15 +64,15 @@
     return false;
 }
 
-// Differences of either sign as small numbers.
-constexpr std::uint64_t folded(std::uint64_t difference) {
+// Zigzag encoding: maps differences of either sign to small numbers.
+constexpr std::uint64_t zigzag_encode(std::uint64_t difference) {
     return difference << 1U ^ (difference >> 63U ? ~std::uint64_t{0} : 0);
 }
-constexpr std::uint64_t unfolded(std::uint64_t number) {
+constexpr std::uint64_t zigzag_decode(std::uint64_t number) {
     return number >> 1U ^ (number & 1U ? ~std::uint64_t{0} : 0);
 }
 
-// A block's number is in its hash: blocks that were changed about do not pass.
+// A block's hash includes its number, so that swapped blocks are detected.
 std::uint64_t hash_of(std::string_view bytes, std::uint64_t seed) {
     return XXH3_64bits_withSeed(bytes.data(), bytes.size(), seed);
 }
@@ -84,13 +84,13 @@
     return hash_of(bytes, hash_of(head, number));
 }
 
-// ------------------------------------------------------------------------------------------ terms as JSON
+// Conversion of the terms to and from JSON.
 
 using Json = nlohmann::json;
 
-// The names of a type's fields, once for both ways.
-template <typename It, typename Do>
-void fields(It& x, const Terms::Class*, Do each) {
+// Visits the fields of a type with their names, for both directions of the conversion.
+template <typename Type, typename Function>
+void fields(Type& x, const Terms::Class*, Function each) {
     each("name", x.name);
     each("effect", x.effect);
     each("by_zone", x.by_zone);
@@ -100,14 +100,14 @@
     each("worth", x.worth);
     each("late_worth", x.late_worth);
 }
-template <typename It, typename Do>
-void fields(It& x, const Terms::Trouble*, Do each) {
+template <typename Type, typename Function>
+void fields(Type& x, const Terms::Trouble*, Function each) {
     each("name", x.name);
     each("at_us", x.at_us);
     each("lasts_us", x.lasts_us);
 }
-template <typename It, typename Do>
-void fields(It& x, const Terms*, Do each) {
+template <typename Type, typename Function>
+void fields(Type& x, const Terms*, Function each) {
     each("experiment", x.experiment);
     each("variant", x.variant);
     each("seed", x.seed);
@@ -135,7 +135,7 @@
 template <typename T>
 constexpr bool is_list<std::vector<T>> = true;
 
-struct Unfit {
+struct JsonMismatch {
     std::string what;
 };
 
@@ -158,44 +158,45 @@
 }
 
 template <typename T>
-void take(const Json& json, T& value, const std::string& place) {
-    const auto want = [&](bool fits, const char* what) {
-        if (!fits) throw Unfit{place + ": " + what + " is wanted"};
+void read_json(const Json& json, T& value, const std::string& place) {
+    const auto require = [&](bool fits, const char* what) {
+        if (!fits) throw JsonMismatch{place + ": " + what + " is wanted"};
     };
     if constexpr (requires { fields(value, static_cast<const T*>(nullptr), [](auto, auto&) {}); }) {
-        want(json.is_object(), "an object");
+        require(json.is_object(), "an object");
         std::set<std::string> known;
         fields(value, static_cast<const T*>(nullptr), [&](const char* name, auto& field) {
             known.insert(name);
             const std::string inner = place.empty() ? name : place + "." + name;
-            if (!json.contains(name)) throw Unfit{inner + ": is not there"};
-            take(json[name], field, inner);
+            if (!json.contains(name)) throw JsonMismatch{inner + ": is not there"};
+            read_json(json[name], field, inner);
         });
         for (const auto& [name, unused] : json.items()) {
-            if (!known.contains(name)) throw Unfit{(place.empty() ? name : place + "." + name) + ": unknown"};
+            if (!known.contains(name))
+                throw JsonMismatch{(place.empty() ? name : place + "." + name) + ": unknown"};
         }
     } else if constexpr (std::is_same_v<T, Terms::Effect>) {
-        want(json.is_string(), "safe, keyed or unsafe");
+        require(json.is_string(), "safe, keyed or unsafe");
         const auto* const found = std::find(std::begin(effects), std::end(effects), json.get<std::string>());
-        want(found != std::end(effects), "safe, keyed or unsafe");
+        require(found != std::end(effects), "safe, keyed or unsafe");
         value = static_cast<Terms::Effect>(found - std::begin(effects));
     } else if constexpr (std::is_same_v<T, std::string>) {
-        want(json.is_string(), "a text");
+        require(json.is_string(), "a text");
         value = json.get<std::string>();
     } else if constexpr (is_list<T>) {
-        want(json.is_array(), "an array");
+        require(json.is_array(), "an array");
         for (std::size_t i = 0; i < json.size(); ++i) {
-            take(json[i], value.emplace_back(), place + "[" + std::to_string(i) + "]");
+            read_json(json[i], value.emplace_back(), place + "[" + std::to_string(i) + "]");
         }
     } else if constexpr (std::is_same_v<T, bool>) {
-        want(json.is_boolean(), "true or false");
+        require(json.is_boolean(), "true or false");
         value = json.get<bool>();
     } else if constexpr (std::is_floating_point_v<T>) {
-        want(json.is_number(), "a number");
+        require(json.is_number(), "a number");
         value = json.get<T>();
     } else {
-        want(json.is_number_unsigned() && json.get<std::uint64_t>() <= std::numeric_limits<T>::max(),
-             "a whole number that fits");
+        require(json.is_number_unsigned() && json.get<std::uint64_t>() <= std::numeric_limits<T>::max(),
+                "a whole number that fits");
         value = json.get<T>();
     }
 }
@@ -214,10 +215,10 @@
     }
     try {
         Terms terms;
-        take(json, terms, "");
+        read_json(json, terms, "");
         return terms;
-    } catch (const Unfit& unfit) {
-        error = unfit.what;
+    } catch (const JsonMismatch& malformed) {
+        error = malformed.what;
         return std::nullopt;
     }
 }
@@ -229,7 +230,7 @@
     return digits;
 }
 
-// --------------------------------------------------------------------------------------- records as bytes
+// Encoding of records.
 
 struct Blocks::Hash {
     XXH3_state_t state;
@@ -265,14 +266,14 @@
     if ((mask & has_who) != 0) to = varint_to(to, record.who);
     if ((mask & has_peer) != 0) to = varint_to(to, record.peer);
     if ((mask & has_call) != 0) {
-        to = varint_to(to, folded(record.call - call_));
+        to = varint_to(to, zigzag_encode(record.call - call_));
         call_ = record.call;
     }
     if ((mask & has_a) != 0) to = varint_to(to, record.a);
     if ((mask & has_b) != 0) to = varint_to(to, record.b);
     open_.append(bytes.data(), to);
     at_ = at;
-    ++in_open_;
+    ++open_records_;
     ++records_;
     return open_.size() >= full_block;
 }
@@ -281,12 +282,12 @@
     taken_.swap(open_);
     open_.clear();
     XXH3_128bits_update(&hash_->state, taken_.data(), taken_.size());
-    return {taken_, std::exchange(in_open_, 0)};
+    return {taken_, std::exchange(open_records_, 0)};
 }
 
 Digest Blocks::digest() const { return digest_of(hash_->state); }
 
-// ------------------------------------------------------------------------------------------------- writer
+// Writer.
 
 TraceWriter::TraceWriter(std::ostream& out, const Terms& terms) : out_(out) {
     const std::string json = to_json(terms);
@@ -309,7 +310,7 @@
 
 void TraceWriter::write_block() {
     const Blocks::Block block = blocks_.take();
-    if (block.records == 0) return;  // an empty one is the end
+    if (block.records == 0) return;  // an empty block would mark the end of the file
     std::string head;
     const auto size = static_cast<std::uint32_t>(block.bytes.size());
     put_number(head, size);
@@ -320,7 +321,7 @@
 }
 
 std::optional<TraceWriter::Done> TraceWriter::finish() {
-    write_block();  // what is left
+    write_block();  // the last, partly filled block
     const Digest digest = blocks_.digest();
     std::string end;
     put_number(end, std::uint32_t{0});
@@ -337,7 +338,7 @@
     return Done{digest, blocks_.records(), bytes_};
 }
 
-// ------------------------------------------------------------------------------------------------- reader
+// Reader.
 
 std::string Damage::text() const { return "byte " + std::to_string(place) + ": " + what; }
 
@@ -346,7 +347,7 @@
 
 TraceReader::Next TraceReader::damaged(std::uint64_t place, std::string what) {
     damage_ = {place, std::move(what)};
-    over_ = Next::damaged;
+    final_result_ = Next::damaged;
     return Next::damaged;
 }
 
@@ -394,7 +395,7 @@
         return damaged(block_place_, "the block is damaged");
     }
     if (size == 0) {
-        // An empty block is the end.
+        // An empty block marks the end of the file.
         const std::uint64_t end = place_;
         if (!read(end_size)) return damaged(end, "cut within the end");
         digest_ = digest_of(hash_->state);
@@ -409,30 +410,30 @@
         if (in_.peek() != std::istream::traits_type::eof()) {
             return damaged(place_, "more bytes after the end");
         }
-        over_ = Next::end;
+        final_result_ = Next::end;
         return Next::end;
     }
     XXH3_128bits_update(&hash_->state, bytes_.data(), bytes_.size());
     ++number_;
     rest_ = bytes_;
-    left_ = records;
+    records_left_ = records;
     return Next::record;
 }
 
 TraceReader::Next TraceReader::next(Record& record) {
-    if (over_) return *over_;
-    if (left_ == 0 && next_block() != Next::record) return *over_;
-    // The block is whole: what does not fit here was written so, by another program.
-    const auto unfit = [&](const std::string& what) {
+    if (final_result_) return *final_result_;
+    if (records_left_ == 0 && next_block() != Next::record) return *final_result_;
+    // The block's hash is correct, so a malformed record was written that way, by another program.
+    const auto malformed = [&](const std::string& what) {
         return damaged(block_place_,
                        "the block is whole, but record " + std::to_string(records_) + " " + what);
     };
-    if (rest_.size() < 2) return unfit("is not there");
+    if (rest_.size() < 2) return malformed("is not there");
     const auto event = static_cast<unsigned char>(rest_[0]);
     const auto mask = static_cast<unsigned char>(rest_[1]);
     rest_.remove_prefix(2);
-    if (event >= event_kinds) return unfit("is of an unknown kind, " + std::to_string(event));
-    if (mask > all_of_mask) return unfit("has unknown fields");
+    if (event >= event_kinds) return malformed("is of an unknown kind, " + std::to_string(event));
+    if (mask > all_of_mask) return malformed("has unknown fields");
     std::uint64_t step = 0, who = 0, peer = 0, call = 0, a = 0, b = 0;
     const auto field = [&](unsigned bit, std::uint64_t& number) {
         return (mask & bit) == 0 || (take_varint(rest_, number) && (bit == has_call || number != 0));
@@ -440,10 +441,10 @@
     if (!take_varint(rest_, step) || !field(has_who, who) || !field(has_peer, peer) ||
         !field(has_call, call) || !field(has_a, a) || !field(has_b, b) || who > UINT32_MAX ||
         peer > UINT32_MAX || step > ~at_) {
-        return unfit("is no record");
+        return malformed("is no record");
     }
     at_ += step;
-    if ((mask & has_call) != 0) call_ += unfolded(call);
+    if ((mask & has_call) != 0) call_ += zigzag_decode(call);
     record = {at_,
               static_cast<Event>(event),
               static_cast<std::uint32_t>(who),
@@ -452,7 +453,7 @@
               a,
               b};
     ++records_;
-    if (--left_ == 0 && !rest_.empty()) return unfit("is followed by bytes of no record");
+    if (--records_left_ == 0 && !rest_.empty()) return malformed("is followed by bytes of no record");
     return Next::record;
 }
 
--- a/lab/trace/record.cpp
+++ b/lab/trace/record.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-// Records may come from a file: a number beyond the names has a text too.
+// Returns the name of a value, or "unknown" for one beyond the names, which a file may contain.
 template <std::size_t N, typename Kind>
-std::string_view one_of(const std::array<std::string_view, N>& names, Kind kind) {
+std::string_view name_of(const std::array<std::string_view, N>& names, Kind kind) {
     const auto number = static_cast<std::size_t>(kind);
     return number < N ? names[number] : "unknown";
 }
@@ -23,25 +23,25 @@
         "final_answer", "sending", "heard",       "came_up", "killed",    "told_to_end",
         "ended",        "arrived", "turned_away", "ran",     "replied",   "server_up",
         "server_down",  "fell",    "load",        "told",    "trouble",   "over"};
-    return one_of(names, event);
+    return name_of(names, event);
 }
 
 std::string_view text_of(Verdict verdict) {
-    return one_of(std::array<std::string_view, 3>{"served", "refused", "failed"}, verdict);
+    return name_of(std::array<std::string_view, 3>{"served", "refused", "failed"}, verdict);
 }
 
 std::string_view text_of(Reply reply) {
-    return one_of(std::array<std::string_view, 3>{"ok", "error", "spoilt"}, reply);
+    return name_of(std::array<std::string_view, 3>{"ok", "error", "spoilt"}, reply);
 }
 
 std::string_view text_of(Heard heard) {
-    return one_of(
+    return name_of(
         std::array<std::string_view, 6>{"ok", "error", "turned_away", "never_left", "reset", "timed_out"},
         heard);
 }
 
 std::string_view text_of(Word word) {
-    return one_of(std::array<std::string_view, 3>{"ready", "draining", "gone"}, word);
+    return name_of(std::array<std::string_view, 3>{"ready", "draining", "gone"}, word);
 }
 
 std::string text_of_time(std::uint64_t us) {
