--- a/lab/run/expect.h
+++ b/lab/run/expect.h
@@ -1,4 +1,4 @@
-// Whether a world came to what its experiment expects. Pure functions.
+// Checks the results of a world against the expectations of its experiment. Pure functions.
 #pragma once
 
 #include <string>
@@ -10,12 +10,14 @@
 
 namespace flaxdoor::lab {
 
+// The result of one expectation.
 struct Met {
-    std::string expectation;  // in words
+    std::string expectation;  // as text for people
     bool met = false;
-    std::string found;
+    std::string found;  // the measured value, as text
 };
 
+// Returns one result for each expectation, in the experiment's order.
 std::vector<Met> meets(const Experiment& experiment, const Terms& terms, const Figures& figures,
                        const Findings& findings);
 
--- a/lab/run/figures.cpp
+++ b/lab/run/figures.cpp
@@ -8,8 +8,8 @@
 namespace {
 
 constexpr std::uint64_t second = 1'000'000;
-// A call's last repeat may come so long after its first try.
-constexpr std::uint64_t repeats_within = 10 * second;
+// Longest time from a call's first request to its last retry, in microseconds.
+constexpr std::uint64_t retry_window = 10 * second;
 
 }  // namespace
 
@@ -49,23 +49,24 @@
     figures_.load.assign(terms.server_zones.size(), std::vector<std::uint16_t>(seconds_));
     figures_.latency.resize(terms.classes.size());
     figures_.settles = std::min<std::uint64_t>(settles_us / second, seconds_);
-    for (const auto& c : terms.classes) keep_ = std::max(keep_, c.deadline_us);
-    keep_ += repeats_within;
+    for (const auto& call_class : terms.classes) keep_ = std::max(keep_, call_class.deadline_us);
+    keep_ += retry_window;
 }
 
-Tally& Counter::cell(std::vector<Tally>& seconds, std::uint64_t at) {
+Tally& Counter::tally_at(std::vector<Tally>& seconds, std::uint64_t at) {
     return seconds[std::min<std::size_t>(static_cast<std::size_t>(at / second), seconds_ - 1)];
 }
 
-void Counter::settle(std::uint64_t, const Call& call, bool served, std::uint64_t at) {
-    const Terms::Class& its = terms_.classes[call.class_index];
+void Counter::count_call(std::uint64_t, const Call& call, bool served, std::uint64_t at) {
+    const Terms::Class& call_class = terms_.classes[call.class_index];
     Tally tally;
     tally.asked = 1;
-    tally.worth = its.worth;
+    tally.worth = call_class.worth;
     if (served) {
         tally.served = 1;
         const std::uint64_t took = at - call.asked_at;
-        tally.earned = took <= its.aim_us ? its.worth : its.worth * its.late_worth;
+        tally.earned =
+            took <= call_class.aim_us ? call_class.worth : call_class.worth * call_class.late_worth;
         figures_.latency[call.class_index].add(std::chrono::microseconds(took));
         figures_.latency_all.add(std::chrono::microseconds(took));
     } else if (call.verdict == static_cast<std::uint8_t>(Verdict::refused)) {
@@ -73,140 +74,141 @@
     } else {
         tally.failed = 1;
     }
-    cell(figures_.seconds, call.asked_at).add(tally);
-    cell(figures_.by_class[call.class_index], call.asked_at).add(tally);
+    tally_at(figures_.seconds, call.asked_at).add(tally);
+    tally_at(figures_.by_class[call.class_index], call.asked_at).add(tally);
     if (call.tenant < figures_.by_tenant.size())
-        cell(figures_.by_tenant[call.tenant], call.asked_at).add(tally);
+        tally_at(figures_.by_tenant[call.tenant], call.asked_at).add(tally);
 }
 
-void Counter::forget_older(std::uint64_t at) {
-    while (!in_order_.empty() && in_order_.front().first + keep_ < at) {
-        const auto found = calls_.find(in_order_.front().second);
-        in_order_.pop_front();
+void Counter::expire_calls(std::uint64_t at) {
+    while (!by_time_.empty() && by_time_.front().first + keep_ < at) {
+        const auto found = calls_.find(by_time_.front().second);
+        by_time_.pop_front();
         if (found == calls_.end()) continue;
-        if (!found->second.over) settle(found->first, found->second, false, at);
-        // Its tries have numbers of their own: those of a client's call differ in the last three bits.
-        for (std::uint64_t n = 1; n < 8; ++n) repeats_.erase(found->first + n);
+        if (!found->second.over) count_call(found->first, found->second, false, at);
+        // The numbers of a call's requests differ only in the lowest three bits.
+        for (std::uint64_t n = 1; n < 8; ++n) retries_.erase(found->first + n);
         calls_.erase(found);
     }
 }
 
-void Counter::put(const Record& r) {
-    const auto now = std::min<std::size_t>(static_cast<std::size_t>(r.at / second), seconds_ - 1);
+void Counter::put(const Record& record) {
+    const auto now = std::min<std::size_t>(static_cast<std::size_t>(record.at / second), seconds_ - 1);
     const auto find = [&](std::uint64_t number) -> Call* {
-        const auto repeat = repeats_.find(number);
-        const auto found = calls_.find(repeat == repeats_.end() ? number : repeat->second);
+        const auto repeat = retries_.find(number);
+        const auto found = calls_.find(repeat == retries_.end() ? number : repeat->second);
         return found == calls_.end() ? nullptr : &found->second;
     };
-    switch (r.event) {
+    switch (record.event) {
         case Event::asked: {
             ++figures_.tries;
-            forget_older(r.at);
-            // A repeat is told as one right behind this; it is taken back then.
-            const Asked asked = Asked::unpacked(r.b);
-            calls_.emplace(r.call, Call{r.at, r.call, asked.class_index, asked.tenant, 3, false});
-            in_order_.emplace_back(r.at, r.call);
+            expire_calls(record.at);
+            // The record `repeats` follows at once if this is a client retry; it removes the new call again.
+            const Asked asked = Asked::unpacked(record.b);
+            calls_.emplace(record.call,
+                           Call{record.at, record.call, asked.class_index, asked.tenant, 3, false});
+            by_time_.emplace_back(record.at, record.call);
             return;
         }
         case Event::repeats: {
-            calls_.erase(r.call);
-            in_order_.pop_back();
-            const auto earlier = repeats_.find(r.a);
-            repeats_[r.call] = earlier == repeats_.end() ? r.a : earlier->second;
+            calls_.erase(record.call);
+            by_time_.pop_back();
+            const auto earlier = retries_.find(record.a);
+            retries_[record.call] = earlier == retries_.end() ? record.a : earlier->second;
             return;
         }
         case Event::received: {
-            Call* const call = find(r.call);
+            Call* const call = find(record.call);
             if (!call || call->over) return;
-            call->verdict = static_cast<std::uint8_t>(r.a);
-            if (r.a != static_cast<std::uint64_t>(Verdict::served)) return;
+            call->verdict = static_cast<std::uint8_t>(record.a);
+            if (record.a != static_cast<std::uint64_t>(Verdict::served)) return;
             call->over = true;
-            return settle(r.call, *call, true, r.at);
+            return count_call(record.call, *call, true, record.at);
         }
         case Event::gave_up:
         case Event::unreached:
-            if (Call* const call = find(r.call); call && !call->over) {
+            if (Call* const call = find(record.call); call && !call->over) {
                 call->verdict = static_cast<std::uint8_t>(Verdict::failed);
             }
-            // Whoever held it lets go of it, or is no more.
-            open_.erase(r.call);
-            return open_now(now);
-        case Event::taken: open_.insert(r.call); return open_now(now);
-        case Event::final_answer: open_.erase(r.call); return open_now(now);
+            // The balancer that held the request drops it or has died.
+            open_requests_.erase(record.call);
+            return record_open(now);
+        case Event::taken: open_requests_.insert(record.call); return record_open(now);
+        case Event::final_answer: open_requests_.erase(record.call); return record_open(now);
         case Event::sending: ++figures_.attempts; return;
-        case Event::came_up: figures_.restarts += r.a > 1 ? 1 : 0; return;
+        case Event::came_up: figures_.restarts += record.a > 1 ? 1 : 0; return;
         case Event::fell: ++figures_.falls; return;
         case Event::load: {
-            auto& most = figures_.load[r.who][now];
-            most = std::max(most, static_cast<std::uint16_t>(std::min<std::uint64_t>(r.a, 65535)));
+            auto& most = figures_.load[record.who][now];
+            most = std::max(most, static_cast<std::uint16_t>(std::min<std::uint64_t>(record.a, 65535)));
             return;
         }
         default: return;
     }
 }
 
-void Counter::open_now(std::uint64_t second) {
-    figures_.open[second] = static_cast<std::uint32_t>(open_.size());
+void Counter::record_open(std::uint64_t second) {
+    figures_.open[second] = static_cast<std::uint32_t>(open_requests_.size());
 }
 
 Figures Counter::finish() {
-    for (const auto& [at, first] : in_order_) {
+    for (const auto& [at, first] : by_time_) {
         const auto found = calls_.find(first);
-        if (found != calls_.end() && !found->second.over) settle(first, found->second, false, at);
+        if (found != calls_.end() && !found->second.over) count_call(first, found->second, false, at);
     }
     calls_.clear();
-    in_order_.clear();
+    by_time_.clear();
     return std::move(figures_);
 }
 
-nlohmann::json to_json(const Figures& f, const Terms& terms) {
+nlohmann::json to_json(const Figures& figures, const Terms& terms) {
     using nlohmann::json;
     const auto tally = [](const Tally& t) {
         return json{{"asked", t.asked},   {"served", t.served},     {"refused", t.refused},
                     {"failed", t.failed}, {"service", t.service()}, {"worth", t.worth},
                     {"earned", t.earned}};
     };
-    const auto line = [](const std::vector<Tally>& seconds, auto of) {
+    const auto series = [](const std::vector<Tally>& seconds, auto of) {
         json all = json::array();
         for (const Tally& t : seconds) all.push_back(of(t));
         return all;
     };
     const auto service = [](const Tally& t) { return std::round(t.service() * 1e4) / 1e4; };
-    const auto latencies = [](const standins::Latencies& l) {
-        return json{{"count", l.count()},
-                    {"p50_us", l.quantile(0.5).count()},
-                    {"p90_us", l.quantile(0.9).count()},
-                    {"p99_us", l.quantile(0.99).count()},
-                    {"p999_us", l.quantile(0.999).count()},
-                    {"most_us", l.most().count()}};
+    const auto latencies = [](const standins::Latencies& latency) {
+        return json{{"count", latency.count()},
+                    {"p50_us", latency.quantile(0.5).count()},
+                    {"p90_us", latency.quantile(0.9).count()},
+                    {"p99_us", latency.quantile(0.99).count()},
+                    {"p999_us", latency.quantile(0.999).count()},
+                    {"most_us", latency.most().count()}};
     };
-    json all{{"sum", tally(f.sum())},
-             {"worst_ten_seconds", f.worst_ten_seconds()},
-             {"latency", latencies(f.latency_all)},
-             {"tries", f.tries},
-             {"attempts", f.attempts},
-             {"falls", f.falls},
-             {"faults", f.faults},
-             {"restarts", f.restarts},
-             {"settles", f.settles}};
-    all["seconds"] = {{"asked", line(f.seconds, [](const Tally& t) { return t.asked; })},
-                      {"served", line(f.seconds, [](const Tally& t) { return t.served; })},
-                      {"refused", line(f.seconds, [](const Tally& t) { return t.refused; })},
-                      {"failed", line(f.seconds, [](const Tally& t) { return t.failed; })},
-                      {"service", line(f.seconds, service)},
-                      {"open", f.open}};
+    json all{{"sum", tally(figures.sum())},
+             {"worst_ten_seconds", figures.worst_ten_seconds()},
+             {"latency", latencies(figures.latency_all)},
+             {"tries", figures.tries},
+             {"attempts", figures.attempts},
+             {"falls", figures.falls},
+             {"faults", figures.faults},
+             {"restarts", figures.restarts},
+             {"settles", figures.settles}};
+    all["seconds"] = {{"asked", series(figures.seconds, [](const Tally& t) { return t.asked; })},
+                      {"served", series(figures.seconds, [](const Tally& t) { return t.served; })},
+                      {"refused", series(figures.seconds, [](const Tally& t) { return t.refused; })},
+                      {"failed", series(figures.seconds, [](const Tally& t) { return t.failed; })},
+                      {"service", series(figures.seconds, service)},
+                      {"open", figures.open}};
     for (std::size_t c = 0; c < terms.classes.size(); ++c) {
         all["classes"].push_back({{"name", terms.classes[c].name},
-                                  {"sum", tally(Figures::sum(f.by_class[c], f.settles))},
-                                  {"latency", latencies(f.latency[c])},
-                                  {"service", line(f.by_class[c], service)}});
+                                  {"sum", tally(Figures::sum(figures.by_class[c], figures.settles))},
+                                  {"latency", latencies(figures.latency[c])},
+                                  {"service", series(figures.by_class[c], service)}});
     }
     for (std::size_t t = 0; t < terms.tenants.size(); ++t) {
         all["tenants"].push_back({{"name", terms.tenants[t]},
-                                  {"sum", tally(Figures::sum(f.by_tenant[t], f.settles))},
-                                  {"service", line(f.by_tenant[t], service)}});
+                                  {"sum", tally(Figures::sum(figures.by_tenant[t], figures.settles))},
+                                  {"service", series(figures.by_tenant[t], service)}});
     }
-    all["load"] = f.load;
+    all["load"] = figures.load;
     return all;
 }
 
--- a/lab/run/runner.cpp
+++ b/lab/run/runner.cpp
@@ -25,7 +25,8 @@
     return std::chrono::duration<double>(Clock::now() - from).count();
 }
 
-class Several final : public Sink {
+// Passes records on to several sinks.
+class FanOutSink final : public Sink {
 public:
     void add(Sink& sink) { sinks_.push_back(&sink); }
     void put(const Record& record) override {
@@ -36,44 +37,46 @@
     std::vector<Sink*> sinks_;
 };
 
-// A world writes from its beginning; its terms are known once it stands. What it wrote until then waits here.
-class Gate final : public Sink {
+// Buffers the records of a world until the real sink is attached. A world writes records in its constructor, but its
+// terms, which the sinks need, are known only afterwards.
+class BufferingSink final : public Sink {
 public:
     void open(Sink& sink) {
         sink_ = &sink;
-        for (const Record& record : early_) sink.put(record);
-        early_ = {};
+        for (const Record& record : buffered_) sink.put(record);
+        buffered_ = {};
     }
     void put(const Record& record) override {
         if (sink_) return sink_->put(record);
-        early_.push_back(record);
+        buffered_.push_back(record);
     }
 
 private:
     Sink* sink_ = nullptr;
-    std::vector<Record> early_;
+    std::vector<Record> buffered_;
 };
 
-// Whether what was kept is the world that the plan has in that place.
-bool is_of(const Plan& plan, std::size_t number, const json& cell) {
+// Returns whether a stored result belongs to the plan's world of that number.
+bool belongs_to(const Plan& plan, std::size_t number, const json& cell) {
     return cell.value("variant", json()) == plan.variants[number / plan.seeds.size()].name &&
            cell.value("seed", json()) == plan.seeds[number % plan.seeds.size()];
 }
 
-// Whether it has all that a world's line has today: one of an older program, or by hand, may not.
-bool is_whole(const json& cell) {
-    const json today = to_json(Cell{});
+// Returns whether a stored result has all current fields. A result of an older program version, or one edited by
+// hand, may lack some.
+bool is_complete(const json& cell) {
+    const json current = to_json(Cell{});
     const auto has_all = [](const json& its, const json& names) {
         return its.is_object() && std::all_of(names.items().begin(), names.items().end(),
                                               [&](const auto& each) { return its.contains(each.key()); });
     };
-    return has_all(cell, today) && has_all(cell["figures"], today["figures"]);
+    return has_all(cell, current) && has_all(cell["figures"], current["figures"]);
 }
 
-// Whoever looks on at one world, and what they made of it.
-class Lookers {
+// The sinks that evaluate one world, and their results.
+class Evaluation {
 public:
-    Lookers(const Experiment& experiment, const Terms& terms, const std::string& trace_file)
+    Evaluation(const Experiment& experiment, const Terms& terms, const std::string& trace_file)
         : experiment_(experiment),
           trace_file_(trace_file),
           judge_(terms),
@@ -92,7 +95,7 @@
         }
     }
 
-    // `faults`: that cores told of, where there were any to look at.
+    // `faults` is the number of faults that the cores reported; 0 where there is no core to ask.
     Cell finish(std::uint64_t faults = 0) {
         if (writer_) {
             const auto done = writer_->finish();
@@ -107,14 +110,14 @@
         cell_.figures = counter_.finish();
         cell_.figures.faults = faults;
         cell_.met = meets(experiment_, cell_.terms, cell_.figures, cell_.findings);
-        cell_.real_seconds = seconds_since(from_);
+        cell_.real_seconds = seconds_since(started_at_);
         return std::move(cell_);
     }
 
-    Several sinks;
+    FanOutSink sinks;
 
 private:
-    const Clock::time_point from_ = Clock::now();
+    const Clock::time_point started_at_ = Clock::now();
     const Experiment& experiment_;
     const std::string trace_file_;
     Cell cell_;
@@ -133,25 +136,25 @@
 
 std::optional<Cell> play_cell(const Experiment& experiment, const std::string& trace_file,
                               const std::atomic<bool>* stop, Sink* also) {
-    Gate gate;
-    World world(experiment, gate);
-    Lookers lookers(experiment, world.terms(), trace_file);
-    if (also) lookers.sinks.add(*also);
-    gate.open(lookers.sinks);
+    BufferingSink buffer;
+    World world(experiment, buffer);
+    Evaluation evaluation(experiment, world.terms(), trace_file);
+    if (also) evaluation.sinks.add(*also);
+    buffer.open(evaluation.sinks);
     for (std::uint32_t steps = 0; world.step(); ++steps) {
         if ((steps & 0xFFFU) == 0 && stop && stop->load(std::memory_order_relaxed)) return std::nullopt;
     }
     const WorldFigures figures = world.figures();
-    Cell cell = lookers.finish(figures.cores.faults);
+    Cell cell = evaluation.finish(figures.cores.faults);
     cell.happenings = figures.happenings;
     return cell;
 }
 
 Cell cell_of(const Experiment& experiment, const Terms& terms, const std::vector<Record>& records,
              const std::string& trace_file) {
-    Lookers lookers(experiment, terms, trace_file);
-    for (const Record& record : records) lookers.sinks.put(record);
-    return lookers.finish();
+    Evaluation evaluation(experiment, terms, trace_file);
+    for (const Record& record : records) evaluation.sinks.put(record);
+    return evaluation.finish();
 }
 
 json to_json(const Cell& cell) {
@@ -196,13 +199,13 @@
         if (error) throw std::runtime_error(options.folder + ": " + error.message());
         const fs::path plan_file = fs::path(options.folder) / "plan.toml";
         const fs::path lines_file = fs::path(options.folder) / "cells.jsonl";
-        std::string there;
+        std::string stored_plan;
         if (std::ifstream in(plan_file, std::ios::binary); in) {
             std::ostringstream text;
             text << in.rdbuf();
-            there = text.str();
+            stored_plan = text.str();
         }
-        if (options.resume && !there.empty() && there != options.plan_text) {
+        if (options.resume && !stored_plan.empty() && stored_plan != options.plan_text) {
             throw std::runtime_error(options.folder + " is of another experiment; choose another folder");
         }
         if (!options.resume && fs::exists(lines_file)) {
@@ -210,32 +213,32 @@
                                      " has results; go on with --resume, or choose another folder");
         }
         std::ofstream(plan_file, std::ios::binary) << options.plan_text;
-        std::string whole;  // a last line that was cut is left out
+        std::string complete_lines;  // an incomplete last line is left out
         std::ifstream in(lines_file);
         for (std::string line; std::getline(in, line) && !in.eof();) {
             json cell = json::parse(line, nullptr, false);
             if (cell.is_discarded() || !cell.contains("cell")) continue;
-            // Worlds are told by their place in the plan: seeds given by hand make it another plan.
+            // Worlds are identified by their position in the plan, so other seeds make another plan.
             const json& place = cell["cell"];
             if (!place.is_number_unsigned()) continue;
             const auto number = place.get<std::size_t>();
-            if (number >= plan.cells() || !is_of(plan, number, cell)) {
+            if (number >= plan.cells() || !belongs_to(plan, number, cell)) {
                 throw std::runtime_error(options.folder +
                                          " has worlds of other seeds; choose another folder");
             }
-            if (!is_whole(cell)) continue;
-            whole += line + "\n";
+            if (!is_complete(cell)) continue;
+            complete_lines += line + "\n";
             done.emplace(number, std::move(cell));
         }
         in.close();
         lines.open(lines_file, std::ios::trunc);
-        lines << whole << std::flush;
+        lines << complete_lines << std::flush;
         if (!lines) throw std::runtime_error(lines_file.string() + " can't be written");
     }
     const std::size_t all = plan.cells();
-    std::vector<std::size_t> todo;
+    std::vector<std::size_t> pending;
     for (std::size_t n = 0; n < all; ++n) {
-        if (!done.contains(n)) todo.push_back(n);
+        if (!done.contains(n)) pending.push_back(n);
     }
     const std::size_t before = done.size();
     const auto from = Clock::now();
@@ -244,32 +247,32 @@
     std::exception_ptr failure;
     const auto work = [&] {
         try {
-            for (std::size_t i = next++; i < todo.size(); i = next++) {
+            for (std::size_t i = next++; i < pending.size(); i = next++) {
                 if (options.stop && options.stop->load()) return;
                 const std::string trace =
                     options.traces && !options.folder.empty()
-                        ? (fs::path(options.folder) / (std::to_string(todo[i]) + ".trace")).string()
+                        ? (fs::path(options.folder) / (std::to_string(pending[i]) + ".trace")).string()
                         : "";
-                auto cell = play_cell(plan.cell(todo[i]), trace, options.stop);
+                auto cell = play_cell(plan.cell(pending[i]), trace, options.stop);
                 if (!cell) return;
-                cell->number = todo[i];
+                cell->number = pending[i];
                 json line = to_json(*cell);
                 const std::lock_guard lock(mutex);
                 if (lines.is_open()) lines << line.dump() << "\n" << std::flush;
-                done.emplace(todo[i], std::move(line));
+                done.emplace(pending[i], std::move(line));
                 const std::size_t now_done = done.size() - before;
                 const double left = seconds_since(from) / static_cast<double>(now_done) *
-                                    static_cast<double>(todo.size() - now_done);
+                                    static_cast<double>(pending.size() - now_done);
                 if (options.progress) options.progress(done.size(), all, left);
             }
         } catch (...) {
             const std::lock_guard lock(mutex);
             if (!failure) failure = std::current_exception();
-            next = todo.size();
+            next = pending.size();
         }
     };
     std::vector<std::jthread> threads;
-    for (unsigned t = 1; t < std::min<std::size_t>(options.threads, todo.size()); ++t)
+    for (unsigned t = 1; t < std::min<std::size_t>(options.threads, pending.size()); ++t)
         threads.emplace_back(work);
     work();
     threads.clear();
--- a/lab/run/runner.h
+++ b/lab/run/runner.h
@@ -1,15 +1,14 @@
-// Plays all worlds of a plan, a world a thread, and keeps what they came to in a folder:
+// Runs all worlds of a plan, one world per thread, and stores their results in a folder:
 //
-//     plan.toml      the experiment's file, as it was
-//     cells.jsonl    a line for each world that is done: variant, seed, digest, figures, broken rules,
-//     expectations CELL.trace     where traces are kept
+//     plan.toml      the unchanged text of the experiment's file
+//     cells.jsonl    one line for each completed world: variant, seed, digest, figures, broken rules, expectations
+//     CELL.trace     the trace of a world, if traces are stored
 //
-// A folder that has some of the worlds already is gone on with (resume); one of another file is refused.
+// With `resume`, a run continues in a folder that has some of the worlds. It rejects a folder of another experiment.
 //
-// Threading: run() blocks; it starts and joins its own threads. `stop` may be set from a signal handler:
-// worlds
-//            under way are given up, those that are done stay.
-// Errors:    std::runtime_error for a folder that can't be written or is another experiment's.
+// Threading: run() blocks; it starts and joins its own threads. `stop` may be set from a signal handler: worlds in
+//            progress are abandoned, results of completed worlds stay.
+// Errors:    std::runtime_error for a folder that can't be written or belongs to another experiment.
 #pragma once
 
 #include <atomic>
@@ -29,6 +28,7 @@
 
 namespace flaxdoor::lab {
 
+// The results of one world of a plan.
 struct Cell {
     std::size_t number = 0;
     std::string variant;
@@ -36,7 +36,7 @@
     Terms terms;
     Digest digest;
     std::uint64_t records = 0, happenings = 0;
-    double real_seconds = 0;  // of this machine: not part of what replays
+    double real_seconds = 0;  // wall-clock time; differs between runs of the same world
     Figures figures;
     Findings findings;
     std::vector<Met> met;
@@ -44,31 +44,31 @@
     bool all_met() const;
 };
 
-// One world, judged and counted; its trace goes to `trace_file` too, where there is one, and its records to
-// `also`. Nothing: stopped.
+// Runs one world and evaluates it. Writes its trace to `trace_file` unless that is empty, and its records to `also`
+// unless that is null. Returns nothing when `stop` was set.
 std::optional<Cell> play_cell(const Experiment& experiment, const std::string& trace_file = "",
                               const std::atomic<bool>* stop = nullptr, Sink* also = nullptr);
 
-// Records that something else than a world wrote, judged and counted in the same way.
+// Evaluates records from another source than a simulated world in the same way.
 Cell cell_of(const Experiment& experiment, const Terms& terms, const std::vector<Record>& records,
              const std::string& trace_file = "");
 
 nlohmann::json to_json(const Cell& cell);
 
 struct RunOptions {
-    std::string folder;     // empty: nothing is kept
-    std::string plan_text;  // kept as plan.toml
+    std::string folder;     // empty: results are not stored
+    std::string plan_text;  // stored as plan.toml
     unsigned threads = 1;
     bool resume = false;
     bool traces = false;
     const std::atomic<bool>* stop = nullptr;
-    // After each world, from any of the threads, one at a time: done of all, and seconds left as far as
-    // known.
+    // Called after each world, from any of the threads but never concurrently, with the number of completed worlds
+    // and the estimated seconds left.
     std::function<void(std::size_t done, std::size_t all, double seconds_left)> progress;
 };
 
 struct Run {
-    std::vector<nlohmann::json> cells;  // in the order of their numbers; those that are done
+    std::vector<nlohmann::json> cells;  // completed worlds, in ascending order of their numbers
     bool stopped = false;
 };
 
