--- a/lab/hunt/hunt.cpp
+++ b/lab/hunt/hunt.cpp
@@ -18,7 +18,7 @@
 using settings::Value;
 using settings::Values;
 
-std::vector<std::string> plainly_wrong(const Experiment& experiment, const std::atomic<bool>* stop) {
+std::vector<std::string> failures_of(const Experiment& experiment, const std::atomic<bool>* stop) {
     std::vector<std::string> all;
     const auto cell = play_cell(experiment, "", stop);
     if (!cell) return all;
@@ -26,7 +26,7 @@
         all.push_back("rule on " + std::string(text_of(each.rule)) + ": " + each.what);
         if (all.size() >= 5) break;
     }
-    // A guard of the core held what the module would have broken.
+    // A check in the core prevented a violation by the policy module.
     if (cell->figures.faults > 0)
         all.push_back("fault of a core: " + std::to_string(cell->figures.faults) + " times");
     for (const Met& each : cell->met) {
@@ -35,7 +35,7 @@
     return all;
 }
 
-// What a sentence is about: two worlds show the same when they share one of these.
+// Returns the subject of a failure's sentence. Two worlds show the same failure if they share a subject.
 std::string subject(const std::string& sentence) {
     return sentence.substr(0, sentence.find_first_of(":;", 9));
 }
@@ -55,7 +55,7 @@
         return *low + (std::get<double>(most) - *low) * stream.share();
     }
     const auto low = std::get<Micros>(least), high = std::get<Micros>(most);
-    // Whole milliseconds read better, where the range has any.
+    // Durations are rounded to whole milliseconds, which read better, if the range contains such a value.
     const auto drawn =
         low +
         Micros(static_cast<std::int64_t>(stream.below(static_cast<std::uint64_t>((high - low).count()) + 1)));
@@ -69,63 +69,64 @@
     return values;
 }
 
-// One step smaller, each another way; those that do the most come first.
-std::vector<Values> smaller(const Values& values) {
+// Returns all worlds that are one reduction step smaller. The most effective reductions come first.
+std::vector<Values> reductions(const Values& values) {
     std::vector<Values> all;
-    const auto without_row = [&](const char* table, std::size_t least) {
-        const std::size_t t = values.schema().index_of(table);
-        const auto& rows = values.parts()[t].rows;
-        for (std::size_t r = 0; rows.size() > least && r < rows.size(); ++r) {
+    const auto remove_row = [&](const char* table, std::size_t least) {
+        const std::size_t table_index = values.schema().index_of(table);
+        const auto& rows = values.parts()[table_index].rows;
+        for (std::size_t row = 0; rows.size() > least && row < rows.size(); ++row) {
             Values next = values;
-            next.parts()[t].rows.erase(next.parts()[t].rows.begin() + static_cast<std::ptrdiff_t>(r));
+            next.parts()[table_index].rows.erase(next.parts()[table_index].rows.begin() +
+                                                 static_cast<std::ptrdiff_t>(row));
             all.push_back(std::move(next));
         }
     };
     const auto halved = [&](const char* table, const char* key, std::int64_t least) {
-        const std::size_t t = values.schema().index_of(table);
-        const std::size_t k = values.schema().tables()[t].index_of(key);
-        for (std::size_t r = 0; r < values.parts()[t].rows.size(); ++r) {
-            const Value& now = *values.parts()[t].rows[r].slots()[k].value;
-            // Half of it, or three quarters where half goes too far.
-            for (const double part : {0.5, 0.75}) {
+        const std::size_t table_index = values.schema().index_of(table);
+        const std::size_t key_index = values.schema().tables()[table_index].index_of(key);
+        for (std::size_t row = 0; row < values.parts()[table_index].rows.size(); ++row) {
+            const Value& now = *values.parts()[table_index].rows[row].slots()[key_index].value;
+            // One half, or three quarters if a half loses the failure.
+            for (const double factor : {0.5, 0.75}) {
                 Value next = now;
                 if (const auto* const whole = std::get_if<std::int64_t>(&now)) {
-                    const auto less = static_cast<std::int64_t>(static_cast<double>(*whole) * part);
-                    if (less < least || less == *whole) continue;
-                    next = less;
+                    const auto reduced = static_cast<std::int64_t>(static_cast<double>(*whole) * factor);
+                    if (reduced < least || reduced == *whole) continue;
+                    next = reduced;
                 } else if (const auto* const real = std::get_if<double>(&now)) {
-                    if (*real * part < static_cast<double>(least)) continue;
-                    next = *real * part;
+                    if (*real * factor < static_cast<double>(least)) continue;
+                    next = *real * factor;
                 } else {
-                    const Micros less(
-                        static_cast<std::int64_t>(static_cast<double>(std::get<Micros>(now).count()) * part));
-                    if (less < Micros(least)) continue;
-                    next = less;
+                    const Micros reduced(static_cast<std::int64_t>(
+                        static_cast<double>(std::get<Micros>(now).count()) * factor));
+                    if (reduced < Micros(least)) continue;
+                    next = reduced;
                 }
                 Values more = values;
-                auto& slot = more.parts()[t].rows[r].slots()[k];
+                auto& slot = more.parts()[table_index].rows[row].slots()[key_index];
                 slot.value = std::move(next);
                 slot.given = true;
                 all.push_back(std::move(more));
             }
         }
     };
-    without_row("trouble", 0);
+    remove_row("trouble", 0);
     halved("experiment", "lasts", 1'000'000);
     halved("fleet", "balancers", 1);
     halved("servers", "count", 2);
     halved("clients", "rate", 1);
     halved("clients", "count", 1);
-    without_row("class", 1);
-    without_row("tenant", 0);
-    without_row("zone", 1);
+    remove_row("class", 1);
+    remove_row("tenant", 0);
+    remove_row("zone", 1);
     halved("trouble", "lasts", 1000);
     return all;
 }
 
-// The first of these that shows it, by number, looked at by several threads at a time.
+// Returns the lowest index below `count` for which `shows` is true. Several threads evaluate it concurrently.
 template <typename Shows>
-std::optional<std::size_t> first_that(std::size_t count, unsigned threads, const std::atomic<bool>* stop,
+std::optional<std::size_t> find_first(std::size_t count, unsigned threads, const std::atomic<bool>* stop,
                                       Shows shows) {
     std::atomic<std::size_t> next{0}, found{count};
     std::mutex mutex;
@@ -161,7 +162,7 @@
     const auto wrong = [&](const Values& values, std::uint64_t seed, const std::atomic<bool>* stop) {
         ++played;
         const Experiment experiment = experiment_of(values, seed);
-        return options.wrong ? options.wrong(experiment) : plainly_wrong(experiment, stop);
+        return options.wrong ? options.wrong(experiment) : failures_of(experiment, stop);
     };
     const auto tell = [&](const std::string& what) {
         if (options.tell) options.tell(what);
@@ -174,33 +175,33 @@
         return without_ranges(std::move(values));
     };
     const auto seed_of = [&](std::size_t number) { return options.seed + number; };
-    const auto sound = [](const Values& values) { return settings::check_values(values).empty(); };
+    const auto is_valid = [](const Values& values) { return settings::check_values(values).empty(); };
 
-    std::atomic<std::size_t> looked_at{0};
-    const auto found = first_that(options.draws, options.threads, options.stop, [&](std::size_t i) {
+    std::atomic<std::size_t> evaluated{0};
+    const auto found = find_first(options.draws, options.threads, options.stop, [&](std::size_t i) {
         const Values values = drawn(i);
-        const bool shows = sound(values) && !wrong(values, seed_of(i), options.stop).empty();
-        if (!options.stop || !options.stop->load()) ++looked_at;
+        const bool shows = is_valid(values) && !wrong(values, seed_of(i), options.stop).empty();
+        if (!options.stop || !options.stop->load()) ++evaluated;
         return shows;
     });
-    result.drawn = found ? *found + 1 : looked_at.load();
+    result.drawn = found ? *found + 1 : evaluated.load();
     if (found) {
         Values smallest = drawn(*found);
         const std::uint64_t seed = seed_of(*found);
         Prey prey;
         prey.draw = *found;
-        // What is written is told in whole, also where it is to stop: one world more.
+        // The reported failures are complete even if the hunt is to stop, so this world runs without `stop`.
         prey.wrong = wrong(smallest, seed, nullptr);
         std::vector<std::string> subjects;
         for (const std::string& each : prey.wrong) subjects.push_back(subject(each));
         tell("world " + std::to_string(*found) + ": " + (prey.wrong.empty() ? "" : prey.wrong.front()));
-        // Counted as one thread would play them: more threads change nothing.
+        // Counts the worlds that a single thread would run, so that the number of threads does not change the result.
         std::size_t left = options.shrinks;
         while (left > 0 && !(options.stop && options.stop->load())) {
-            const auto candidates = smaller(smallest);
-            const auto taken = first_that(
+            const auto candidates = reductions(smallest);
+            const auto taken = find_first(
                 std::min(candidates.size(), left), options.threads, options.stop, [&](std::size_t i) {
-                    return sound(candidates[i]) &&
+                    return is_valid(candidates[i]) &&
                            shows_one_of(wrong(candidates[i], seed, options.stop), subjects);
                 });
             if (!taken) break;
--- a/lab/hunt/hunt.h
+++ b/lab/hunt/hunt.h
@@ -1,10 +1,9 @@
-// Looks for worlds in which a rule broke or an expectation was not met: draws them from the ranges of an
-// experiment's file, and makes the first that is found smaller, step by step, as long as it still shows it.
+// Searches for worlds that break a rule or miss an expectation. Draws worlds from the ranges of an experiment's file
+// and reduces the first failing one step by step, as long as it still shows one of the same failures.
 //
-// Repeatable: the same file and seed draw the same worlds and shrink in the same way; more threads only look
-// at
-//             more of them at a time, and of several the one with the least number is taken.
-// Bounds:     `draws` worlds, then `shrinks` worlds.
+// Repeatable: the same file and seed draw the same worlds and reduce them in the same way. More threads only run more
+//             worlds at a time; of several failing worlds, the one with the lowest number is taken.
+// Bounds:     at most `draws` worlds to find a failure, then at most `shrinks` worlds to reduce it.
 #pragma once
 
 #include <atomic>
@@ -24,17 +23,17 @@
     std::size_t shrinks = 200;
     unsigned threads = 1;
     const std::atomic<bool>* stop = nullptr;
-    std::function<void(const std::string& what)> tell;  // of progress, on the thread that called hunt()
-    // What is wrong with a world, a sentence each; empty: nothing. Null: its broken rules and what was not
-    // met.
+    std::function<void(const std::string& what)> tell;  // reports progress on the thread that called hunt()
+    // Returns the failures of a world, one sentence each. If null, its broken rules and missed expectations count.
     std::function<std::vector<std::string>(const Experiment&)> wrong;
 };
 
+// The failing world that was found.
 struct Prey {
-    std::string file;  // the smallest world, as an experiment's file
+    std::string file;  // the reduced world, as an experiment's file
     std::vector<std::string> wrong;
     std::uint64_t draw = 0;
-    std::size_t steps = 0;  // that made it smaller
+    std::size_t steps = 0;  // successful reduction steps
 };
 
 struct Hunt {
