--- a/lab/fleet/balancers.cpp
+++ b/lab/fleet/balancers.cpp
@@ -10,67 +10,69 @@
 
 namespace {
 
-// As the daemon allows for the ways between a client and it.
-constexpr Micros unseen = std::chrono::milliseconds(4);
-constexpr Micros sweep_every = std::chrono::seconds(1);
-// Between its last answer and its next process.
-constexpr Micros starts_again = std::chrono::milliseconds(500);
-// Tries of which a process remembers whose they are: more than come to one while any of them may be answered.
-constexpr std::size_t names_most = 20'000;
-
+// Network time between a client and the balancer that the daemon also assumes.
+constexpr Micros client_network_time = std::chrono::milliseconds(4);
+constexpr Micros idle_sweep_interval = std::chrono::seconds(1);
+// Time from the end of a balancer's process to the start of the next one.
+constexpr Micros restart_delay = std::chrono::milliseconds(500);
+// Requests whose call and client a process remembers. The number exceeds the requests that a process receives while
+// any of them may still be answered.
+constexpr std::size_t max_remembered_requests = 20'000;
+
+// Carries a request's or a flight's handle through the core.
 class Handle final : public core::Payload {
 public:
-    explicit Handle(std::uint64_t its) : handle(its) {}
+    explicit Handle(std::uint64_t value) : handle(value) {}
     const std::uint64_t handle;
 };
 
 }  // namespace
 
-int balancer_zone(const Experiment& e, std::uint32_t balancer) {
+int balancer_zone(const Experiment& experiment, std::uint32_t balancer) {
     double sum = 0;
-    for (const Zone& zone : e.fleet.zones) sum += zone.traffic;
-    double place = (balancer + 0.5) / e.fleet.balancers * sum;
-    for (std::size_t z = 0; z < e.fleet.zones.size(); ++z) {
-        place -= e.fleet.zones[z].traffic;
-        if (place < 0) return static_cast<int>(z);
+    for (const Zone& zone : experiment.fleet.zones) sum += zone.traffic;
+    double position = (balancer + 0.5) / experiment.fleet.balancers * sum;
+    for (std::size_t zone_index = 0; zone_index < experiment.fleet.zones.size(); ++zone_index) {
+        position -= experiment.fleet.zones[zone_index].traffic;
+        if (position < 0) return static_cast<int>(zone_index);
     }
-    return static_cast<int>(e.fleet.zones.size()) - 1;
+    return static_cast<int>(experiment.fleet.zones.size()) - 1;
 }
 
-Settings settings_for(const Experiment& e, std::uint32_t balancer, int zone) {
-    Settings s = e.module;
-    s.rank = static_cast<int>(balancer);
-    s.balancers = e.fleet.balancers;
-    s.zone = zone;
-    s.zones = static_cast<int>(e.fleet.zones.size());
-    s.classes.clear();
-    for (const CallClass& c : e.classes) s.classes.push_back(c.told);
-    s.tenants.clear();
-    for (const TenantKind& t : e.tenants) s.tenants.push_back(t.told);
-    s.must_ask_list = e.roster.mode == RosterMode::asked;
-    s.idle_close = e.network.idle_close;
-    s.cold_share = e.servers.cold_share;
-    s.ramp_time = e.servers.ramp;
-    s.fall_multiple = e.servers.fall_multiple;
-    s.fall_span = e.servers.fall_span;
-    s.reports = ReportSource::answers;
-    s.report_fields = {ReportField::in_flight, ReportField::service_ms, ReportField::errors};
-    return s;
+Settings settings_for(const Experiment& experiment, std::uint32_t balancer, int zone) {
+    Settings settings = experiment.module;
+    settings.rank = static_cast<int>(balancer);
+    settings.balancers = experiment.fleet.balancers;
+    settings.zone = zone;
+    settings.zones = static_cast<int>(experiment.fleet.zones.size());
+    settings.classes.clear();
+    for (const CallClass& call_class : experiment.classes) settings.classes.push_back(call_class.told);
+    settings.tenants.clear();
+    for (const TenantKind& tenant : experiment.tenants) settings.tenants.push_back(tenant.told);
+    settings.must_ask_list = experiment.roster.mode == RosterMode::asked;
+    settings.idle_close = experiment.network.idle_close;
+    settings.cold_share = experiment.servers.cold_share;
+    settings.ramp_time = experiment.servers.ramp;
+    settings.fall_multiple = experiment.servers.fall_multiple;
+    settings.fall_span = experiment.servers.fall_span;
+    settings.reports = ReportSource::answers;
+    settings.report_fields = {ReportField::in_flight, ReportField::service_ms, ReportField::errors};
+    return settings;
 }
 
-Settings postgres_settings_for(const Experiment& e, std::uint32_t balancer, int zone) {
-    Settings s = settings_for(e, balancer, zone);
+Settings postgres_settings_for(const Experiment& experiment, std::uint32_t balancer, int zone) {
+    Settings settings = settings_for(experiment, balancer, zone);
     ClassSettings unit;
     unit.name = "unit";
     unit.effect = flaxdoor::Effect::unsafe;
-    unit.aim = e.postgres.deadline / 2;
-    unit.deadline = e.postgres.deadline;
-    s.classes = {unit};
-    s.tenants.clear();
-    return s;
+    unit.aim = experiment.postgres.deadline / 2;
+    unit.deadline = experiment.postgres.deadline;
+    settings.classes = {unit};
+    settings.tenants.clear();
+    return settings;
 }
 
-// As engine/door_terms makes them of a platform that tells shares.
+// Returns the admission settings that engine/door_terms derives for a platform that announces shares.
 door::Terms door_terms(const Settings& settings) {
     door::Terms terms;
     for (const auto& each : settings.tenants)
@@ -81,7 +83,7 @@
     return terms;
 }
 
-// One process: it lives from its start until it is killed or ends.
+// A process of a balancer, from its start until it ends or is killed.
 class Balancers::Process final : public core::Clock,
                                  public core::Alarm,
                                  public core::Log,
@@ -91,36 +93,37 @@
         : owner_(owner),
           parts_(owner.parts_),
           number_(number),
-          its_(owner.balancers_[number]),
-          process_(its_.process),
+          balancer_(owner.balancers_[number]),
+          process_(balancer_.process),
           core_(*this, *this, *this, options()) {
-        Stream stream(parts_.seed(), Whose::balancer, number, its_.process);
-        add_pool(0, settings_for(parts_.experiment, number, its_.zone), stream());
+        Stream stream(parts_.seed(), Whose::balancer, number, balancer_.process);
+        add_pool(0, settings_for(parts_.experiment, number, balancer_.zone), stream());
         if (parts_.experiment.fleet.door) {
-            const Settings settings = settings_for(parts_.experiment, number, its_.zone);
+            const Settings settings = settings_for(parts_.experiment, number, balancer_.zone);
             gate_ = std::make_unique<door::Gate>(
                 door::Gate::World{core_, *this, gate_alarm_}, door_terms(settings),
                 door::Gate::Options{settings.retry_after, std::chrono::seconds(30), false}, stream(),
                 door::Tokens::Secret{});
         }
         if (parts_.experiment.postgres.rate > 0) {
-            add_pool(1, postgres_settings_for(parts_.experiment, number, its_.zone), stream());
+            add_pool(1, postgres_settings_for(parts_.experiment, number, balancer_.zone), stream());
         }
     }
 
-    // The lists of its start, and the roster's. Apart from the constructor: what follows may ask for it.
+    // Applies the endpoint lists known at the start and opens the watches. Not part of the constructor, because the
+    // calls that follow may look up this process in its balancer.
     void begin() {
-        for (auto& side : sides_) {
-            if (!side) continue;
-            core_.on_list(side->id, its_.kept[side->pool]);
+        for (auto& pool_adapter : pools_) {
+            if (!pool_adapter) continue;
+            core_.on_list(pool_adapter->id, balancer_.last_lists[pool_adapter->pool]);
             if (parts_.experiment.roster.mode == RosterMode::pushed)
-                parts_.roster->watch(number_, side->pool);
+                parts_.roster->watch(number_, pool_adapter->pool);
         }
     }
 
     ~Process() override {
-        for (auto& side : sides_) {
-            if (side) side->forget();
+        for (auto& pool_adapter : pools_) {
+            if (pool_adapter) pool_adapter->abandon_all();
         }
     }
 
@@ -136,28 +139,30 @@
         if (which == gate_alarm_.number) gate_->on_alarm();
     }
 
-    // -------------------------------------------------------------------------------------------- clients
+    // Client requests.
 
-    bool take(std::uint64_t handle, const Try& from) {
+    bool take(std::uint64_t handle, const ClientRequest& from) {
         if (closed_) return false;
         const bool unit = static_cast<std::size_t>(from.class_index) >= parts_.experiment.classes.size();
         core::Call call;
-        Side* const side = sides_[unit ? 1 : 0].get();
-        call.pool = side->id;
+        PoolAdapter* const pool_adapter = pools_[unit ? 1 : 0].get();
+        call.pool = pool_adapter->id;
         call.class_index = unit ? 0 : from.class_index;
         call.name = std::to_string(from.call);
         if (from.tenant >= 0) call.tenant = {core::Tenant::Kind::known, from.tenant};
         call.key = from.key;
         call.budget = from.gives_up - from.asked;
-        call.unseen = unseen;
+        call.unseen = client_network_time;
         call.client_retry = from.number > 0;
         call.payload = std::make_shared<Handle>(handle);
         parts_.note(Event::taken, number_, from.client, from.call);
         core::CallId id = 0;
-        held_.emplace(handle, HeldCall{0, gate_ && !unit});
-        // Handles grow: the oldest is the first.
-        if (names_.size() >= names_most) names_.erase(names_.begin());
-        names_.emplace_hint(names_.end(), handle, Name{from.call, from.client});
+        unanswered_.emplace(handle, UnansweredRequest{0, gate_ && !unit});
+        // Handles ascend, so the first entry is the oldest.
+        if (recent_requests_.size() >= max_remembered_requests)
+            recent_requests_.erase(recent_requests_.begin());
+        recent_requests_.emplace_hint(recent_requests_.end(), handle,
+                                      RequestIdentity{from.call, from.client});
         core::Taken taken = core::Taken::yes;
         if (gate_ && !unit) {
             gate_->asked_by(std::to_string(from.client), {}, 500);
@@ -166,20 +171,21 @@
             taken = core_.take(std::move(call), *this, handle, &id);
         }
         if (taken == core::Taken::yes) {
-            if (const auto found = held_.find(handle); found != held_.end()) found->second.id = id;
+            if (const auto found = unanswered_.find(handle); found != unanswered_.end())
+                found->second.id = id;
         } else {
-            // The front words what the core did not take: a repeat is harmless.
+            // The core did not accept the request, so the server side rejects it: a retry is harmless.
             final_answer(handle, {Verdict::refused, Micros{0}});
         }
         return true;
     }
 
     void left(std::uint64_t handle) {
-        const auto found = held_.find(handle);
-        if (found == held_.end()) return;
-        const HeldCall call = found->second;
-        held_.erase(found);
-        if (call.at_gate) {
+        const auto found = unanswered_.find(handle);
+        if (found == unanswered_.end()) return;
+        const UnansweredRequest call = found->second;
+        unanswered_.erase(found);
+        if (call.held_by_gate) {
             gate_->leave(call.id);
         } else {
             (void)core_.leave(call.id);
@@ -195,7 +201,7 @@
                              answer.retry_after});
     }
 
-    // --------------------------------------------------------------------------------------------- flights
+    // Attempts.
 
     void connected(std::uint64_t handle) {
         Flight* const flight = parts_.flights->find(handle);
@@ -227,14 +233,14 @@
 
     void sweep() {
         const Time oldest = parts_.now() - parts_.experiment.network.idle_close;
-        for (auto& side : sides_) {
-            if (side) side->close_older(oldest);
+        for (auto& pool_adapter : pools_) {
+            if (pool_adapter) pool_adapter->close_older(oldest);
         }
-        parts_.scheduler.set(parts_.now() + sweep_every, What::sweep, number_, process_);
+        parts_.scheduler.set(parts_.now() + idle_sweep_interval, What::sweep, number_, process_);
     }
 
     void list(std::uint32_t pool, core::MemberList list) {
-        if (sides_[pool]) core_.on_list(sides_[pool]->id, std::move(list));
+        if (pools_[pool]) core_.on_list(pools_[pool]->id, std::move(list));
     }
 
     void close() {
@@ -246,23 +252,23 @@
 
     std::vector<std::uint64_t> held() const {
         std::vector<std::uint64_t> all;
-        for (const auto& [handle, id] : held_) all.push_back(handle);
+        for (const auto& [handle, id] : unanswered_) all.push_back(handle);
         return all;
     }
     core::Figures figures() const { return core_.figures(); }
 
 private:
-    // A pool's back and source.
-    struct Side final : core::Back, core::Source {
-        Side(Process& its_process, std::uint32_t its_pool) : process(its_process), pool(its_pool) {}
+    // The connection pool and the list source of one pool.
+    struct PoolAdapter final : core::Back, core::Source {
+        PoolAdapter(Process& its_process, std::uint32_t its_pool) : process(its_process), pool(its_pool) {}
 
-        struct Link {
-            std::uint32_t reaches = 0;  // which process of the server
+        struct IdleConnection {
+            std::uint32_t server_process = 0;  // process of the server at the other end
             Time idle_since{};
         };
         struct Upstream {
             bool takes_work = false;
-            std::vector<Link> idle;
+            std::vector<IdleConnection> idle;
         };
 
         void set_upstream(UpstreamId upstream, const std::string&, bool takes_work) override {
@@ -294,26 +300,27 @@
         void close_all(UpstreamId upstream) {
             const auto found = upstreams.find(upstream);
             if (found == upstreams.end()) return;
-            for (const Link& link : found->second.idle) drop(upstream, link);
+            for (const IdleConnection& link : found->second.idle) drop(upstream, link);
             found->second.idle.clear();
         }
-        void drop(UpstreamId upstream, const Link& link) {
-            process.parts_.servers->drop_connection(static_cast<std::uint32_t>(upstream - 1), link.reaches);
+        void drop(UpstreamId upstream, const IdleConnection& link) {
+            process.parts_.servers->drop_connection(static_cast<std::uint32_t>(upstream - 1),
+                                                    link.server_process);
         }
         void close_older(Time oldest) {
             for (auto& [id, upstream] : upstreams) {
-                const UpstreamId its = id;
-                std::erase_if(upstream.idle, [&](const Link& link) {
+                const UpstreamId upstream_id = id;
+                std::erase_if(upstream.idle, [&](const IdleConnection& link) {
                     if (link.idle_since > oldest) return false;
-                    drop(its, link);
+                    drop(upstream_id, link);
                     return true;
                 });
             }
         }
-        // The process has gone, and its connections with it.
-        void forget() {
+        // Closes all connections and abandons all attempts, because the process has ended.
+        void abandon_all() {
             for (auto& [id, upstream] : upstreams) {
-                for (const Link& link : upstream.idle) drop(id, link);
+                for (const IdleConnection& link : upstream.idle) drop(id, link);
             }
             for (const auto& [key, handle] : flights) {
                 Flight* const flight = process.parts_.flights->find(handle);
@@ -335,7 +342,7 @@
 
     static core::Options options() { return {}; }
 
-    static Heard heard(Outcome outcome, bool whole) {
+    static Heard attempt_end(Outcome outcome, bool whole) {
         switch (outcome) {
             case Outcome::ok: return Heard::ok;
             case Outcome::error: return Heard::error;
@@ -350,39 +357,39 @@
     }
 
     void add_pool(std::uint32_t pool, Settings settings, std::uint64_t seed) {
-        sides_[pool] = std::make_unique<Side>(*this, pool);
-        sides_[pool]->id = core_.add_pool({pool == 0 ? "nodes" : "postgres", std::move(settings), seed},
-                                          *sides_[pool], sides_[pool].get());
+        pools_[pool] = std::make_unique<PoolAdapter>(*this, pool);
+        pools_[pool]->id = core_.add_pool({pool == 0 ? "nodes" : "postgres", std::move(settings), seed},
+                                          *pools_[pool], pools_[pool].get());
     }
 
     void final_answer(std::uint64_t handle, const Answer& answer) {
-        held_.erase(handle);
-        // Also one that comes when its client has gone or has an answer: the judge is to see it.
-        const auto found = names_.find(handle);
-        const Name of = found == names_.end() ? Name{} : found->second;
-        parts_.note(Event::final_answer, number_, of.client, of.call,
+        unanswered_.erase(handle);
+        // Answers after the client has disconnected or has another answer are recorded as well, for the judge.
+        const auto found = recent_requests_.find(handle);
+        const RequestIdentity request = found == recent_requests_.end() ? RequestIdentity{} : found->second;
+        parts_.note(Event::final_answer, number_, request.client, request.call,
                     static_cast<std::uint64_t>(answer.verdict),
                     static_cast<std::uint64_t>(answer.retry_after.count()));
-        parts_.clients->send_back(handle, answer);
+        parts_.clients->send_answer(handle, answer);
         end_if_done();
     }
 
     void end_if_done() {
-        if (closed_ && held_.empty()) {
+        if (closed_ && unanswered_.empty()) {
             parts_.scheduler.set(parts_.now(), What::balancer_ended, number_, process_);
         }
     }
 
-    void send(Side& side, core::Attempt attempt) {
+    void send(PoolAdapter& pool_adapter, core::Attempt attempt) {
         const std::uint64_t token = static_cast<const Handle&>(*attempt.payload).handle;
-        const Try* const from = parts_.clients->find(token);
+        const ClientRequest* const from = parts_.clients->find(token);
         const std::uint64_t call = from ? from->call : 0;
         const auto number = static_cast<std::uint32_t>(attempt.key.number);
         Flight flight(Stream(parts_.seed(), Whose::attempt, call, number));
         flight.balancer = number_;
-        flight.zone = its_.zone;
+        flight.zone = balancer_.zone;
         flight.process = process_;
-        flight.pool = side.pool;
+        flight.pool = pool_adapter.pool;
         flight.server = static_cast<std::uint32_t>(attempt.upstream - 1);
         flight.key = attempt.key;
         flight.call = call;
@@ -394,16 +401,16 @@
             flight.class_index = from->class_index;
         }
         const std::uint64_t handle = parts_.flights->add(std::move(flight));
-        side.flights.emplace(attempt.key, handle);
-        Flight& its = *parts_.flights->find(handle);
-        its.breaks = parts_.network->breaks(its.stream);
-        const Servers::Server& server = parts_.servers->at(its.server);
-        auto& idle = side.upstreams[attempt.upstream].idle;
+        pool_adapter.flights.emplace(attempt.key, handle);
+        Flight& sent = *parts_.flights->find(handle);
+        sent.breaks = parts_.network->breaks(sent.stream);
+        const Servers::Server& server = parts_.servers->at(sent.server);
+        auto& idle = pool_adapter.upstreams[attempt.upstream].idle;
         while (!idle.empty()) {
-            const Side::Link link = idle.back();
+            const PoolAdapter::IdleConnection link = idle.back();
             idle.pop_back();
-            if (!server.up || link.reaches != server.process) continue;  // it was closed from there
-            its.link = link.reaches;
+            if (!server.up || link.server_process != server.process) continue;  // the server closed it
+            sent.link = link.server_process;
             return write(handle);
         }
         connect(handle);
@@ -412,16 +419,16 @@
     void connect(std::uint64_t handle) {
         Flight& flight = *parts_.flights->find(handle);
         const Servers::Server& server = parts_.servers->at(flight.server);
-        if (!parts_.network->passes(its_.zone, server.zone)) {
-            // Nothing comes back; the connection is given up in its time, where there is one.
+        if (!parts_.network->reachable(balancer_.zone, server.zone)) {
+            // The server is unreachable: connecting fails after the connect timeout, if there is one.
             const Micros limit = parts_.experiment.module.connect_timeout;
             if (limit > Micros{0}) {
                 parts_.scheduler.set(parts_.now() + limit, What::connect_refused, number_, handle);
             }
             return;
         }
-        const Micros trip = parts_.network->way(its_.zone, server.zone, flight.stream) +
-                            parts_.network->way(server.zone, its_.zone, flight.stream);
+        const Micros trip = parts_.network->latency(balancer_.zone, server.zone, flight.stream) +
+                            parts_.network->latency(server.zone, balancer_.zone, flight.stream);
         const Micros late = parts_.network->late_connect(flight.stream);
         const bool up = server.up;
         parts_.scheduler.set(parts_.now() + trip + late, up ? What::connected : What::connect_refused,
@@ -430,9 +437,9 @@
 
     void write(std::uint64_t handle) {
         Flight* flight = parts_.flights->find(handle);
-        const auto side = sides_[flight->pool].get();
-        const auto upstream = side->upstreams.find(flight->server + 1);
-        const bool open = upstream != side->upstreams.end() && upstream->second.takes_work;
+        const auto pool_adapter = pools_[flight->pool].get();
+        const auto upstream = pool_adapter->upstreams.find(flight->server + 1);
+        const bool open = upstream != pool_adapter->upstreams.end() && upstream->second.takes_work;
         flight->phase = Flight::Phase::out;
         if (!open || !core_.on_attempt_sending(flight->key)) return end(handle, Outcome::moot);
         flight = parts_.flights->find(handle);
@@ -440,35 +447,35 @@
         flight->at_server = true;
         parts_.note(Event::sending, number_, flight->server, flight->call, flight->number);
         const int to = parts_.servers->at(flight->server).zone;
-        if (!parts_.network->passes(its_.zone, to)) {
-            flight->at_server = false;  // it never arrives, and nobody hears of it
+        if (!parts_.network->reachable(balancer_.zone, to)) {
+            flight->at_server = false;  // the attempt is lost without a notice
             return;
         }
-        parts_.scheduler.set(parts_.now() + parts_.network->way(its_.zone, to, flight->stream),
+        parts_.scheduler.set(parts_.now() + parts_.network->latency(balancer_.zone, to, flight->stream),
                              What::flight_comes, flight->server, handle);
     }
 
-    // The balancer has done with it.
+    // Ends an attempt on the balancer's side and reports its result to the core.
     void end(std::uint64_t handle, Outcome outcome) {
         Flight* const flight = parts_.flights->find(handle);
         if (!flight || !flight->awaited) return;
-        Side& side = *sides_[flight->pool];
-        side.flights.erase(flight->key);
+        PoolAdapter& pool_adapter = *pools_[flight->pool];
+        pool_adapter.flights.erase(flight->key);
         flight->awaited = false;
         const bool out = flight->phase == Flight::Phase::out;
         const bool kept = outcome == Outcome::ok || outcome == Outcome::error || outcome == Outcome::full;
         if (out) {
-            const auto upstream = side.upstreams.find(flight->server + 1);
-            // A moot one never wrote to its connection: that is kept as well.
+            const auto upstream = pool_adapter.upstreams.find(flight->server + 1);
+            // A discarded attempt wrote nothing to its connection, so the connection is kept as well.
             if ((kept || (outcome == Outcome::moot && !flight->at_server)) &&
-                upstream != side.upstreams.end() && upstream->second.takes_work) {
+                upstream != pool_adapter.upstreams.end() && upstream->second.takes_work) {
                 upstream->second.idle.push_back({flight->link, parts_.now()});
             } else {
                 parts_.servers->drop_connection(flight->server, flight->link);
             }
         }
         parts_.note(Event::heard, number_, flight->server, flight->call, flight->number,
-                    static_cast<std::uint64_t>(heard(outcome, out && outcome != Outcome::moot)));
+                    static_cast<std::uint64_t>(attempt_end(outcome, out && outcome != Outcome::moot)));
         core::AttemptResult result;
         result.key = flight->key;
         result.outcome = outcome;
@@ -483,24 +490,25 @@
     Balancers& owner_;
     Parts& parts_;
     const std::uint32_t number_;
-    Balancer& its_;
+    Balancer& balancer_;
     const std::uint32_t process_;
     std::uint64_t alarm_ = 0;
     bool closed_ = false;
-    struct HeldCall {
+    struct UnansweredRequest {
         core::CallId id = 0;
-        bool at_gate = false;  // the id is the gate's
+        bool held_by_gate = false;  // `id` is one of the gate's
     };
-    std::map<std::uint64_t, HeldCall> held_;  // tries that have no answer yet
-    struct Name {
+    std::map<std::uint64_t, UnansweredRequest> unanswered_;  // requests without an answer, by handle
+    struct RequestIdentity {
         std::uint64_t call = 0;
         std::uint32_t client = 0;
     };
-    std::map<std::uint64_t, Name> names_;  // of the last tries that it took, whether they are over or not
-    std::unique_ptr<Side> sides_[2];
-    core::Core core_;  // goes first but for the gate
+    std::map<std::uint64_t, RequestIdentity>
+        recent_requests_;  // the most recently accepted requests, whether ended or not
+    std::unique_ptr<PoolAdapter> pools_[2];
+    core::Core core_;  // declared late: only the gate is destroyed before it
     struct GateAlarm final : core::Alarm {
-        explicit GateAlarm(Process& its) : process(its) {}
+        explicit GateAlarm(Process& owner) : process(owner) {}
         void set(Time at) override {
             number = ++process.owner_.alarms_;
             process.parts_.scheduler.set(at, What::alarm, process.number_, number);
@@ -508,7 +516,7 @@
         Process& process;
         std::uint64_t number = 0;
     } gate_alarm_{*this};
-    std::unique_ptr<door::Gate> gate_;  // with fleet.door
+    std::unique_ptr<door::Gate> gate_;  // null without fleet.door
 };
 
 Balancers::Balancers(Parts& parts) : parts_(parts) {
@@ -527,61 +535,61 @@
 std::uint32_t Balancers::process(std::uint32_t balancer) const { return balancers_[balancer].process; }
 
 void Balancers::begin() {
-    for (std::uint32_t b = 0; b < balancers_.size(); ++b) {
+    for (std::uint32_t balancer = 0; balancer < balancers_.size(); ++balancer) {
         if (parts_.experiment.fleet.knows_start) {
             for (const std::uint32_t pool : {0U, 1U})
-                balancers_[b].kept[pool] = parts_.roster->first_list(pool);
+                balancers_[balancer].last_lists[pool] = parts_.roster->first_list(pool);
         }
-        start(b);
+        start(balancer);
     }
 }
 
 void Balancers::start(std::uint32_t balancer) {
-    Balancer& its = balancers_[balancer];
-    if (its.running) return;
-    ++its.process;
-    parts_.note(Event::came_up, balancer, 0, 0, its.process);
-    its.running = std::make_unique<Process>(*this, balancer);
+    Balancer& state = balancers_[balancer];
+    if (state.running) return;
+    ++state.process;
+    parts_.note(Event::came_up, balancer, 0, 0, state.process);
+    state.running = std::make_unique<Process>(*this, balancer);
     parts_.roster->process_begins(balancer);
-    its.running->begin();
-    parts_.scheduler.set(parts_.now() + sweep_every, What::sweep, balancer, its.process);
-    parts_.clients->front_takes(balancer);
+    state.running->begin();
+    parts_.scheduler.set(parts_.now() + idle_sweep_interval, What::sweep, balancer, state.process);
+    parts_.clients->add_balancer(balancer);
 }
 
 void Balancers::kill(std::uint32_t balancer) {
-    Balancer& its = balancers_[balancer];
-    if (!its.running) return;
+    Balancer& state = balancers_[balancer];
+    if (!state.running) return;
     parts_.note(Event::killed, balancer);
-    const auto held = its.running->held();
-    faults_ += its.running->figures().faults;
-    its.running.reset();
+    const auto held = state.running->held();
+    faults_ += state.running->figures().faults;
+    state.running.reset();
     parts_.roster->forget_calls(balancer);
-    for (const std::uint64_t handle : held) parts_.clients->break_off(handle);
+    for (const std::uint64_t handle : held) parts_.clients->break_connection(handle);
     parts_.scheduler.set(parts_.now() + parts_.experiment.fleet.front_notices, What::front_forgets, balancer,
-                         its.process);
+                         state.process);
 }
 
-void Balancers::tell_to_end(std::uint32_t balancer) {
-    Balancer& its = balancers_[balancer];
-    if (!its.running) return;
+void Balancers::request_shutdown(std::uint32_t balancer) {
+    Balancer& state = balancers_[balancer];
+    if (!state.running) return;
     parts_.note(Event::told_to_end, balancer);
-    parts_.clients->front_forgets(balancer);
-    its.running->close();
+    parts_.clients->remove_balancer(balancer);
+    state.running->close();
 }
 
 void Balancers::end(std::uint32_t balancer, std::uint64_t process) {
-    Balancer& its = balancers_[balancer];
-    if (!its.running || its.process != process) return;
+    Balancer& state = balancers_[balancer];
+    if (!state.running || state.process != process) return;
     parts_.note(Event::ended, balancer);
-    faults_ += its.running->figures().faults;
-    its.running.reset();
+    faults_ += state.running->figures().faults;
+    state.running.reset();
     parts_.roster->forget_calls(balancer);
-    parts_.scheduler.set(parts_.now() + starts_again, What::balancer_up, balancer);
+    parts_.scheduler.set(parts_.now() + restart_delay, What::balancer_up, balancer);
 }
 
-bool Balancers::takes(std::uint32_t balancer, std::uint64_t handle, const Try& from) {
-    Balancer& its = balancers_[balancer];
-    return its.running && its.running->take(handle, from);
+bool Balancers::accept(std::uint32_t balancer, std::uint64_t handle, const ClientRequest& from) {
+    Balancer& state = balancers_[balancer];
+    return state.running && state.running->take(handle, from);
 }
 
 void Balancers::left(std::uint32_t balancer, std::uint64_t handle) {
@@ -601,8 +609,8 @@
     if (balancers_[balancer].running) balancers_[balancer].running->on_alarm(which);
 }
 void Balancers::sweep(std::uint32_t balancer, std::uint64_t process) {
-    Balancer& its = balancers_[balancer];
-    if (its.running && its.process == process) its.running->sweep();
+    Balancer& state = balancers_[balancer];
+    if (state.running && state.process == process) state.running->sweep();
 }
 
 void Balancers::list(std::uint32_t balancer, std::uint32_t pool, core::MemberList list) {
@@ -614,16 +622,16 @@
 core::Figures Balancers::figures() const {
     core::Figures sum;
     sum.faults = faults_;
-    for (const Balancer& its : balancers_) {
-        if (!its.running) continue;
-        const core::Figures f = its.running->figures();
-        sum.taken += f.taken;
-        sum.open += f.open;
-        sum.waiting += f.waiting;
-        sum.overdue += f.overdue;
-        sum.faults += f.faults;
-        sum.doubts += f.doubts;
-        sum.timers += f.timers;
+    for (const Balancer& balancer : balancers_) {
+        if (!balancer.running) continue;
+        const core::Figures figures = balancer.running->figures();
+        sum.taken += figures.taken;
+        sum.open += figures.open;
+        sum.waiting += figures.waiting;
+        sum.overdue += figures.overdue;
+        sum.faults += figures.faults;
+        sum.doubts += figures.doubts;
+        sum.timers += figures.timers;
     }
     return sum;
 }
--- a/lab/fleet/clients.cpp
+++ b/lab/fleet/clients.cpp
@@ -10,17 +10,17 @@
 
 namespace {
 
-// A zone or kind by its part of the whole, `place` from 0 to 1.
-template <typename Kinds, typename Part>
-int by_parts(const Kinds& kinds, Part part, double place) {
+// Returns the index of the item at `position` (from 0 to 1) of the cumulated weights.
+template <typename Items, typename Weight>
+int index_by_weight(const Items& items, Weight weight, double position) {
     double sum = 0;
-    for (const auto& kind : kinds) sum += part(kind);
-    place *= sum;
-    for (std::size_t i = 0; i < kinds.size(); ++i) {
-        place -= part(kinds[i]);
-        if (place < 0) return static_cast<int>(i);
+    for (const auto& item : items) sum += weight(item);
+    position *= sum;
+    for (std::size_t index = 0; index < items.size(); ++index) {
+        position -= weight(items[index]);
+        if (position < 0) return static_cast<int>(index);
     }
-    return static_cast<int>(kinds.size()) - 1;
+    return static_cast<int>(items.size()) - 1;
 }
 
 constexpr std::uint64_t packed(const Answer& answer) {
@@ -31,48 +31,49 @@
 }  // namespace
 
 Clients::Clients(Parts& parts) : parts_(parts) {
-    const Experiment& e = parts.experiment;
-    front_.resize(e.fleet.zones.size());
-    flood_.assign(e.tenants.size(), 1);
-    heavier_.assign(e.classes.size(), 1);
-    const int units = e.postgres.rate > 0 ? std::max(1, e.clients.count / 20) : 0;
-    each_rate_ = e.clients.rate / e.clients.count;
-    postgres_rate_ = units > 0 ? e.postgres.rate / units : 0;
-    for (int i = 0; i < e.clients.count + units; ++i) {
-        Client client{.stream = Stream(e.seed, Whose::client, static_cast<std::uint64_t>(i))};
-        // The middle of its part: zones and tenants are dealt out evenly, whatever the number of clients.
+    const Experiment& experiment = parts.experiment;
+    balancers_by_zone_.resize(experiment.fleet.zones.size());
+    tenant_factors_.assign(experiment.tenants.size(), 1);
+    class_work_factors_.assign(experiment.classes.size(), 1);
+    const int postgres_clients =
+        experiment.postgres.rate > 0 ? std::max(1, experiment.clients.count / 20) : 0;
+    rate_per_client_ = experiment.clients.rate / experiment.clients.count;
+    postgres_rate_ = postgres_clients > 0 ? experiment.postgres.rate / postgres_clients : 0;
+    for (int i = 0; i < experiment.clients.count + postgres_clients; ++i) {
+        Client client{.stream = Stream(experiment.seed, Whose::client, static_cast<std::uint64_t>(i))};
+        // Every client draws its zone and tenant from its own stream, so that they do not depend on the number of clients.
         const double place = client.stream.share();
-        client.zone = by_parts(
-            e.fleet.zones, [](const Zone& z) { return z.traffic; }, place);
+        client.zone = index_by_weight(
+            experiment.fleet.zones, [](const Zone& z) { return z.traffic; }, place);
         const double tenant = client.stream.share();
-        if (!e.tenants.empty()) {
-            client.tenant = by_parts(
-                e.tenants, [](const TenantKind& t) { return t.share; }, tenant);
+        if (!experiment.tenants.empty()) {
+            client.tenant = index_by_weight(
+                experiment.tenants, [](const TenantKind& t) { return t.share; }, tenant);
         }
-        client.postgres = i >= e.clients.count;
+        client.postgres = i >= experiment.clients.count;
         clients_.push_back(client);
     }
-    // Arrivals are drawn at the greatest rate that the timetable ever wants and thinned to that of the
-    // moment.
-    double most = 1;
-    for (const double part : e.clients.shape) most = std::max(most, part);
-    for (const Trouble& trouble : e.troubles) {
+    // Arrivals are drawn at the highest rate of the whole timetable. calls() thins them to the current rate.
+    double max_factor = 1;
+    for (const double part : experiment.clients.shape) max_factor = std::max(max_factor, part);
+    for (const Trouble& trouble : experiment.troubles) {
         if (trouble.kind == Trouble::Kind::burst || trouble.kind == Trouble::Kind::tenant_flood) {
-            most *= std::max(1.0, trouble.size);
+            max_factor *= std::max(1.0, trouble.size);
         }
     }
-    most_factor_ = most;
+    max_rate_factor_ = max_factor;
 }
 
-double Clients::factor_now(const Client& client) const {
-    const Experiment& e = parts_.experiment;
-    double factor = burst_;
-    if (client.tenant >= 0) factor *= flood_[static_cast<std::size_t>(client.tenant)];
-    if (!e.clients.shape.empty()) {
+double Clients::rate_factor(const Client& client) const {
+    const Experiment& experiment = parts_.experiment;
+    double factor = burst_factor_;
+    if (client.tenant >= 0) factor *= tenant_factors_[static_cast<std::size_t>(client.tenant)];
+    if (!experiment.clients.shape.empty()) {
         const double part = static_cast<double>((parts_.now() - Parts::begins).count()) /
-                            static_cast<double>(e.lasts.count());
-        const auto place = static_cast<std::size_t>(part * static_cast<double>(e.clients.shape.size()));
-        factor *= e.clients.shape[std::min(place, e.clients.shape.size() - 1)];
+                            static_cast<double>(experiment.lasts.count());
+        const auto place =
+            static_cast<std::size_t>(part * static_cast<double>(experiment.clients.shape.size()));
+        factor *= experiment.clients.shape[std::min(place, experiment.clients.shape.size() - 1)];
     }
     return factor;
 }
@@ -83,7 +84,7 @@
 
 void Clients::plan_next(std::uint32_t number) {
     Client& client = clients_[number];
-    const double rate = (client.postgres ? postgres_rate_ : each_rate_) * most_factor_ / 1e6;
+    const double rate = (client.postgres ? postgres_rate_ : rate_per_client_) * max_rate_factor_ / 1e6;
     if (rate <= 0) return;
     const double wait = boost::random::exponential_distribution<>(rate)(client.stream);
     if (wait > 1e14) return;
@@ -94,23 +95,23 @@
 void Clients::calls(std::uint32_t number) {
     Client& client = clients_[number];
     const double kept = client.stream.share();
-    const double factor = factor_now(client);
+    const double factor = rate_factor(client);
     plan_next(number);
-    if (kept * most_factor_ >= factor) return;
-    const Experiment& e = parts_.experiment;
-    Try next;
-    // A client's calls have their numbers by themselves: another client's do not shift them.
+    if (kept * max_rate_factor_ >= factor) return;
+    const Experiment& experiment = parts_.experiment;
+    ClientRequest next;
+    // A call's number consists of its client and a count, so that other clients' calls do not change it.
     next.first = (std::uint64_t{number} + 1) << 32U | ++client.calls;
     next.client = number;
     next.tenant = client.tenant;
     if (client.postgres) {
-        Stream stream(e.seed, Whose::call, next.first);
-        next.class_index = static_cast<int>(e.classes.size());
-        next.work = drawn(e.postgres.work, stream);
+        Stream stream(experiment.seed, Whose::call, next.first);
+        next.class_index = static_cast<int>(experiment.classes.size());
+        next.work = drawn(experiment.postgres.work, stream);
     } else {
-        const DrawnCall call = draw_call(e, next.first);
+        const DrawnCall call = draw_call(experiment, next.first);
         next.class_index = call.class_index;
-        const double heavier = heavier_[static_cast<std::size_t>(next.class_index)];
+        const double heavier = class_work_factors_[static_cast<std::size_t>(next.class_index)];
         next.work =
             Micros(std::max<std::int64_t>(1, std::llround(static_cast<double>(call.work.count()) * heavier)));
         next.key = call.key;
@@ -118,26 +119,27 @@
     send(next);
 }
 
-void Clients::send(Try next) {
-    const Experiment& e = parts_.experiment;
+void Clients::send(ClientRequest next) {
+    const Experiment& experiment = parts_.experiment;
     const Client& client = clients_[next.client];
-    // Three bits of a call's number are its try's.
+    // The lowest three bits of a request's number count the requests of its call.
     next.call = next.first << 3U | static_cast<std::uint64_t>(next.number);
-    Stream stream = stream_of_try(e.seed, next.first, next.number);
-    const Micros deadline = client.postgres
-                                ? e.postgres.deadline
-                                : e.classes[static_cast<std::size_t>(next.class_index)].told.deadline;
-    const DrawnTry its = draw_try(e.clients, deadline, stream);
+    Stream stream = stream_of_try(experiment.seed, next.first, next.number);
+    const Micros deadline =
+        client.postgres ? experiment.postgres.deadline
+                        : experiment.classes[static_cast<std::size_t>(next.class_index)].told.deadline;
+    const DrawnTry random = draw_try(experiment.clients, deadline, stream);
     next.asked = parts_.now();
-    next.gives_up = next.asked + its.patience;
-    const bool leaves = its.leaves.has_value();
-    if (leaves) next.leaves = next.asked + *its.leaves;
-    // A zone without a balancer: the layer sends to any.
-    const std::vector<std::uint32_t>* front = &front_[static_cast<std::size_t>(client.zone)];
-    for (std::size_t z = 0; front->empty() && z < front_.size(); ++z) front = &front_[z];
+    next.gives_up = next.asked + random.patience;
+    const bool leaves = random.leaves.has_value();
+    if (leaves) next.leaves = next.asked + *random.leaves;
+    // If the client's zone has no balancer, the front layer uses the first zone that has one.
+    const std::vector<std::uint32_t>* front = &balancers_by_zone_[static_cast<std::size_t>(client.zone)];
+    for (std::size_t z = 0; front->empty() && z < balancers_by_zone_.size(); ++z)
+        front = &balancers_by_zone_[z];
     const bool nobody = front->empty();
     next.balancer =
-        nobody ? 0 : (*front)[static_cast<std::size_t>(its.pick * static_cast<double>(front->size()))];
+        nobody ? 0 : (*front)[static_cast<std::size_t>(random.pick * static_cast<double>(front->size()))];
     const Asked asked{static_cast<std::uint8_t>(next.class_index), static_cast<std::uint8_t>(client.zone),
                       static_cast<std::uint16_t>(std::max(0, next.tenant)), next.key};
     parts_.note(Event::asked, next.client, next.balancer, next.call,
@@ -146,75 +148,76 @@
         parts_.note(Event::repeats, next.client, next.balancer, next.call,
                     next.first << 3U | (next.number - 1U));
     }
-    const std::uint32_t balancer = next.balancer, of = next.client;
-    // On a grid the request comes up to a step late and so does the balancer's alarm: the client goes after both, as it does
-    // where there is none.
-    const Time leaves_at = next.leaves, gives_up = next.gives_up + 2 * e.grid;
-    const Micros way = parts_.network->way(client.zone, parts_.balancers->zone(balancer), stream);
+    const std::uint32_t balancer = next.balancer, client_number = next.client;
+    // On a grid, the request arrives up to one step late, and so does the balancer's alarm. Two steps more let the
+    // client give up after both, as it does without a grid.
+    const Time leaves_at = next.leaves, gives_up = next.gives_up + 2 * experiment.grid;
+    const Micros way = parts_.network->latency(client.zone, parts_.balancers->zone(balancer), stream);
     const std::uint64_t handle = tries_.add(std::move(next));
-    if (nobody) return parts_.scheduler.set(parts_.now(), What::try_broken, of, handle);
+    if (nobody) return parts_.scheduler.set(parts_.now(), What::try_broken, client_number, handle);
     parts_.scheduler.set(parts_.now() + way, What::try_comes, balancer, handle);
-    parts_.scheduler.set(leaves ? std::min(leaves_at, gives_up) : gives_up, What::try_given_up, of, handle);
+    parts_.scheduler.set(leaves ? std::min(leaves_at, gives_up) : gives_up, What::try_given_up, client_number,
+                         handle);
 }
 
-void Clients::comes(std::uint32_t balancer, std::uint64_t handle) {
-    Try* const its = find(handle);
-    if (!its) return;
-    its->process = parts_.balancers->process(balancer);
-    if (parts_.balancers->takes(balancer, handle, *its)) return;
-    parts_.scheduler.set(parts_.now(), What::try_broken, its->client, handle);
+void Clients::request_arrived(std::uint32_t balancer, std::uint64_t handle) {
+    ClientRequest* const request = find(handle);
+    if (!request) return;
+    request->process = parts_.balancers->process(balancer);
+    if (parts_.balancers->accept(balancer, handle, *request)) return;
+    parts_.scheduler.set(parts_.now(), What::try_broken, request->client, handle);
 }
 
-void Clients::send_back(std::uint64_t handle, const Answer& answer) {
-    const Try* const its = find(handle);
-    if (!its) return;
-    Stream stream(parts_.seed(), Whose::network, its->call);
-    const Micros way =
-        parts_.network->way(parts_.balancers->zone(its->balancer), clients_[its->client].zone, stream);
-    parts_.scheduler.set(parts_.now() + way, What::try_answered, its->client, handle, packed(answer));
+void Clients::send_answer(std::uint64_t handle, const Answer& answer) {
+    const ClientRequest* const request = find(handle);
+    if (!request) return;
+    Stream stream(parts_.seed(), Whose::network, request->call);
+    const Micros way = parts_.network->latency(parts_.balancers->zone(request->balancer),
+                                               clients_[request->client].zone, stream);
+    parts_.scheduler.set(parts_.now() + way, What::try_answered, request->client, handle, packed(answer));
 }
 
-void Clients::break_off(std::uint64_t handle) {
-    const Try* const its = find(handle);
-    if (its) parts_.scheduler.set(parts_.now(), What::try_broken, its->client, handle, 1);
+void Clients::break_connection(std::uint64_t handle) {
+    const ClientRequest* const request = find(handle);
+    if (request) parts_.scheduler.set(parts_.now(), What::try_broken, request->client, handle, 1);
 }
 
 void Clients::answered(std::uint32_t client, std::uint64_t handle, std::uint64_t answer) {
-    const Try* const its = find(handle);
-    if (!its) return;
+    const ClientRequest* const request = find(handle);
+    if (!request) return;
     const auto verdict = static_cast<Verdict>(answer & 3U);
     const Micros retry_after(static_cast<std::int64_t>(answer >> 2U));
-    parts_.note(Event::received, client, its->balancer, its->call, static_cast<std::uint64_t>(verdict),
-                static_cast<std::uint64_t>(retry_after.count()));
-    const Try over = *its;
+    parts_.note(Event::received, client, request->balancer, request->call,
+                static_cast<std::uint64_t>(verdict), static_cast<std::uint64_t>(retry_after.count()));
+    const ClientRequest over = *request;
     tries_.erase(handle);
-    if (verdict != Verdict::served) again(over, verdict == Verdict::refused, retry_after);
+    if (verdict != Verdict::served) schedule_retry(over, verdict == Verdict::refused, retry_after);
 }
 
-void Clients::broken(std::uint32_t client, std::uint64_t handle) {
-    const Try* const its = find(handle);
-    if (!its) return;
-    parts_.note(Event::unreached, client, its->balancer, its->call);
-    const Try over = *its;
+void Clients::connection_broken(std::uint32_t client, std::uint64_t handle) {
+    const ClientRequest* const request = find(handle);
+    if (!request) return;
+    parts_.note(Event::unreached, client, request->balancer, request->call);
+    const ClientRequest over = *request;
     tries_.erase(handle);
-    again(over, false, Micros{0});
+    schedule_retry(over, false, Micros{0});
 }
 
 void Clients::given_up(std::uint32_t client, std::uint64_t handle) {
-    const Try* const its = find(handle);
-    if (!its) return;
-    parts_.note(Event::gave_up, client, its->balancer, its->call);
-    const Try over = *its;
+    const ClientRequest* const request = find(handle);
+    if (!request) return;
+    parts_.note(Event::gave_up, client, request->balancer, request->call);
+    const ClientRequest over = *request;
     tries_.erase(handle);
-    // Its balancer learns of it: the connection closes.
+    // The balancer learns of it because the connection closes.
     Stream stream(parts_.seed(), Whose::network, over.call, 1);
     const Micros way =
-        parts_.network->way(clients_[client].zone, parts_.balancers->zone(over.balancer), stream);
+        parts_.network->latency(clients_[client].zone, parts_.balancers->zone(over.balancer), stream);
     parts_.scheduler.set(parts_.now() + way, What::try_left, over.balancer, handle);
-    again(over, false, Micros{0});
+    schedule_retry(over, false, Micros{0});
 }
 
-void Clients::again(const Try& over, bool refused, Micros retry_after) {
+void Clients::schedule_retry(const ClientRequest& over, bool refused, Micros retry_after) {
     const bool unit = static_cast<std::size_t>(over.class_index) >= parts_.experiment.classes.size();
     const bool unsafe =
         unit || parts_.experiment.classes[static_cast<std::size_t>(over.class_index)].told.effect ==
@@ -222,26 +225,26 @@
     const auto wait = asks_again(parts_.experiment.clients, parts_.seed(),
                                  {over.call, static_cast<int>(over.number), unsafe, refused, retry_after});
     if (!wait) return;
-    Try next = over;
+    ClientRequest next = over;
     ++next.number;
     const std::uint64_t handle = tries_.add(next);
     parts_.scheduler.set(parts_.now() + *wait, What::client_repeats, over.client, handle);
 }
 
-void Clients::repeats(std::uint32_t, std::uint64_t handle) {
-    const Try next = *find(handle);
+void Clients::retry(std::uint32_t, std::uint64_t handle) {
+    const ClientRequest next = *find(handle);
     tries_.erase(handle);
     if (parts_.now() < Parts::begins + parts_.experiment.lasts) send(next);
 }
 
-void Clients::front_takes(std::uint32_t balancer) {
-    auto& front = front_[static_cast<std::size_t>(parts_.balancers->zone(balancer))];
+void Clients::add_balancer(std::uint32_t balancer) {
+    auto& front = balancers_by_zone_[static_cast<std::size_t>(parts_.balancers->zone(balancer))];
     const auto place = std::lower_bound(front.begin(), front.end(), balancer);
     if (place == front.end() || *place != balancer) front.insert(place, balancer);
 }
 
-void Clients::front_forgets(std::uint32_t balancer) {
-    auto& front = front_[static_cast<std::size_t>(parts_.balancers->zone(balancer))];
+void Clients::remove_balancer(std::uint32_t balancer) {
+    auto& front = balancers_by_zone_[static_cast<std::size_t>(parts_.balancers->zone(balancer))];
     std::erase(front, balancer);
 }
 
--- a/lab/fleet/draw.cpp
+++ b/lab/fleet/draw.cpp
@@ -14,34 +14,35 @@
         case Law::fixed: break;
         case Law::exponential: value = boost::random::exponential_distribution<>(1 / mean)(stream); break;
         case Law::lognormal:
-            // The mean of exp(N(m, s)) is exp(m + s^2 / 2).
+            // The mean of exp(N(m, s^2)) is exp(m + s^2 / 2).
             value = boost::random::lognormal_distribution<>(std::log(mean) - draw.shape * draw.shape / 2,
                                                             draw.shape)(stream);
             break;
         case Law::pareto:
-            // The mean of a Pareto law from x on is x a / (a - 1).
+            // The mean of a Pareto distribution with minimum x and shape a is x a / (a - 1).
             value = mean * (draw.shape - 1) / draw.shape / std::pow(1 - stream.share(), 1 / draw.shape);
             break;
     }
     return Micros(std::max<std::int64_t>(1, std::llround(std::min(value, 3.6e9))));
 }
 
-DrawnCall draw_call(const Experiment& e, std::uint64_t first) {
-    Stream stream(e.seed, Whose::call, first);
+DrawnCall draw_call(const Experiment& experiment, std::uint64_t first) {
+    Stream stream(experiment.seed, Whose::call, first);
     DrawnCall call;
     double sum = 0;
-    for (const CallClass& c : e.classes) sum += c.share;
-    double place = stream.share() * sum;
-    call.class_index = static_cast<int>(e.classes.size()) - 1;
-    for (std::size_t i = 0; i < e.classes.size(); ++i) {
-        place -= e.classes[i].share;
-        if (place >= 0) continue;
+    for (const CallClass& call_class : experiment.classes) sum += call_class.share;
+    double position = stream.share() * sum;
+    call.class_index = static_cast<int>(experiment.classes.size()) - 1;
+    for (std::size_t i = 0; i < experiment.classes.size(); ++i) {
+        position -= experiment.classes[i].share;
+        if (position >= 0) continue;
         call.class_index = static_cast<int>(i);
         break;
     }
-    const CallClass& its = e.classes[static_cast<std::size_t>(call.class_index)];
-    call.work = drawn(its.work, stream);
-    if (its.told.effect == flaxdoor::Effect::keyed) call.key = static_cast<std::uint32_t>(stream()) | 1U;
+    const CallClass& drawn_class = experiment.classes[static_cast<std::size_t>(call.class_index)];
+    call.work = drawn(drawn_class.work, stream);
+    if (drawn_class.told.effect == flaxdoor::Effect::keyed)
+        call.key = static_cast<std::uint32_t>(stream()) | 1U;
     return call;
 }
 
@@ -54,22 +55,22 @@
     const auto of_deadline = [&](double share) {
         return Micros(static_cast<std::int64_t>(static_cast<double>(deadline.count()) * share));
     };
-    DrawnTry next;
-    // Whole milliseconds, as the clients' header counts.
-    next.patience = std::max<Micros>(
+    DrawnTry request;
+    // Whole milliseconds, the unit of the clients' time-budget header.
+    request.patience = std::max<Micros>(
         std::chrono::milliseconds(1),
         std::chrono::floor<std::chrono::milliseconds>(of_deadline(least + (1 - least) * stream.share())));
     const bool leaves = stream.chance(clients.leave);
-    const double when = stream.share();
-    if (leaves) next.leaves = of_deadline(least * when);
-    next.pick = stream.share();
-    return next;
+    const double leave_position = stream.share();
+    if (leaves) request.leaves = of_deadline(least * leave_position);
+    request.pick = stream.share();
+    return request;
 }
 
 std::optional<Micros> asks_again(const ClientModel& clients, std::uint64_t seed, const Over& over) {
     if (clients.repeats == Repeats::none || over.number >= std::min(clients.repeats_most, 7))
         return std::nullopt;
-    // What may have run and must not twice is not asked for again by itself.
+    // A client does not retry an unsafe call that may have executed.
     if (over.unsafe && !over.refused) return std::nullopt;
     Stream stream(seed, Whose::network, over.call, 2);
     const double spread = 0.5 + stream.share();
--- a/lab/fleet/handles.h
+++ b/lab/fleet/handles.h
@@ -1,5 +1,5 @@
-// Things of a world under numbers that are never used again; those that are over are let go of in order, so
-// that a number costs no look-up.
+// Objects of a world, addressed by handles that are never reused. Storage is a window over ascending handles: an
+// erased object is freed when all older ones are erased as well, and finding an object is an index operation.
 #pragma once
 
 #include <cstdint>
@@ -9,32 +9,32 @@
 
 namespace flaxdoor::lab {
 
-template <typename Thing>
+template <typename Object>
 class Handles {
 public:
-    std::uint64_t add(Thing thing) {
-        things_.emplace_back(std::move(thing));
-        ++held_;
-        return first_ + things_.size() - 1;
+    std::uint64_t add(Object object) {
+        objects_.emplace_back(std::move(object));
+        ++count_;
+        return first_ + objects_.size() - 1;
     }
-    // Null once it is over.
-    Thing* find(std::uint64_t handle) {
-        if (handle < first_ || handle - first_ >= things_.size()) return nullptr;
-        auto& thing = things_[handle - first_];
-        return thing ? &*thing : nullptr;
+    // Returns null for an object that was erased.
+    Object* find(std::uint64_t handle) {
+        if (handle < first_ || handle - first_ >= objects_.size()) return nullptr;
+        auto& object = objects_[handle - first_];
+        return object ? &*object : nullptr;
     }
     void erase(std::uint64_t handle) {
         if (!find(handle)) return;
-        things_[handle - first_].reset();
-        --held_;
-        for (; !things_.empty() && !things_.front(); ++first_) things_.pop_front();
+        objects_[handle - first_].reset();
+        --count_;
+        for (; !objects_.empty() && !objects_.front(); ++first_) objects_.pop_front();
     }
-    std::size_t size() const { return held_; }
+    std::size_t size() const { return count_; }
 
 private:
     std::uint64_t first_ = 1;
-    std::deque<std::optional<Thing>> things_;
-    std::size_t held_ = 0;
+    std::deque<std::optional<Object>> objects_;
+    std::size_t count_ = 0;
 };
 
 }  // namespace flaxdoor::lab
--- a/lab/fleet/network.cpp
+++ b/lab/fleet/network.cpp
@@ -2,12 +2,12 @@
 
 namespace flaxdoor::lab {
 
-Micros Network::way(int from, int to, Stream& stream) const {
+Micros Network::latency(int from, int to, Stream& stream) const {
     const auto& network = parts_.experiment.network;
-    const Micros plain = from == to ? network.local : network.between;
-    if (network.jitter <= 0) return plain;
+    const Micros base = from == to ? network.local : network.between;
+    if (network.jitter <= 0) return base;
     const double factor = 1 + network.jitter * (2 * stream.share() - 1);
-    return Micros(static_cast<std::int64_t>(static_cast<double>(plain.count()) * factor));
+    return Micros(static_cast<std::int64_t>(static_cast<double>(base.count()) * factor));
 }
 
 Micros Network::late_connect(Stream& stream) const {
--- a/lab/fleet/network.h
+++ b/lab/fleet/network.h
@@ -1,4 +1,4 @@
-// Ways from zone to zone: how long they take now, and what does not pass. No state but the troubles of now.
+// The network between zones: its latency and its faults. The only state is that of the faults now injected.
 #pragma once
 
 #include <set>
@@ -12,16 +12,20 @@
 public:
     explicit Network(Parts& parts) : parts_(parts) {}
 
-    Micros way(int from, int to, Stream& stream) const;
-    // Whether what goes from one zone to the other arrives.
-    bool passes(int from, int to) const { return from == to || (!cut_.contains(from) && !cut_.contains(to)); }
-    // Added to the time until a connection is up.
+    // Returns the one-way latency between two zones, with jitter from `stream`.
+    Micros latency(int from, int to, Stream& stream) const;
+    // Returns whether messages from one zone reach the other.
+    bool reachable(int from, int to) const {
+        return from == to || (!cut_.contains(from) && !cut_.contains(to));
+    }
+    // Returns the delay added to establishing a connection.
     Micros late_connect(Stream& stream) const;
     bool loses_answer(Stream& stream) const { return stream.chance(answers_lost_); }
     bool breaks(Stream& stream) const { return stream.chance(resets_); }
 
+    // Partitions a zone from all others. Each cut() needs one reconnect().
     void cut(int zone) { cut_.insert(zone); }
-    void mend(int zone) {
+    void reconnect(int zone) {
         if (const auto found = cut_.find(zone); found != cut_.end()) cut_.erase(found);
     }
     void add_answers_lost(double share) { answers_lost_ += share; }
--- a/lab/fleet/parts.h
+++ b/lab/fleet/parts.h
@@ -1,5 +1,5 @@
-// What the parts of a world know of one another. Each part is a class of its own; they reach each other
-// through this alone, and nothing of it is used before all of them stand (World's constructor).
+// The context that connects the components of a simulated world. The components reach each other only through
+// it. World's constructor fills it in before any component uses it.
 #pragma once
 
 #include <optional>
@@ -31,46 +31,50 @@
 
     Time now() const { return scheduler.now(); }
     std::uint64_t seed() const { return experiment.seed; }
-    // The world's clock is an hour old at its beginning: times before it are told, too (long ago is 0).
+    // The simulated clock starts at one hour, because some times lie before the start of the world. Zero stands for
+    // a time long ago.
     static constexpr Time begins = std::chrono::hours(1);
     static std::uint64_t since_begin(Time at) {
         return at <= begins ? 0 : static_cast<std::uint64_t>((at - begins).count());
     }
+    // Appends a record to the trace at the current time.
     void note(Event event, std::uint32_t who, std::uint32_t peer = 0, std::uint64_t call = 0,
               std::uint64_t a = 0, std::uint64_t b = 0) {
         sink.put({since_begin(now()), event, who, peer, call, a, b});
     }
 };
 
-// A number drawn by its law; at least a microsecond.
+// Draws a duration from the given distribution; at least one microsecond.
 Micros drawn(const Draw& draw, Stream& stream);
 
-// What a client's call is, by its number and nothing else.
+// The properties of a client's call. They depend only on the seed and the call's number.
 struct DrawnCall {
     int class_index = 0;
     Micros work{};
-    std::uint32_t key = 0;  // of a keyed class
+    std::uint32_t key = 0;  // for a keyed class
 };
 DrawnCall draw_call(const Experiment& experiment, std::uint64_t first);
 
-// One try of it: when its client gives up and when it leaves (none: not), and its place among the balancers.
+// The random properties of one request of a call: the client's timeout, when the client disconnects early (if it
+// does), and a position in [0, 1) among the balancers.
 struct DrawnTry {
     Micros patience{};
     std::optional<Micros> leaves;
     double pick = 0;
 };
 DrawnTry draw_try(const ClientModel& clients, Micros deadline, Stream& stream);
-// Whose stream that is.
+// Returns the random stream for draw_try().
 Stream stream_of_try(std::uint64_t seed, std::uint64_t first, int number);
 
-// Whether a client asks again after this, and if so how long it waits.
+// A request that has ended without success.
 struct Over {
-    std::uint64_t call = 0;  // with its try's number
-    int number = 0;          // of the try
+    std::uint64_t call = 0;  // includes the request's number
+    int number = 0;          // 0 for the original request
     bool unsafe = false;
     bool refused = false;
     Micros retry_after{};
 };
+// Returns the delay before the client retries, or nothing if the client does not retry.
 std::optional<Micros> asks_again(const ClientModel& clients, std::uint64_t seed, const Over& over);
 
 }  // namespace flaxdoor::lab
--- a/lab/fleet/roster.h
+++ b/lab/fleet/roster.h
@@ -1,6 +1,6 @@
-// Where balancers hear of servers: the truth with its version, and who was told what by when. Pushed: an
-// agent beside each balancer has what it was sent, and what it has counts as told. Asked: one service for
-// all; what it writes counts as told.
+// Simulated service discovery: the versioned list of servers, and which balancer was notified of which change.
+// In pushed mode an agent beside each balancer receives the changes; a change counts as notified once the agent
+// has it. In asked mode one service answers all balancers; a change counts as notified once the service sends it.
 #pragma once
 
 #include <cstdint>
@@ -15,28 +15,28 @@
 public:
     explicit Roster(Parts& parts);
 
-    // The truth changes. A server that is told ready again comes back.
+    // Changes the state of a server. Announcing `ready` lists a removed server again.
     void change(std::uint32_t server, Word word);
 
-    // A balancer's process, by pool: its calls.
+    // Requests of a balancer's process, for one pool.
     void watch(std::uint32_t balancer, std::uint32_t pool);
     void unwatch(std::uint32_t balancer, std::uint32_t pool);
     void fetch(std::uint32_t balancer, std::uint32_t pool);
-    void forget_calls(std::uint32_t balancer);  // the process has gone
+    void forget_calls(std::uint32_t balancer);  // the process has ended
 
-    void tells(std::uint32_t balancer, std::uint64_t change);
-    void answers(std::uint32_t balancer, std::uint32_t pool, std::uint64_t call);
+    void deliver_changes(std::uint32_t balancer, std::uint64_t change);
+    void respond(std::uint32_t balancer, std::uint32_t pool, std::uint64_t call);
     void check_watch(std::uint32_t balancer, std::uint32_t pool, std::uint64_t call);
 
-    // A process of the balancer begins; what it knows from its start is Balancers' matter.
+    // Called when a process of the balancer starts. Balancers provides the list that the process starts with.
     void process_begins(std::uint32_t balancer);
 
-    // Servers stand: the first list is theirs.
+    // Takes the first list from the servers. Requires that the servers have started.
     void begin();
     core::MemberList first_list(std::uint32_t pool) const;
 
-    void add_late(Micros more) { late_ += more; }
-    void silence_watches();  // those that are open tell nothing from now on
+    void add_late(Micros more) { added_delay_ += more; }
+    void silence_watches();  // the watches that are open deliver nothing from now on
     void take_down(bool on);
 
 private:
@@ -45,30 +45,33 @@
         Word word = Word::ready;
         core::Member member;
     };
-    struct Ear {                  // of one balancer and pool
-        std::uint64_t given = 0;  // changes up to here went into the core
-        std::uint64_t call = 0;   // which watch; grows
+    // The state of one balancer's requests for one pool.
+    struct Subscription {
+        std::uint64_t delivered = 0;  // version that the core has received
+        std::uint64_t call = 0;       // number of the current watch; increases
         bool watching = false;
         bool silent = false;
         bool fetching = false;
-        bool wanted = false;  // to be opened again
+        bool wanted = false;  // the watch is to be opened again
     };
     core::Member member_of(std::uint32_t server, Word word) const;
-    core::MemberList whole(std::uint32_t pool, std::uint64_t upto) const;
-    void send_out(std::uint64_t version);
-    void give(std::uint32_t balancer, std::uint32_t pool, ListKind kind);
-    void fail(std::uint32_t balancer, std::uint32_t pool);
-    Ear& ear(std::uint32_t balancer, std::uint32_t pool) { return ears_[balancer * 2 + pool]; }
-    void note_told(std::uint32_t balancer, std::uint64_t upto);
+    core::MemberList full_list(std::uint32_t pool, std::uint64_t last_version) const;
+    void announce(std::uint64_t version);
+    void deliver(std::uint32_t balancer, std::uint32_t pool, ListKind kind);
+    void fail_requests(std::uint32_t balancer, std::uint32_t pool);
+    Subscription& subscription(std::uint32_t balancer, std::uint32_t pool) {
+        return subscriptions_[balancer * 2 + pool];
+    }
+    void record_notified(std::uint32_t balancer, std::uint64_t last_version);
 
     Parts& parts_;
-    core::MemberList first_;            // of both pools
-    std::vector<Change> changes_;       // version n is after the n-th
-    std::vector<std::uint64_t> agent_;  // changes up to here have come to the agent of a balancer
-    std::vector<std::uint64_t> told_;   // changes up to here count as told to its process
-    std::vector<Ear> ears_;
-    Micros late_{};
-    int down_ = 0;
+    core::MemberList first_;                        // members of both pools
+    std::vector<Change> changes_;                   // version n is the state after change n
+    std::vector<std::uint64_t> agent_versions_;     // version that a balancer's agent has received
+    std::vector<std::uint64_t> notified_versions_;  // version that counts as notified to a balancer's process
+    std::vector<Subscription> subscriptions_;
+    Micros added_delay_{};
+    int outages_ = 0;
 };
 
 }  // namespace flaxdoor::lab
--- a/lab/fleet/scheduler.cpp
+++ b/lab/fleet/scheduler.cpp
@@ -13,9 +13,9 @@
 void Scheduler::set(Time at, What what, std::uint32_t who, std::uint64_t a, std::uint64_t b) {
     at = std::max(at, now_);
     if (grid_ > Micros{0}) {
-        if (const Micros over = (at - begins_) % grid_; over > Micros{0}) at += grid_ - over;
+        if (const Micros excess = (at - begins_) % grid_; excess > Micros{0}) at += grid_ - excess;
     }
-    heap_.push_back({at, ++orders_, what, who, a, b});
+    heap_.push_back({at, ++next_order_, what, who, a, b});
     std::push_heap(heap_.begin(), heap_.end(), later);
 }
 
--- a/lab/fleet/scheduler.h
+++ b/lab/fleet/scheduler.h
@@ -1,7 +1,8 @@
-// What is to happen in a world, in order of time and, at one instant, in the order in which it was set; or in
-// another order at one instant, where somebody wants to see them all (explore/).
+// The event queue of a simulated world. Events are processed in order of time, and events of the same time in the
+// order in which they were scheduled. A Chooser may pick another order among events of the same time (explore/).
 //
-// Threading: a world's one thread.   Bounds: what is set and has not happened; the world bounds that.
+// Threading: used by the world's only thread.
+// Bounds:    memory grows with the number of pending events, which the world bounds.
 #pragma once
 
 #include <cstddef>
@@ -13,31 +14,32 @@
 
 namespace flaxdoor::lab {
 
+// The kind of a scheduled event; the comments say what `who`, `a` and `b` of Happening hold.
 enum class What : std::uint32_t {
     client_calls,     // who: client
-    client_repeats,   // who: client; a: its try
-    try_comes,        // who: balancer; a: try
-    try_answered,     // who: client; a: try; b: its answer
-    try_broken,       // who: client; a: try: its link broke without an answer
-    try_given_up,     // who: client; a: try
-    try_left,         // who: balancer; a: try: the balancer learns that its client went
+    client_repeats,   // who: client; a: request
+    try_comes,        // who: balancer; a: request
+    try_answered,     // who: client; a: request; b: the packed answer
+    try_broken,       // who: client; a: request: the connection broke without an answer
+    try_given_up,     // who: client; a: request
+    try_left,         // who: balancer; a: request: the balancer learns that its client disconnected
     connected,        // who: balancer; a: flight
     connect_refused,  // who: balancer; a: flight
     flight_comes,     // who: server; a: flight
-    flight_answered,  // who: balancer; a: flight; b: how
+    flight_answered,  // who: balancer; a: flight; b: How
     server_done,      // who: server; a: flight
-    server_reports,   // who: server: a sample of its load
-    alarm,            // who: balancer; a: which of its alarms
+    server_reports,   // who: server: its load is sampled
+    alarm,            // who: balancer; a: number of the alarm
     balancer_up,      // who: balancer
-    balancer_ended,   // who: balancer; a: which process
-    sweep,            // who: balancer: idle connections; a: which process
-    front_forgets,    // who: balancer; a: which process: the layer before it has noticed
-    roster_tells,     // who: balancer; a: change
-    roster_answers,   // who: balancer; a: pool; b: which call
-    watch_checked,    // who: balancer; a: pool; b: which call: is it silent?
-    trouble_begins,   // a: its number
-    trouble_ends,     // a: its number
-    trouble_step,     // a: its number; b: step
+    balancer_ended,   // who: balancer; a: process
+    sweep,            // who: balancer; a: process: idle connections are closed
+    front_forgets,    // who: balancer; a: process: the front layer detects that it died
+    roster_tells,     // who: balancer; a: version
+    roster_answers,   // who: balancer; a: pool; b: watch
+    watch_checked,    // who: balancer; a: pool; b: watch: checks whether the watch is silent
+    trouble_begins,   // a: index of the trouble
+    trouble_ends,     // a: index of the trouble
+    trouble_step,     // a: index of the trouble; b: step
     end,
 };
 
@@ -49,7 +51,7 @@
     std::uint64_t a = 0, b = 0;
 };
 
-// Picks one of those that stand at one instant, in the order in which they were set.
+// Picks the next event among those of the same time, which are given in the order of their scheduling.
 class Chooser {
 public:
     virtual ~Chooser() = default;
@@ -58,14 +60,15 @@
 
 class Scheduler {
 public:
-    // Over 0, everything happens at whole multiples of `grid` from there, at the next one if need be.
+    // A positive `grid` delays every event to the next whole multiple of `grid` after `begins`.
     Scheduler(Time begins, Micros grid, Chooser* chooser = nullptr)
         : now_(begins), begins_(begins), grid_(grid), chooser_(chooser) {}
 
     Time now() const { return now_; }
-    // What is set for the past happens now, after all that was set for now before.
+    // Schedules an event. A time in the past means now, after the events already scheduled for now.
     void set(Time at, What what, std::uint32_t who, std::uint64_t a = 0, std::uint64_t b = 0);
-    // The next one, taken out; the clock goes to its time. There must be one: a world has an end.
+    // Removes and returns the next event, and advances the clock to its time. Requires a pending event; a world
+    // always has its `end` event pending.
     Happening next();
     std::uint64_t happened() const { return happened_; }
     std::size_t waiting() const { return heap_.size() + standing_.size(); }
@@ -78,8 +81,8 @@
     const Micros grid_;
     Chooser* chooser_;
     std::vector<Happening> heap_;
-    std::vector<Happening> standing_;  // of the present instant, where there is a chooser
-    std::uint64_t orders_ = 0, happened_ = 0;
+    std::vector<Happening> standing_;  // events of the current time; used only with a chooser
+    std::uint64_t next_order_ = 0, happened_ = 0;
 };
 
 }  // namespace flaxdoor::lab
--- a/lab/fleet/troubles.h
+++ b/lab/fleet/troubles.h
@@ -1,5 +1,5 @@
-// The timetable of troubles: who is hit is drawn before the world begins, so that a trouble's victims are the
-// same whatever else happens.
+// Injects the faults of the experiment's timetable. The affected servers and balancers are drawn before the world
+// begins, so that they do not depend on anything that happens in it.
 #pragma once
 
 #include <cstdint>
@@ -11,28 +11,28 @@
 
 class Troubles {
 public:
-    // Gives servers that come later their numbers.
+    // Allocates the numbers of the servers that start later.
     explicit Troubles(Parts& parts);
 
     void begin();
     void begins(std::uint64_t number);
     void ends(std::uint64_t number);
     void step(std::uint64_t number, std::uint64_t which);
-    // The servers that a trouble hits, drawn or named.
+    // Returns the servers that a trouble affects, whether drawn or named in the experiment.
     const std::vector<std::uint32_t>& servers_hit(std::size_t number) const {
         return planned_[number].servers;
     }
 
 private:
     struct Planned {
-        std::vector<std::uint32_t> servers;  // hit
-        std::vector<std::uint32_t> fresh;    // in place of each of them
+        std::vector<std::uint32_t> servers;       // affected
+        std::vector<std::uint32_t> replacements;  // replacement of each affected server
         std::vector<std::uint32_t> balancers;
-        int on = -1;  // a zone, tenant or class
+        int on = -1;  // index of the zone, tenant or class; -1 for none
     };
-    void server_dies(std::uint32_t server);
-    void server_comes(std::uint32_t server);
-    void hit(const Trouble& trouble, const Planned& planned, bool on);
+    void kill_server(std::uint32_t server);
+    void start_server(std::uint32_t server);
+    void apply(const Trouble& trouble, const Planned& planned, bool on);
 
     Parts& parts_;
     std::vector<Planned> planned_;
--- a/lab/fleet/world.cpp
+++ b/lab/fleet/world.cpp
@@ -13,7 +13,10 @@
 
 namespace {
 
-std::uint64_t us(Micros span) { return static_cast<std::uint64_t>(std::max<std::int64_t>(0, span.count())); }
+// Returns a duration in microseconds; 0 for a negative one.
+std::uint64_t to_us(Micros span) {
+    return static_cast<std::uint64_t>(std::max<std::int64_t>(0, span.count()));
+}
 
 }  // namespace
 
@@ -35,46 +38,49 @@
         parts_.balancers = balancers_.get();
         clients_ = std::make_unique<Clients>(parts_);
         parts_.clients = clients_.get();
-        // What is still open when no more calls come has its time to end.
+        // After the last call, the world runs on until every open call has reached its deadline.
         Micros longest = experiment_.postgres.rate > 0 ? experiment_.postgres.deadline : Micros{0};
         for (const CallClass& c : experiment_.classes) longest = std::max(longest, c.told.deadline);
-        ends_ = Parts::begins + experiment_.lasts + longest + std::chrono::seconds(1);
+        end_time_ = Parts::begins + experiment_.lasts + longest + std::chrono::seconds(1);
         servers_.begin();
         roster_->begin();
         balancers_->begin();
         clients_->begin();
         troubles_->begin();
-        scheduler_.set(ends_, What::end, 0);
+        scheduler_.set(end_time_, What::end, 0);
     }
 
     Terms terms() const {
-        const Experiment& e = experiment_;
-        Terms t;
-        t.experiment = e.name;
-        t.variant = e.variant;
-        t.seed = e.seed;
-        t.lasts_us = us(e.lasts);
-        for (const CallClass& c : e.classes) t.classes.push_back(class_of(c.told));
-        if (e.postgres.rate > 0)
-            t.classes.push_back(class_of(postgres_settings_for(e, 0, 0).classes.front()));
-        for (const TenantKind& tenant : e.tenants) t.tenants.push_back(tenant.told.name);
-        for (const Zone& zone : e.fleet.zones) t.zones.push_back(zone.name);
+        const Experiment& experiment = experiment_;
+        Terms terms;
+        terms.experiment = experiment.name;
+        terms.variant = experiment.variant;
+        terms.seed = experiment.seed;
+        terms.lasts_us = to_us(experiment.lasts);
+        for (const CallClass& call_class : experiment.classes)
+            terms.classes.push_back(class_of(call_class.told));
+        if (experiment.postgres.rate > 0)
+            terms.classes.push_back(class_of(postgres_settings_for(experiment, 0, 0).classes.front()));
+        for (const TenantKind& tenant : experiment.tenants) terms.tenants.push_back(tenant.told.name);
+        for (const Zone& zone : experiment.fleet.zones) terms.zones.push_back(zone.name);
         for (const auto& server : servers_.all())
-            t.server_zones.push_back(static_cast<std::uint8_t>(server.zone));
-        for (std::uint32_t b = 0; b < balancers_->size(); ++b) {
-            t.balancer_zones.push_back(static_cast<std::uint8_t>(balancers_->zone(b)));
+            terms.server_zones.push_back(static_cast<std::uint8_t>(server.zone));
+        for (std::uint32_t balancer = 0; balancer < balancers_->size(); ++balancer) {
+            terms.balancer_zones.push_back(static_cast<std::uint8_t>(balancers_->zone(balancer)));
         }
-        t.clients = clients_->count();
-        for (const Trouble& trouble : e.troubles)
-            t.troubles.push_back({trouble.name, us(trouble.at), us(trouble.lasts)});
-        t.answer_slack_us = us(e.module.answer_slack + 2 * e.grid);  // the request and the alarm, a step each
-        t.drain_grace_us = us(e.module.drain_grace);
-        t.cold_share = e.servers.cold_share;
-        t.ramp_us = us(e.servers.ramp);
-        t.fall_multiple = e.servers.fall_multiple;
-        t.fall_span_us = us(e.servers.fall_span);
-        t.mean_work_us = mean_work(e);
-        return t;
+        terms.clients = clients_->count();
+        for (const Trouble& trouble : experiment.troubles)
+            terms.troubles.push_back({trouble.name, to_us(trouble.at), to_us(trouble.lasts)});
+        terms.answer_slack_us =
+            to_us(experiment.module.answer_slack +
+                  2 * experiment.grid);  // one grid step each for the request and the alarm
+        terms.drain_grace_us = to_us(experiment.module.drain_grace);
+        terms.cold_share = experiment.servers.cold_share;
+        terms.ramp_us = to_us(experiment.servers.ramp);
+        terms.fall_multiple = experiment.servers.fall_multiple;
+        terms.fall_span_us = to_us(experiment.servers.fall_span);
+        terms.mean_work_us = mean_work(experiment);
+        return terms;
     }
 
     const std::vector<std::uint32_t>& servers_hit(std::size_t trouble) const {
@@ -83,37 +89,41 @@
 
     bool step() {
         if (over_) return false;
-        const Happening h = scheduler_.next();
-        if (watcher_) watcher_->meets(h, name_of(h));
-        switch (h.what) {
-            case What::client_calls: clients_->calls(h.who); break;
-            case What::client_repeats: clients_->repeats(h.who, h.a); break;
-            case What::try_comes: clients_->comes(h.who, h.a); break;
-            case What::try_answered: clients_->answered(h.who, h.a, h.b); break;
-            case What::try_broken: clients_->broken(h.who, h.a); break;
-            case What::try_given_up: clients_->given_up(h.who, h.a); break;
-            case What::try_left: balancers_->left(h.who, h.a); break;
-            case What::connected: balancers_->connected(h.who, h.a); break;
-            case What::connect_refused: balancers_->connect_refused(h.who, h.a); break;
-            case What::flight_comes: servers_.comes(h.who, h.a); break;
-            case What::flight_answered: balancers_->answered(h.who, h.a, static_cast<How>(h.b)); break;
-            case What::server_done: servers_.done(h.who, h.a); break;
-            case What::server_reports: servers_.samples(h.who); break;
-            case What::alarm: balancers_->alarm(h.who, h.a); break;
-            case What::balancer_up: balancers_->start(h.who); break;
-            case What::balancer_ended: balancers_->end(h.who, h.a); break;
-            case What::sweep: balancers_->sweep(h.who, h.a); break;
+        const Happening event = scheduler_.next();
+        if (watcher_) watcher_->meets(event, name_of(event));
+        switch (event.what) {
+            case What::client_calls: clients_->calls(event.who); break;
+            case What::client_repeats: clients_->retry(event.who, event.a); break;
+            case What::try_comes: clients_->request_arrived(event.who, event.a); break;
+            case What::try_answered: clients_->answered(event.who, event.a, event.b); break;
+            case What::try_broken: clients_->connection_broken(event.who, event.a); break;
+            case What::try_given_up: clients_->given_up(event.who, event.a); break;
+            case What::try_left: balancers_->left(event.who, event.a); break;
+            case What::connected: balancers_->connected(event.who, event.a); break;
+            case What::connect_refused: balancers_->connect_refused(event.who, event.a); break;
+            case What::flight_comes: servers_.comes(event.who, event.a); break;
+            case What::flight_answered:
+                balancers_->answered(event.who, event.a, static_cast<How>(event.b));
+                break;
+            case What::server_done: servers_.done(event.who, event.a); break;
+            case What::server_reports: servers_.samples(event.who); break;
+            case What::alarm: balancers_->alarm(event.who, event.a); break;
+            case What::balancer_up: balancers_->start(event.who); break;
+            case What::balancer_ended: balancers_->end(event.who, event.a); break;
+            case What::sweep: balancers_->sweep(event.who, event.a); break;
             case What::front_forgets:
-                if (!balancers_->up(h.who)) clients_->front_forgets(h.who);
+                if (!balancers_->up(event.who)) clients_->remove_balancer(event.who);
+                break;
+            case What::roster_tells: roster_->deliver_changes(event.who, event.a); break;
+            case What::roster_answers:
+                roster_->respond(event.who, static_cast<std::uint32_t>(event.a), event.b);
                 break;
-            case What::roster_tells: roster_->tells(h.who, h.a); break;
-            case What::roster_answers: roster_->answers(h.who, static_cast<std::uint32_t>(h.a), h.b); break;
             case What::watch_checked:
-                roster_->check_watch(h.who, static_cast<std::uint32_t>(h.a), h.b);
+                roster_->check_watch(event.who, static_cast<std::uint32_t>(event.a), event.b);
                 break;
-            case What::trouble_begins: troubles_->begins(h.a); break;
-            case What::trouble_ends: troubles_->ends(h.a); break;
-            case What::trouble_step: troubles_->step(h.a, h.b); break;
+            case What::trouble_begins: troubles_->begins(event.a); break;
+            case What::trouble_ends: troubles_->ends(event.a); break;
+            case What::trouble_step: troubles_->step(event.a, event.b); break;
             case What::end:
                 parts_.note(Event::over, 0);
                 over_ = true;
@@ -131,44 +141,45 @@
     }
 
 private:
-    // Handles of tries and flights go by the order in which they were made; calls' numbers do not.
-    std::uint64_t name_of(const Happening& h) {
-        switch (h.what) {
+    // Returns a name that does not depend on the order of events. The handles of requests and flights depend on it,
+    // the numbers of calls do not.
+    std::uint64_t name_of(const Happening& event) {
+        switch (event.what) {
             case What::client_repeats:
             case What::try_comes:
             case What::try_answered:
             case What::try_broken:
             case What::try_given_up:
             case What::try_left: {
-                const Try* const its = clients_->find(h.a);
-                return (its ? its->call : 0) ^ h.b << 48U;
+                const ClientRequest* const its = clients_->find(event.a);
+                return (its ? its->call : 0) ^ event.b << 48U;
             }
             case What::connected:
             case What::connect_refused:
             case What::flight_comes:
             case What::flight_answered:
             case What::server_done: {
-                const Flight* const its = flights_.find(h.a);
-                return its ? its->call ^ std::uint64_t{its->number} << 40U ^ h.b << 48U : 0;
+                const Flight* const its = flights_.find(event.a);
+                return its ? its->call ^ std::uint64_t{its->number} << 40U ^ event.b << 48U : 0;
             }
-            case What::alarm: return 0;  // which one counts follows from what the balancer met
-            default: return h.a ^ h.b << 32U;
+            case What::alarm: return 0;  // which alarm is current follows from the balancer's events
+            default: return event.a ^ event.b << 32U;
         }
     }
 
-    static Terms::Class class_of(const ClassSettings& c) {
-        Terms::Class its;
-        its.name = c.name;
-        its.effect = c.effect == flaxdoor::Effect::safe    ? Terms::Effect::safe
-                     : c.effect == flaxdoor::Effect::keyed ? Terms::Effect::keyed
-                                                           : Terms::Effect::unsafe;
-        its.by_zone = c.group == Group::zone;
-        its.window_us = us(c.window);
-        its.aim_us = us(c.aim);
-        its.deadline_us = us(c.deadline);
-        its.worth = c.worth;
-        its.late_worth = c.late_worth;
-        return its;
+    static Terms::Class class_of(const ClassSettings& settings) {
+        Terms::Class result;
+        result.name = settings.name;
+        result.effect = settings.effect == flaxdoor::Effect::safe    ? Terms::Effect::safe
+                        : settings.effect == flaxdoor::Effect::keyed ? Terms::Effect::keyed
+                                                                     : Terms::Effect::unsafe;
+        result.by_zone = settings.group == Group::zone;
+        result.window_us = to_us(settings.window);
+        result.aim_us = to_us(settings.aim);
+        result.deadline_us = to_us(settings.deadline);
+        result.worth = settings.worth;
+        result.late_worth = settings.late_worth;
+        return result;
     }
 
     const Experiment experiment_;
@@ -180,9 +191,9 @@
     std::unique_ptr<Troubles> troubles_;
     std::unique_ptr<Roster> roster_;
     std::unique_ptr<Clients> clients_;
-    std::unique_ptr<Balancers> balancers_;  // goes first: its processes let go of flights and servers
+    std::unique_ptr<Balancers> balancers_;  // destroyed first: its processes release flights and servers
     Watcher* watcher_ = nullptr;
-    Time ends_{};
+    Time end_time_{};
     bool over_ = false;
 };
 
--- a/lab/fleet/world.h
+++ b/lab/fleet/world.h
@@ -1,11 +1,11 @@
-// One world: balancers that are real, and all that is round them as models, over virtual time.
+// One simulated world: real balancer code, with models of everything around it, in virtual time.
 //
 //     World world(experiment, sink);
 //     while (world.step()) {}
 //
 // Threading:  one thread; worlds share nothing.
-// Repeatable: the same experiment gives the same records, byte for byte, on any machine of this byte order.
-// Errors:     std::invalid_argument when the module will not take the settings.
+// Repeatable: the same experiment gives the same records, byte for byte, on any machine with the same byte order.
+// Errors:     std::invalid_argument when the policy module rejects the settings.
 #pragma once
 
 #include <cstdint>
@@ -22,12 +22,12 @@
 struct WorldFigures {
     std::uint64_t happenings = 0;
     std::uint64_t calls = 0;
-    core::Figures cores;  // summed over the processes that run
+    core::Figures cores;  // summed over the running processes
     std::size_t flights = 0, tries = 0;
 };
 
-// Who looks on: told each happening before it happens, with a name for it that is the same whatever order
-// other things came in (a happening's own numbers are not).
+// Observes a world. It is called with each event before the event is processed. `name` identifies the event
+// independently of the order of other events; the numbers in the event itself depend on that order.
 class Watcher {
 public:
     virtual ~Watcher() = default;
@@ -36,19 +36,19 @@
 
 class World {
 public:
-    // `sink` and `chooser` are borrowed.
+    // Borrows `sink` and `chooser`, which must outlive the world.
     World(const Experiment& experiment, Sink& sink, Chooser* chooser = nullptr);
     ~World();
     World(const World&) = delete;
     World& operator=(const World&) = delete;
 
-    // What its trace begins with; known before the first step.
+    // Returns the head of the world's trace. Valid before the first step.
     Terms terms() const;
-    // The servers that a trouble of the timetable hits; known before the first step.
+    // Returns the servers that a trouble of the timetable affects. Valid before the first step.
     const std::vector<std::uint32_t>& servers_hit(std::size_t trouble) const;
-    // The next thing that happens; false when the world is over.
+    // Processes the next event. Returns false when the world is over.
     bool step();
-    // Borrowed; null: nobody.
+    // Sets the observer, which is borrowed; null removes it.
     void watch(Watcher* watcher);
     std::uint64_t now_us() const;
     WorldFigures figures() const;
@@ -58,7 +58,7 @@
     std::unique_ptr<Impl> impl_;
 };
 
-// Plays it to its end.
+// Runs a world to its end.
 WorldFigures play(const Experiment& experiment, Sink& sink);
 
 }  // namespace flaxdoor::lab
