--- a/lab/fleet/world.cpp
+++ b/lab/fleet/world.cpp
@@ -40,7 +40,8 @@
         parts_.clients = clients_.get();
         // After the last call, the world runs on until every open call has reached its deadline.
         Micros longest = experiment_.postgres.rate > 0 ? experiment_.postgres.deadline : Micros{0};
-        for (const CallClass& c : experiment_.classes) longest = std::max(longest, c.told.deadline);
+        for (const CallClass& call_class : experiment_.classes)
+            longest = std::max(longest, call_class.told.deadline);
         end_time_ = Parts::begins + experiment_.lasts + longest + std::chrono::seconds(1);
         servers_.begin();
         roster_->begin();
@@ -151,16 +152,16 @@
             case What::try_broken:
             case What::try_given_up:
             case What::try_left: {
-                const ClientRequest* const its = clients_->find(event.a);
-                return (its ? its->call : 0) ^ event.b << 48U;
+                const ClientRequest* const request = clients_->find(event.a);
+                return (request ? request->call : 0) ^ event.b << 48U;
             }
             case What::connected:
             case What::connect_refused:
             case What::flight_comes:
             case What::flight_answered:
             case What::server_done: {
-                const Flight* const its = flights_.find(event.a);
-                return its ? its->call ^ std::uint64_t{its->number} << 40U ^ event.b << 48U : 0;
+                const Flight* const flight = flights_.find(event.a);
+                return flight ? flight->call ^ std::uint64_t{flight->number} << 40U ^ event.b << 48U : 0;
             }
             case What::alarm: return 0;  // which alarm is current follows from the balancer's events
             default: return event.a ^ event.b << 32U;
--- a/lab/run/figures.cpp
+++ b/lab/run/figures.cpp
@@ -87,7 +87,7 @@
         if (found == calls_.end()) continue;
         if (!found->second.over) count_call(found->first, found->second, false, at);
         // The numbers of a call's requests differ only in the lowest three bits.
-        for (std::uint64_t n = 1; n < 8; ++n) retries_.erase(found->first + n);
+        for (std::uint64_t number = 1; number < 8; ++number) retries_.erase(found->first + number);
         calls_.erase(found);
     }
 }
@@ -197,16 +197,18 @@
                       {"failed", series(figures.seconds, [](const Tally& t) { return t.failed; })},
                       {"service", series(figures.seconds, service)},
                       {"open", figures.open}};
-    for (std::size_t c = 0; c < terms.classes.size(); ++c) {
-        all["classes"].push_back({{"name", terms.classes[c].name},
-                                  {"sum", tally(Figures::sum(figures.by_class[c], figures.settles))},
-                                  {"latency", latencies(figures.latency[c])},
-                                  {"service", series(figures.by_class[c], service)}});
+    for (std::size_t class_index = 0; class_index < terms.classes.size(); ++class_index) {
+        all["classes"].push_back(
+            {{"name", terms.classes[class_index].name},
+             {"sum", tally(Figures::sum(figures.by_class[class_index], figures.settles))},
+             {"latency", latencies(figures.latency[class_index])},
+             {"service", series(figures.by_class[class_index], service)}});
     }
-    for (std::size_t t = 0; t < terms.tenants.size(); ++t) {
-        all["tenants"].push_back({{"name", terms.tenants[t]},
-                                  {"sum", tally(Figures::sum(figures.by_tenant[t], figures.settles))},
-                                  {"service", series(figures.by_tenant[t], service)}});
+    for (std::size_t tenant_index = 0; tenant_index < terms.tenants.size(); ++tenant_index) {
+        all["tenants"].push_back(
+            {{"name", terms.tenants[tenant_index]},
+             {"sum", tally(Figures::sum(figures.by_tenant[tenant_index], figures.settles))},
+             {"service", series(figures.by_tenant[tenant_index], service)}});
     }
     all["load"] = figures.load;
     return all;
--- a/lab/run/runner.cpp
+++ b/lab/run/runner.cpp
@@ -99,7 +99,7 @@
     Cell finish(std::uint64_t faults = 0) {
         if (writer_) {
             const auto done = writer_->finish();
-            if (!done) throw std::runtime_error(trace_file_ + " could not be written");
+            if (!done) throw std::runtime_error(trace_file_ + " cannot be written");
             cell_.digest = done->digest;
             cell_.records = done->records;
         } else {
@@ -206,11 +206,12 @@
             stored_plan = text.str();
         }
         if (options.resume && !stored_plan.empty() && stored_plan != options.plan_text) {
-            throw std::runtime_error(options.folder + " is of another experiment; choose another folder");
+            throw std::runtime_error(options.folder +
+                                     " belongs to another experiment; choose another folder");
         }
         if (!options.resume && fs::exists(lines_file)) {
-            throw std::runtime_error(options.folder +
-                                     " has results; go on with --resume, or choose another folder");
+            throw std::runtime_error(
+                options.folder + " already has results; continue with --resume, or choose another folder");
         }
         std::ofstream(plan_file, std::ios::binary) << options.plan_text;
         std::string complete_lines;  // an incomplete last line is left out
@@ -224,7 +225,7 @@
             const auto number = place.get<std::size_t>();
             if (number >= plan.cells() || !belongs_to(plan, number, cell)) {
                 throw std::runtime_error(options.folder +
-                                         " has worlds of other seeds; choose another folder");
+                                         " has results of other seeds; choose another folder");
             }
             if (!is_complete(cell)) continue;
             complete_lines += line + "\n";
@@ -233,7 +234,7 @@
         in.close();
         lines.open(lines_file, std::ios::trunc);
         lines << complete_lines << std::flush;
-        if (!lines) throw std::runtime_error(lines_file.string() + " can't be written");
+        if (!lines) throw std::runtime_error(lines_file.string() + " cannot be written");
     }
     const std::size_t all = plan.cells();
     std::vector<std::size_t> pending;
--- a/lab/trace/file.cpp
+++ b/lab/trace/file.cpp
@@ -363,7 +363,7 @@
         damaged(place, std::move(what));
         return std::nullopt;
     };
-    if (!read(head_size)) return none(0, "cut within the head");
+    if (!read(head_size)) return none(0, "the file is truncated within its head");
     if (!bytes_.starts_with(magic)) return none(0, "no trace: it does not begin with \"flaxtrac\"");
     const auto version = number_at<std::uint32_t>(bytes_, 8);
     if (version != trace_version) {
@@ -373,7 +373,7 @@
     const auto size = number_at<std::uint32_t>(bytes_, 12);
     if (size > max_terms) return none(12, "the terms are damaged: " + std::to_string(size) + " bytes");
     std::string head = bytes_;
-    if (!read(std::size_t{size} + 8)) return none(0, "cut within the head");
+    if (!read(std::size_t{size} + 8)) return none(0, "the file is truncated within its head");
     head.append(bytes_, 0, size);
     if (number_at<std::uint64_t>(bytes_, size) != hash_of(head, 0)) return none(0, "the head is damaged");
     std::string error;
@@ -384,20 +384,21 @@
 
 TraceReader::Next TraceReader::next_block() {
     block_place_ = place_;
-    if (!read(block_head)) return damaged(block_place_, "cut: the file has no end");
+    if (!read(block_head)) return damaged(block_place_, "the file is truncated: it has no end");
     const auto size = number_at<std::uint32_t>(bytes_, 0);
     const auto records = number_at<std::uint32_t>(bytes_, 4);
     const auto hash = number_at<std::uint64_t>(bytes_, 8);
     if (size > max_block || (size == 0) != (records == 0))
         return damaged(block_place_, "the block is damaged");
-    if (!read(size)) return damaged(block_place_, "cut within a block, or its size is damaged");
+    if (!read(size))
+        return damaged(block_place_, "the file is truncated within a block, or the block's size is damaged");
     if (hash_of_block(size, records, bytes_, number_) != hash) {
         return damaged(block_place_, "the block is damaged");
     }
     if (size == 0) {
         // An empty block marks the end of the file.
         const std::uint64_t end = place_;
-        if (!read(end_size)) return damaged(end, "cut within the end");
+        if (!read(end_size)) return damaged(end, "the file is truncated within its end");
         digest_ = digest_of(hash_->state);
         if (number_at<std::uint64_t>(bytes_, 24) !=
             hash_of(std::string_view(bytes_).substr(0, 24), number_)) {
@@ -405,7 +406,7 @@
         }
         if (number_at<std::uint64_t>(bytes_, 0) != records_ ||
             Digest{number_at<std::uint64_t>(bytes_, 8), number_at<std::uint64_t>(bytes_, 16)} != digest_) {
-            return damaged(end, "the end is that of other records");
+            return damaged(end, "the end does not match the records");
         }
         if (in_.peek() != std::istream::traits_type::eof()) {
             return damaged(place_, "more bytes after the end");
