--- a/bench/baseline/http_forward.cpp
+++ b/bench/baseline/http_forward.cpp
@@ -111,7 +111,7 @@
     }
 
     void forward(Client& client, http::Request request) {
-        http::make_onward(request);
+        http::prepare_upstream_request(request);
         Server& server = servers_[next_ % servers_.size()];
         Link* link = nullptr;
         if (server.idle.empty()) {
@@ -153,8 +153,8 @@
         if (!client) return;
         client->link = nullptr;
         const bool whole = result->kind == http::ClientResult::Kind::answered;
-        if (whole) http::make_homeward(result->answer);
-        (void)client->machine.answer(whole ? result->answer : http::failure(502));
+        if (whole) http::prepare_client_response(result->answer);
+        (void)client->machine.answer(whole ? result->answer : http::error_response(502));
         pump(*client);
     }
 
--- a/bench/budget_bench.cpp
+++ b/bench/budget_bench.cpp
@@ -38,8 +38,8 @@
         holder.on_reply(reply, clock.now());
         call.tenant = {core::Tenant::Kind::known, 0};
     }
-    static budget::Terms terms_of(std::int64_t budgets, const char* tenant, budget::Amount whole) {
-        budget::Terms terms;
+    static budget::BudgetConfig terms_of(std::int64_t budgets, const char* tenant, budget::Amount whole) {
+        budget::BudgetConfig terms;
         for (std::int64_t i = 0; i < budgets; ++i) {
             budget::Budget each;
             each.name = "b" + std::to_string(i);
@@ -50,7 +50,7 @@
         }
         return terms;
     }
-    core::Admitted admit() { return admission.admit(call, "api", its, Time{}); }
+    core::AdmissionResult admit() { return admission.admit(call, "api", its, Time{}); }
 
     loop::BootClock clock;
     budget::Holder holder;
@@ -66,15 +66,16 @@
     Fleet fleet(state.range(0), tenant, plenty);
     std::uint64_t refused = 0;
     // A share begins empty.
-    while (fleet.holder.size() > 0 && fleet.holder.at(0).next(fleet.clock.now()) != Micros{0}) {
+    while (fleet.holder.size() > 0 &&
+           fleet.holder.allowance(0).time_to_next_permit(fleet.clock.now()) != Micros{0}) {
     }
     for (auto _ : state) {
-        core::Admitted admitted = fleet.admit();
+        core::AdmissionResult admitted = fleet.admit();
         refused += admitted.refused;
         if (!admitted.permits) continue;
-        benchmark::DoNotOptimize(admitted.permits->allow(0, Time{}));
-        benchmark::DoNotOptimize(admitted.permits->begin(0, Time{}));
-        admitted.permits->end(0, true, Time{});
+        benchmark::DoNotOptimize(admitted.permits->reserve(0, Time{}));
+        benchmark::DoNotOptimize(admitted.permits->commit(0, Time{}));
+        admitted.permits->release(0, true, Time{});
     }
     state.counters["refused"] = static_cast<double>(refused);
 }
--- a/bench/core_bench.cpp
+++ b/bench/core_bench.cpp
@@ -100,7 +100,7 @@
     std::vector<UpstreamEntry> entries;
     for (const auto& m : list.members) {
         entries.push_back(m.entry);
-        entries.back().cold = std::make_shared<ColdAccount>();
+        entries.back().slow_start = std::make_shared<SlowStartBucket>();
     }
     return entries;
 }
@@ -165,7 +165,7 @@
     std::uint64_t lines_ = 0;
 };
 
-class Host final : public core::Front, public core::Back {
+class Host final : public core::Downstream, public core::UpstreamConnectionPool {
 public:
     explicit Host(std::size_t open, bool at_once = false, const Settings& its = settings())
         : at_once_(at_once), core_(world_, world_, world_), sent_(2 * open + 64) {
@@ -184,14 +184,14 @@
         world_.pass(gap, core_);
         core::Call call;
         call.pool = pool_;
-        call.name = std::move(name);
+        call.call_id = std::move(name);
         call.budget = seconds(5);
-        if (core_.take(std::move(call), *this, 0) != core::Taken::yes) ++not_taken_;
+        if (core_.accept_call(std::move(call), *this, 0) != core::AcceptResult::accepted) ++not_taken_;
         while (sent_.size() > open) answer(sent_.pop());
     }
 
     void on_started(std::uint64_t, std::unique_ptr<core::Payload>) override {}
-    void on_final(std::uint64_t, core::Final) override {}
+    void on_final(std::uint64_t, core::FinalAnswer) override {}
     void set_upstream(UpstreamId, const std::string&, bool) override {}
     void remove_upstream(UpstreamId) override {}
     void send(core::Attempt attempt) override {
@@ -202,7 +202,7 @@
     void expire(core::AttemptKey) override { ++expired_; }
     void close_idle(UpstreamId) override {}
 
-    core::Figures figures() const { return core_.figures(); }
+    core::Stats figures() const { return core_.figures(); }
     std::uint64_t print() const { return sent_.print(); }
     // What no run is meant to have; empty: there was nothing of the kind.
     std::string surprises() const {
@@ -218,7 +218,7 @@
         core::AttemptResult result;
         result.key = attempt.key;
         result.outcome = Outcome::ok;
-        result.whole = true;
+        result.fully_sent = true;
         result.latency = latency;
         core_.on_attempt_end(std::move(result));
     }
@@ -270,7 +270,7 @@
             AttemptEnd end;
             end.request = attempt.key.call;
             end.attempt = attempt.key.number;
-            end.closed = true;
+            end.request_answered = true;
             end.latency = latency;
             end.upstream = attempt.upstream;
             tell(end);
@@ -286,7 +286,7 @@
     void submit(RequestId request, UpstreamId upstream, Micros) override {
         sent_.push({{request, attempts_[request]++}, upstream});
     }
-    void refuse(RequestId, Micros) override {}
+    void reject(RequestId, Micros) override {}
     void fail(RequestId) override {}
     void cancel(RequestId, int) override {}
     void probe(UpstreamId) override {}
@@ -295,7 +295,7 @@
     void unwatch() override {}
     void fetch() override {}
     void close_idle(UpstreamId) override {}
-    void tell(std::optional<int>, std::string_view) override {}
+    void send_to_peer(std::optional<int>, std::string_view) override {}
     void log(std::string_view) override {}
 
 private:
@@ -328,7 +328,7 @@
 class Nobody final : public Actions {
 public:
     void submit(RequestId, UpstreamId, Micros) override { ++asked_; }
-    void refuse(RequestId, Micros) override { ++asked_; }
+    void reject(RequestId, Micros) override { ++asked_; }
     void fail(RequestId) override { ++asked_; }
     void cancel(RequestId, int) override { ++asked_; }
     void probe(UpstreamId) override { ++asked_; }
@@ -337,7 +337,7 @@
     void unwatch() override { ++asked_; }
     void fetch() override { ++asked_; }
     void close_idle(UpstreamId) override { ++asked_; }
-    void tell(std::optional<int>, std::string_view) override { ++asked_; }
+    void send_to_peer(std::optional<int>, std::string_view) override { ++asked_; }
     void log(std::string_view) override { ++asked_; }
 
 private:
--- a/bench/door_bench.cpp
+++ b/bench/door_bench.cpp
@@ -43,14 +43,14 @@
 void straight_through(benchmark::State& state) {
     const auto clients = names(static_cast<std::size_t>(state.range(0)));
     Time now = 1000s;
-    Door door(terms(), now, 1, {});
+    AdmissionQueue door(terms(), now, 1, {});
     std::uint64_t n = 0;
     for (auto _ : state) {
         now += 100us;
-        const auto arrival = door.arrive(now, request(clients[(n * 7919) % clients.size()], n, now));
+        const auto arrival = door.enqueue(now, request(clients[(n * 7919) % clients.size()], n, now));
         ++n;
-        door.sending(arrival.ticket, now);
-        benchmark::DoNotOptimize(door.end(arrival.ticket, now, Window::End::served));
+        door.on_first_byte(arrival.ticket, now);
+        benchmark::DoNotOptimize(door.end(arrival.ticket, now, ConcurrencyWindow::End::served));
     }
     state.counters["bytes"] = static_cast<double>(door.figures(now).bytes);
 }
@@ -60,7 +60,7 @@
 void waiting(benchmark::State& state) {
     const auto clients = names(static_cast<std::size_t>(state.range(0)));
     Time now = 1000s;
-    Door door(terms(), now, 1, {});
+    AdmissionQueue door(terms(), now, 1, {});
     std::uint64_t n = 0;
     std::deque<Ticket> handed;
     const auto settle = [&] {
@@ -71,18 +71,18 @@
     std::size_t most = 0;
     for (auto _ : state) {
         now += 500us;
-        const auto arrival = door.arrive(now, request(clients[(n * 7919) % clients.size()], n, now));
+        const auto arrival = door.enqueue(now, request(clients[(n * 7919) % clients.size()], n, now));
         if (arrival.handed) handed.push_back(arrival.ticket);
         settle();
         // Eight are sent, 10 ms each: one ends with every second request that comes.
         if (++n % 2 == 0 && handed.size() > 8) {
             const Ticket first = handed.front();
             handed.pop_front();
-            benchmark::DoNotOptimize(door.end(first, now, Window::End::served));
-            door.sending(handed[7], now);
+            benchmark::DoNotOptimize(door.end(first, now, ConcurrencyWindow::End::served));
+            door.on_first_byte(handed[7], now);
             settle();
         } else if (handed.size() <= 8 && !handed.empty()) {
-            door.sending(handed.back(), now);
+            door.on_first_byte(handed.back(), now);
             settle();
         }
         most = std::max(most, door.waiting());
@@ -120,7 +120,7 @@
         two.classes = {{"only", 1, 10ms, {}}};
         Time now = 1000s;
         const Time end = now + 30s;
-        Door door(two, now, 1, {});
+        AdmissionQueue door(two, now, 1, {});
         struct Call {
             std::size_t client = 0;
             Time came{}, deadline{};
@@ -144,12 +144,12 @@
                 module.pop_front();
                 const Call& call = calls.at(ticket);
                 if (now > call.deadline - 10ms) {  // the module gives up what can't be in time
-                    if (before == with_door) (void)door.end(ticket, now, Window::End::other);
+                    if (before == with_door) (void)door.end(ticket, now, ConcurrencyWindow::End::other);
                     calls.erase(ticket);
                     continue;
                 }
                 clients[call.client].waits.push_back(static_cast<double>((now - call.came).count()) / 1e3);
-                if (before == with_door) door.sending(ticket, now);
+                if (before == with_door) door.on_first_byte(ticket, now);
                 busy.emplace_back(now + 10ms, ticket);
             }
         };
@@ -175,7 +175,7 @@
                 busy.erase(ends);
                 ++clients[calls.at(ticket).client].served;
                 calls.erase(ticket);
-                if (before == with_door) (void)door.end(ticket, now, Window::End::served);
+                if (before == with_door) (void)door.end(ticket, now, ConcurrencyWindow::End::served);
                 settle();
                 continue;
             }
@@ -189,7 +189,7 @@
                 const std::string name = std::to_string(first);
                 one.client = name;
                 one.deadline = call.deadline;
-                const auto arrival = door.arrive(now, one);
+                const auto arrival = door.enqueue(now, one);
                 if (arrival.ticket) calls.emplace(arrival.ticket, call);
                 if (arrival.handed) module.push_back(arrival.ticket);
             } else {
--- a/include/flaxdoor/balancer.h
+++ b/include/flaxdoor/balancer.h
@@ -56,7 +56,7 @@
 namespace flaxdoor {
 
 namespace detail {
-struct Sides;
+struct InternalOptions;
 }
 
 // ---------------------------------------------------------------------------------------------- results
@@ -188,7 +188,7 @@
     // long after it. Ignored if there is an embedded listener.
     Micros keep_taking{};
     std::string operators;  // text of the operator's settings file (TOML); empty: defaults
-    std::shared_ptr<const detail::Sides> sides;  // only for programs of this project
+    std::shared_ptr<const detail::InternalOptions> internal;  // only for programs of this project
     // Sinks, called on the executor and from the constructor; null: none. A sink must not call the instance.
     // An exception of a sink is dropped, so that a failing log ends no call.
     std::function<void(std::string_view instance, std::string_view line)> log;
--- a/include/flaxdoor/decide.h
+++ b/include/flaxdoor/decide.h
@@ -3,7 +3,7 @@
 //
 // Time:        A Policy has no clock. Every event carries `now`, which must never decrease.
 // Threading:   A Policy is used by one thread at a time. It takes no locks and starts no threads. Policies
-//              that share a ColdAccount must run on the same thread.
+//              that share a SlowStartBucket must run on the same thread.
 // Ownership:   The Policy borrows the Actions object, which must outlive it. Nothing else is shared except
 //              the ColdAccounts in the entries of the upstream list.
 // Re-entrancy: A Policy calls Actions from inside its on_* methods. An Actions method must not call the
@@ -34,7 +34,7 @@
 // do not execute it.
 enum class Effect { safe, keyed, unsafe };
 // The upstreams that share deduplication: each drops a keyed request that another one has executed.
-enum class Group { all, zone, cell };
+enum class DeduplicationScope { all, zone, cell };
 
 struct ClassSettings {
     std::string name;
@@ -43,7 +43,7 @@
     double worth = 1;
     double late_worth = 0;  // fraction of the worth that an answer after the aim still earns
     Effect effect = Effect::unsafe;
-    Group group = Group::all;
+    DeduplicationScope group = DeduplicationScope::all;
     // Keyed classes: how long upstreams recognise repeats, counted from the sending of the first attempt
     // that may have executed.
     Micros window{};
@@ -68,10 +68,10 @@
 enum class ReportSource { none, answers, probes };
 // The meaning of UpstreamEntry::weight: none, the upstream's capacity, its approximate capacity, or its
 // capacity less its current load.
-enum class Weights { none, nominal, rough, live };
+enum class WeightMeaning { none, nominal, rough, live };
 
 // Weights of the parts of the operators' objective, as configured. They need not sum to 1.
-struct Goal {
+struct ObjectiveWeights {
     double whole = 0;          // the whole time
     double worst_window = 0;   // the worst interval of ten seconds
     double worst_class = 0;    // the worst-served class
@@ -79,11 +79,11 @@
     double nines = 0;          // availability in each interval of five seconds, in nines
     double full_at_nines = 0;  // number of nines that earns the full weight of `nines`; 0: unknown
 
-    bool operator==(const Goal&) const = default;
+    bool operator==(const ObjectiveWeights&) const = default;
 };
 
 // Points deducted per unit of each cost; 0: free or unknown.
-struct Prices {
+struct Deductions {
     double connection = 0;  // mean number of open connections, divided by 100 times the number of upstreams
     double cross_zone = 0;  // attempts that cross zones, per first attempt
     double discovery = 0;   // lines of the upstream list sent, per first attempt; due in full at 100
@@ -96,7 +96,7 @@
     double probe = 0;      // probes, per first attempt
     double waste = 0;      // upstream work without an answer, as a fraction of the work offered
 
-    bool operator==(const Prices&) const = default;
+    bool operator==(const Deductions&) const = default;
 };
 
 struct Settings {
@@ -111,20 +111,20 @@
     double over_share_worth = 1;  // factor on the worth of a request beyond its tenant's share
     bool worth_by_work = false;   // worth counts per unit of work instead of per request
 
-    bool must_ask_list = false;  // the host sends the list only after watch() or fetch()
+    bool must_request_list = false;  // the host sends the list only after watch() or fetch()
     bool may_probe = false;
     bool may_cancel = false;
     bool parallel_attempts = false;  // two attempts of one request may run at the same time
-    bool retry_after = false;        // refuse() may carry a delay after which the client should retry
+    bool retry_after = false;        // reject() may carry a delay after which the client should retry
     bool warm_keys = false;          // an upstream does less work for a key that it served recently
     bool passes_deadline = false;    // an upstream's own calls get only the remaining time of the request
     bool marks_retry = false;        // clients mark their retries, see Request::client_retry
-    bool may_tell_peers = false;     // tell() is allowed
-    Weights weights = Weights::none;
+    bool may_message_peers = false;  // send_to_peer() is allowed
+    WeightMeaning weights = WeightMeaning::none;
     int max_attempts = 1;
     // Lower bound of the concurrency limit of all balancers together, in attempts per upstream. A single
     // balancer whose upstreams' capacity is known may be given a larger value.
-    double fair_share = 2;
+    double min_in_flight_per_upstream = 2;
     int max_open = 0;  // requests that a balancer can hold open; it receives no further ones; 0: unknown
     Micros max_retry_after{};  // longest retry delay that a client honours
     Micros connect_timeout{};
@@ -148,8 +148,8 @@
     double fall_multiple = 0;
     Micros fall_span{};  // 0: no such rule
 
-    Goal goal;
-    Prices prices;
+    ObjectiveWeights objective_weights;
+    Deductions deductions;
 
     bool operator==(const Settings&) const = default;
 };
@@ -171,33 +171,34 @@
 // Every Policy takes a token for each request that it sends. Before a Policy checks the bucket, it adds the
 // tokens gained since the last such addition by any Policy, at its own rate. A cold start that one Policy
 // learns of applies to all of them. All Policies that share a bucket must run on the same thread.
-struct ColdAccount : TokenBucket {
-    Time since{};  // last cold start of the process at the address; zero: never
+struct SlowStartBucket : TokenBucket {
+    Time cold_start_at{};  // last cold start of the process at the address; zero: never
 };
 
 // The part of what a Policy has learned about an upstream that would take long to learn again. A host may
 // save it over a restart, reduce it by its age, and pass it back with the first list that names the
 // upstream. Values in later lists are ignored.
-struct UpstreamMemory {
+struct LearnedState {
     double latency_us = 0;  // smoothed latency of the upstream's answers
     // Smoothed number of this balancer's attempts in flight at the upstream. A sample is taken for each
     // answered attempt: the number when it was sent, that attempt included. 0: unknown.
-    double ours = 0;
-    double idle_us = 0;  // smoothed latency of attempts sent while this balancer had no other one there
+    double own_in_flight = 0;
+    // Smoothed latency of attempts sent while this balancer had no other one there.
+    double unloaded_latency_us = 0;
     // Concurrency limit for this balancer's attempts at the upstream. It grows with answers and falls when
     // the upstream rejects attempts as full or answers slowly.
-    double limit = 2;
-    bool limited = false;  // the limit has fallen at least once
-    int strikes = 0;       // consecutive failures
-    bool out = false;      // ejected: the upstream gets no ordinary traffic
+    double concurrency_limit = 2;
+    bool limit_was_reduced = false;  // the limit has fallen at least once
+    int consecutive_failures = 0;    // consecutive failures
+    bool ejected = false;            // the upstream gets no ordinary traffic
     // A connection failed since the upstream was added or last reinstated. The upstream may have restarted,
     // and then is cold when it is reinstated.
-    bool died = false;
-    Time out_until{};    // end of the ejection: a probe is due from then on
-    Time answered_at{};  // last answer; zero: never
-    Time cold_since{};   // last cold start; zero: long ago
+    bool connect_failed = false;
+    Time ejected_until{};  // end of the ejection: a probe is due from then on
+    Time answered_at{};    // last answer; zero: never
+    Time cold_start_at{};  // last cold start; zero: long ago
 
-    bool operator==(const UpstreamMemory&) const = default;
+    bool operator==(const LearnedState&) const = default;
 };
 
 struct UpstreamEntry {
@@ -207,9 +208,10 @@
     int cell = 0;
     UpstreamState state = UpstreamState::ready;
     double weight = 1;
-    Time started_at{};                  // start of the upstream's process; zero: long ago
-    std::shared_ptr<ColdAccount> cold;  // null: the bucket of an earlier entry, else one of the Policy's own
-    std::optional<UpstreamMemory> memory{};
+    Time started_at{};  // start of the upstream's process; zero: long ago
+    // Null: the bucket of an earlier entry, else one of the Policy's own.
+    std::shared_ptr<SlowStartBucket> slow_start;
+    std::optional<LearnedState> restored{};
 };
 
 struct Request {
@@ -236,10 +238,10 @@
 };
 
 // The outcome of an attempt or a probe. `full`: the upstream rejected the attempt for lack of capacity and
-// did not execute it. `connect_failed`: no connection was made, so nothing was executed. `moot`:
-// inconclusive; the attempt was not executed for a reason on the balancer's side (it ran out of descriptors,
+// did not execute it. `connect_failed`: no connection was made, so nothing was executed. `inconclusive`:
+// the attempt was not executed for a reason on the balancer's side (it ran out of descriptors,
 // say) and says nothing about the upstream.
-enum class Outcome { ok, error, full, timeout, connect_failed, reset, cancelled, moot };
+enum class Outcome { ok, error, full, timeout, connect_failed, reset, cancelled, inconclusive };
 
 // The values of a load report in the order of Settings::report_fields; empty: the event carries no report.
 using Report = std::vector<float>;
@@ -248,7 +250,7 @@
     RequestId request = 0;
     int attempt = 0;  // the attempts of a request are numbered from 0 in the order of their submit() calls
     Outcome outcome = Outcome::ok;
-    bool closed = false;  // the client has received the final answer, or its beginning
+    bool request_answered = false;  // the client has received the final answer, or its beginning
     Micros latency{};
     UpstreamId upstream = 0;
     Report report;
@@ -271,7 +273,7 @@
     virtual void submit(RequestId request, UpstreamId upstream, Micros timeout) = 0;
     // Answers the client that the request was rejected and that a retry is harmless. `retry_after` zero: no
     // delay is advised.
-    virtual void refuse(RequestId request, Micros retry_after) = 0;
+    virtual void reject(RequestId request, Micros retry_after) = 0;
     // Answers the client that the request failed. It may have been executed.
     virtual void fail(RequestId request) = 0;
     virtual void cancel(RequestId request, int attempt) = 0;
@@ -283,7 +285,7 @@
     virtual void fetch() = 0;                          // requests the whole upstream list once
     virtual void close_idle(UpstreamId upstream) = 0;  // closes the idle connections to the upstream
     // Sends a message to the balancer of that rank, or without one to all other balancers.
-    virtual void tell(std::optional<int> peer, std::string_view payload) = 0;
+    virtual void send_to_peer(std::optional<int> peer, std::string_view payload) = 0;
     virtual void log(std::string_view line) = 0;
 };
 
@@ -321,7 +323,7 @@
 
     // Returns what was learned about an upstream that is listed, or was and has not been forgotten; else
     // nothing.
-    std::optional<UpstreamMemory> learned(UpstreamId upstream) const;
+    std::optional<LearnedState> learned_state(UpstreamId upstream) const;
 
 private:
     class Impl;
--- a/lab/budgets/draw.cpp
+++ b/lab/budgets/draw.cpp
@@ -69,11 +69,11 @@
         static constexpr std::array<std::int64_t, 3> terms{400'000, 1'000'000, 3'000'000};
         static constexpr std::array<double, 3> drifts{0.001, 0.01, 0.05};
         term_ = terms[draws_.below(terms.size())];
-        setup_.terms.term = Micros(term_);
-        setup_.terms.drift = drifts[draws_.below(drifts.size())];
-        setup_.terms.longest = Micros(between(term_ / 2, 4 * term_));
+        setup_.terms.lease_term = Micros(term_);
+        setup_.terms.max_clock_drift = drifts[draws_.below(drifts.size())];
+        setup_.terms.max_attempt_duration = Micros(between(term_ / 2, 4 * term_));
         setup_.names = static_cast<std::uint32_t>(between(2, 10));
-        setup_.terms.expected = static_cast<int>(setup_.names);
+        setup_.terms.expected_balancers = static_cast<int>(setup_.names);
         setup_.lasts = 14 * term_;
         const std::int64_t names = setup_.names;
         // Permits a term, whatever the term.
@@ -103,7 +103,7 @@
     }
 
     void clocks() {
-        const auto bound = static_cast<std::int64_t>(setup_.terms.drift * 1e9);
+        const auto bound = static_cast<std::int64_t>(setup_.terms.max_clock_drift * 1e9);
         const std::uint64_t all_alike = draws_.below(6);  // 0: fast, 1: slow, by the whole bound
         const auto one = [&] {
             if (all_alike < 2) {
@@ -115,7 +115,7 @@
         for (std::uint32_t i = 0; i < setup_.names; ++i) setup_.clocks.push_back(one());
         for (int i = 0; i < 2; ++i) setup_.authority_clocks.push_back(one());
         if (kind_ == "drift") {
-            const double off = std::max(0.1, 2 * setup_.terms.drift) * (1 + 4 * draws_.share());
+            const double off = std::max(0.1, 2 * setup_.terms.max_clock_drift) * (1 + 4 * draws_.share());
             setup_.clocks[0].ppb = -static_cast<std::int64_t>(1e9 * std::min(off, 0.6));
         }
     }
--- a/lab/budgets/explore.cpp
+++ b/lab/budgets/explore.cpp
@@ -25,14 +25,14 @@
     return x ^ (x >> 31U);
 }
 
-budget::Terms small_terms() {
-    budget::Terms terms;
+budget::BudgetConfig small_terms() {
+    budget::BudgetConfig terms;
     terms.budgets = {{"rate", budget::Counts::requests, {}, {}, {}, {20'000, 3}, {}},
                      {"pool", budget::Counts::concurrency, {}, {}, {}, {0, 3}, {}}};
-    terms.expected = holders;
-    terms.term = Micros(3 * tick);
-    terms.drift = 0.01;
-    terms.longest = Micros(2 * tick);
+    terms.expected_balancers = holders;
+    terms.lease_term = Micros(3 * tick);
+    terms.max_clock_drift = 0.01;
+    terms.max_attempt_duration = Micros(2 * tick);
     return terms;
 }
 
@@ -65,10 +65,10 @@
 public:
     explicit Explorer(const SmallWorld& small) : small_(small), terms_(small_terms()) {
         ground_.budgets = {{"rate", false, {}}, {"pool", true, {}}};
-        ground_.term_us = terms_.term.count();
-        ground_.longest_us = terms_.longest.count();
+        ground_.term_us = terms_.lease_term.count();
+        ground_.longest_us = terms_.max_attempt_duration.count();
         // The holders' clocks as slow as they may be, the authority's as fast.
-        const auto bound = static_cast<std::int64_t>(terms_.drift * 1e9);
+        const auto bound = static_cast<std::int64_t>(terms_.max_clock_drift * 1e9);
         clock_ = {50'000'000, -bound};
         authority_clock_ = {9'000'000, bound};
     }
@@ -88,8 +88,8 @@
             first.ones[h].print = h + 1;
             ask(first, h);
         }
-        budget::Authority::Start start;
-        start.current = true;
+        budget::Authority::RestoredState start;
+        start.complete = true;
         first.authority.emplace(terms_, start, Time(authority_clock_.at(0)));
         orders_.all = true;
         visit(first);
@@ -167,10 +167,10 @@
     // With its store and its witness.
     void start_anew(State& s) {
         --s.starts;
-        budget::Authority::Start start;
-        start.current = true;
+        budget::Authority::RestoredState start;
+        start.complete = true;
         start.epoch = s.authority->epoch() + 1;
-        start.longest_term = terms_.term;
+        start.longest_term = terms_.lease_term;
         for (const auto& [key, record] : s.written) start.records.push_back(record);
         s.authority.emplace(terms_, std::move(start), Time(authority_clock_.at(s.now)));
         s.authority_print = mixed(s.authority_print, 1000 + static_cast<std::uint64_t>(s.now));
@@ -215,7 +215,7 @@
         one.holder->on_reply(message.reply, local(s.now));
         one.print = mixed(one.print, met);
         for (std::uint32_t b = 0; b < terms_.budgets.size(); ++b) {
-            budget::Allowance& allowance = one.holder->at(b);
+            budget::Allowance& allowance = one.holder->allowance(b);
             const budget::Amount share = allowance.leased(local(s.now));
             s.judge.put({s.now,
                          What::lease,
@@ -233,14 +233,14 @@
         budget::Holder& holder = *s.ones[h].holder;
         const Time now = local(s.now);
         for (std::uint32_t b = 0; b < terms_.budgets.size(); ++b) {
-            while (holder.at(b).set_aside(now)) {
-                if (!holder.at(b).use(now)) continue;
+            while (holder.allowance(b).reserve(now)) {
+                if (!holder.allowance(b).commit(now)) continue;
                 s.judge.put({s.now, What::begun, h, b, {}, 0, ""});
                 if (b == 0) continue;
-                s.runs.emplace_back(s.now + terms_.longest.count(), h);
-                holder.at(b).free_place(false, now, now);
+                s.runs.emplace_back(s.now + terms_.max_attempt_duration.count(), h);
+                holder.allowance(b).end_attempt(false, now, now);
             }
-            holder.on_want(b, now);
+            holder.on_refusal(b, now);
         }
     }
 
@@ -258,7 +258,7 @@
     }
 
     const SmallWorld small_;
-    const budget::Terms terms_;
+    const budget::BudgetConfig terms_;
     Ground ground_;
     Clock clock_, authority_clock_;
     std::unordered_set<std::uint64_t> seen_;
--- a/lab/budgets/figures.cpp
+++ b/lab/budgets/figures.cpp
@@ -99,9 +99,9 @@
     Setup setup;
     setup.seed = seed;
     setup.names = names;
-    setup.terms.expected = static_cast<int>(names);
-    setup.terms.term = Micros(3 * second);
-    setup.terms.longest = Micros(2 * second);
+    setup.terms.expected_balancers = static_cast<int>(names);
+    setup.terms.lease_term = Micros(3 * second);
+    setup.terms.max_attempt_duration = Micros(2 * second);
     setup.terms.budgets = {{"rate", budget::Counts::requests, {}, {}, {}, {600'000, 120}, {}},
                            {"pool", budget::Counts::concurrency, {}, {}, {}, {0, 60}, {}}};
     setup.lasts = 30 * second;
@@ -262,19 +262,19 @@
     }
 
     // The authority alone: all have leases already and ask in turn.
-    budget::Terms terms;
-    terms.expected = names;
-    std::vector<budget::Need> needs;
+    budget::BudgetConfig terms;
+    terms.expected_balancers = names;
+    std::vector<budget::BudgetDemand> needs;
     for (std::size_t i = 0; i < budgets; ++i) {
         const std::string name = "budget-" + std::to_string(i);
         terms.budgets.push_back({name, budget::Counts::requests, {}, {}, {}, {3'000'000, 3000}, {}});
         needs.push_back({name, budget::Counts::requests, {9'000, 9}, {8'000, 8}, {}, 0});
     }
-    budget::Authority::Start start;
+    budget::Authority::RestoredState start;
     start.epoch = 1'700'000'000'000'000;
-    start.current = true;
+    start.complete = true;
     budget::Authority authority(terms, start, Time(second));
-    std::vector<budget::Fence> taken(names);
+    std::vector<budget::FencingToken> taken(names);
     std::vector<double> calls;
     std::size_t request_bytes = 0, reply_bytes = 0;
     for (std::uint64_t round = 1; round <= 4; ++round) {
@@ -306,7 +306,7 @@
             const Setup setup = draw(kind.name, seed);
             const Played played = judged(setup);
             terms.push_back(static_cast<double>(played.over_us) /
-                            static_cast<double>(setup.terms.term.count()));
+                            static_cast<double>(setup.terms.lease_term.count()));
             most.push_back(static_cast<double>(played.over_most) / 1000);
             seen.push_back(static_cast<double>(kind.name == "drift" ? played.counts.clock_off
                                                                     : played.counts.stepped_down));
--- a/lab/budgets/world.cpp
+++ b/lab/budgets/world.cpp
@@ -101,7 +101,7 @@
 
     const Setup& setup_;
     const Sink& sink_;
-    budget::Terms terms_;  // as the authority has them now
+    budget::BudgetConfig terms_;  // as the authority has them now
     std::vector<Clock> clocks_;
     Stream network_, chance_, fates_;
     std::vector<Stream> arrivals_;  // by name and budget
@@ -210,11 +210,11 @@
     budget::LeaseRequest request = process.holder->request(local(process));
     if (now_ < lies_until_[process.name]) {
         for (std::size_t i = 0; i < request.needs.size(); ++i)
-            request.needs[i].wants = setup_.terms.budgets[i].whole;
+            request.needs[i].wanted = setup_.terms.budgets[i].whole;
     }
     tell_shares(process, false);
     process.outstanding = request.number;
-    in(process, now_ + setup_.terms.term.count() / 3, [this, &process, number = request.number] {
+    in(process, now_ + setup_.terms.lease_term.count() / 3, [this, &process, number = request.number] {
         if (process.outstanding != number) return;
         process.outstanding = 0;
         process.holder->on_no_reply(local(process));
@@ -232,8 +232,8 @@
 // Only where the holder has just settled by itself: this must not do for it what it may have forgotten.
 void World::tell_shares(Process& process, bool lease) {
     for (std::uint32_t i = 0; i < setup_.terms.budgets.size(); ++i) {
-        budget::Allowance& allowance = process.holder->at(i);
-        if (const Quantity reserve = plain(allowance.reserve()); reserve != process.reserve_told[i]) {
+        budget::Allowance& allowance = process.holder->allowance(i);
+        if (const Quantity reserve = plain(allowance.static_reserve()); reserve != process.reserve_told[i]) {
             process.reserve_told[i] = reserve;
             put(What::reserve, process.id, i, reserve);
         }
@@ -256,7 +256,7 @@
             50 + static_cast<std::int64_t>(network_.below(static_cast<std::uint64_t>(setup_.delay_most) + 1));
         if (network_.chance(setup_.late)) {
             delay += static_cast<std::int64_t>(
-                network_.below(static_cast<std::uint64_t>(3 * setup_.terms.term.count())));
+                network_.below(static_cast<std::uint64_t>(3 * setup_.terms.lease_term.count())));
         }
         if (network_.chance(setup_.lost) || now_ < (to ? cut_to_ : cut_from_)[name]) continue;
         at(now_ + delay, arrive);
@@ -306,16 +306,17 @@
 Time World::known_from_of(const Site& site) const {
     if (site.authority->stepped_down()) return Time::max();
     if (site.authority->waits_until() == Time{}) return Time{};
-    return site.authority->waits_until() + budget::at_authority(terms_.longest, terms_.drift);
+    return site.authority->waits_until() +
+           budget::lengthened_by_drift(terms_.max_attempt_duration, terms_.max_clock_drift);
 }
 
 // Its epoch is above the stored one and, by the time of day, above those that it may have forgotten.
 void World::start_site(Site& site, bool current) {
-    budget::Authority::Start start;
-    start.current = current;
+    budget::Authority::RestoredState start;
+    start.complete = current;
     start.epoch = std::max(site.journal.epoch + 1, static_cast<std::uint64_t>(now_) + 1);
     for (const auto& [key, record] : site.journal.records) start.records.push_back(record);
-    start.longest_term = setup_.terms.term;
+    start.longest_term = setup_.terms.lease_term;
     site.journal.epoch = site.journal.identity = start.epoch;
     ++site.journal.commits;
     site.witness = {true, site.journal.identity, site.journal.commits};
@@ -363,8 +364,8 @@
     const budget::Budget& b = setup_.terms.budgets[budget];
     double whole = static_cast<double>(b.whole.rate) / 1e9;
     if (b.counts == budget::Counts::concurrency) {
-        whole = static_cast<double>(b.whole.size) / (static_cast<double>(setup_.terms.longest.count()) / 2) *
-                setup_.places_demand;
+        whole = static_cast<double>(b.whole.size) /
+                (static_cast<double>(setup_.terms.max_attempt_duration.count()) / 2) * setup_.places_demand;
     }
     return whole * setup_.demand * weights_[name] / all;
 }
@@ -387,27 +388,27 @@
 }
 
 void World::arrive(Process& process, std::size_t budget) {
-    budget::Allowance& allowance = process.holder->at(budget);
-    if (!allowance.set_aside(local(process))) {
-        process.holder->on_want(budget, local(process));
+    budget::Allowance& allowance = process.holder->allowance(budget);
+    if (!allowance.reserve(local(process))) {
+        process.holder->on_refusal(budget, local(process));
         return;
     }
     std::int64_t think = static_cast<std::int64_t>(fates_.below(2000));
     if (fates_.chance(setup_.aside)) {
         think = static_cast<std::int64_t>(
-            fates_.below(static_cast<std::uint64_t>(2 * setup_.terms.term.count())));
+            fates_.below(static_cast<std::uint64_t>(2 * setup_.terms.lease_term.count())));
     }
     const bool given_back = fates_.chance(0.02);
     in(process, now_ + think, [this, &process, budget, given_back] {
-        if (given_back) return process.holder->at(budget).give_back(local(process));
+        if (given_back) return process.holder->allowance(budget).release(local(process));
         begin(process, budget);
     });
 }
 
 void World::begin(Process& process, std::size_t budget) {
-    budget::Allowance& allowance = process.holder->at(budget);
+    budget::Allowance& allowance = process.holder->allowance(budget);
     const Time began = local(process);
-    if (!allowance.use(began)) {
+    if (!allowance.commit(began)) {
         ++counts_.lapsed;
         return;
     }
@@ -416,7 +417,7 @@
     put(What::begun, process.id, place);
     if (setup_.terms.budgets[budget].counts != budget::Counts::concurrency) return;
     // At its server, whatever becomes of its balancer.
-    const auto longest = static_cast<std::uint64_t>(setup_.terms.longest.count());
+    const auto longest = static_cast<std::uint64_t>(setup_.terms.max_attempt_duration.count());
     const std::int64_t runs = static_cast<std::int64_t>(fates_.chance(0.2) ? longest : fates_.below(longest));
     at(now_ + runs, [this, id = process.id, place] { put(What::ended, id, place); });
     const bool known = !fates_.chance(setup_.unheard);
@@ -424,7 +425,7 @@
         known ? runs + 50 + static_cast<std::int64_t>(fates_.below(2000))
               : static_cast<std::int64_t>(fates_.below(static_cast<std::uint64_t>(runs) + 1));
     in(process, now_ + heard, [this, &process, budget, known, began] {
-        process.holder->at(budget).free_place(known, began, local(process));
+        process.holder->allowance(budget).end_attempt(known, began, local(process));
     });
 }
 
@@ -504,7 +505,7 @@
                 b.whole.size = std::max<std::int64_t>(b.whole.size / 10, 1);
                 put(What::whole, 0, i, plain(b.whole));
             }
-            if (site.authority) site.authority->change(terms_, local(site));
+            if (site.authority) site.authority->update_terms(terms_, local(site));
             return;
         case Kind::demand_to_one:
             return demand([&](std::uint32_t name) { return name == t.who ? 1.0 : 0.0; });
@@ -524,14 +525,15 @@
     for (std::uint32_t name = 0; name < setup_.names; ++name) {
         const auto& late = setup_.late_names;
         if (std::find(late.begin(), late.end(), name) != late.end()) continue;
-        at(static_cast<std::int64_t>(chance_.below(static_cast<std::uint64_t>(terms_.term.count()) / 4)),
+        at(static_cast<std::int64_t>(
+               chance_.below(static_cast<std::uint64_t>(terms_.lease_term.count()) / 4)),
            [this, name] { start(name, true); });
     }
     for (std::uint32_t name = 0; name < setup_.names; ++name) {
         for (std::size_t i = 0; i < terms_.budgets.size(); ++i) expect(name, i);
     }
     for (const Trouble& trouble : setup_.troubles) at(trouble.at, [this, &trouble] { happen(trouble); });
-    for (std::int64_t copy = 0; copy < setup_.lasts; copy += terms_.term.count()) {
+    for (std::int64_t copy = 0; copy < setup_.lasts; copy += terms_.lease_term.count()) {
         at(copy, [this] {
             for (const auto& site : sites_) {
                 site->copies.push_back(site->journal);
@@ -592,8 +594,8 @@
 
 Ground ground_of(const Setup& setup) {
     Ground ground;
-    ground.term_us = setup.terms.term.count();
-    ground.longest_us = setup.terms.longest.count();
+    ground.term_us = setup.terms.lease_term.count();
+    ground.longest_us = setup.terms.max_attempt_duration.count();
     for (const budget::Budget& b : setup.terms.budgets) {
         ground.budgets.push_back({b.name, b.counts == budget::Counts::concurrency,
                                   setup.beyond_reserve ? plain(b.reserve) : Quantity{}});
--- a/lab/budgets/world.h
+++ b/lab/budgets/world.h
@@ -60,7 +60,7 @@
 
 struct Setup {
     std::uint64_t seed = 1;
-    budget::Terms terms;
+    budget::BudgetConfig terms;
     std::uint32_t names = 3;
     std::int64_t lasts = 0;                  // microseconds
     double places_demand = 1;                // times `demand`, of budgets that count places
--- a/lab/experiment/keys.h
+++ b/lab/experiment/keys.h
@@ -257,12 +257,13 @@
      .words = effect_words,
      .takes = settings::Takes::restart,
      .meaning = "Whether a call may run twice: safe; keyed, where servers drop repeats; unsafe, never."}};
-inline constexpr Key<Group> group{{.table = "class",
-                                   .name = "group",
-                                   .fallback = Group::zone,
-                                   .words = group_words,
-                                   .takes = settings::Takes::restart,
-                                   .meaning = "Which servers together drop the repeats of a keyed call."}};
+inline constexpr Key<DeduplicationScope> group{
+    {.table = "class",
+     .name = "group",
+     .fallback = DeduplicationScope::zone,
+     .words = group_words,
+     .takes = settings::Takes::restart,
+     .meaning = "Which servers together drop the repeats of a keyed call."}};
 inline constexpr Key<Micros> window{{.table = "class",
                                      .name = "window",
                                      .fallback = std::chrono::milliseconds(1500),
--- a/lab/experiment/plan.cpp
+++ b/lab/experiment/plan.cpp
@@ -332,7 +332,7 @@
             auto value = value_of(values.schema(), place, written);
             if (const Fault* const fault = std::get_if<Fault>(&value)) {
                 faults.add({place_of(axis, "values"), settings::in_quotes(written) + ": " + fault->what,
-                            "axis.values", fault->mend});
+                            "axis.values", fault->remedy});
                 continue;
             }
             if (plan.variants.size() * axis.get(keys::axis::values).size() * plan.seeds.size() > cells_most) {
@@ -347,7 +347,7 @@
                 const Faults against = settings::check_values(more.values);
                 for (const Fault& fault : against.first()) {
                     faults.add({place_of(axis, "values"), settings::in_quotes(written) + ": " + fault.what,
-                                "axis.values", fault.mend});
+                                "axis.values", fault.remedy});
                 }
                 next.push_back(std::move(more));
             }
@@ -364,7 +364,7 @@
             auto value = value_of(values.schema(), range.place, written);
             if (const Fault* const fault = std::get_if<Fault>(&value)) {
                 faults.add({place_of(row, key), settings::in_quotes(written) + ": " + fault->what,
-                            "range." + std::string(key), fault->mend});
+                            "range." + std::string(key), fault->remedy});
             } else {
                 into = std::get<Value>(std::move(value));
             }
@@ -630,7 +630,7 @@
     m.max_attempts = whole(k::module::max_attempts);
     m.parallel_attempts = values.get(k::module::parallel_attempts);
     m.may_cancel = values.get(k::module::may_cancel);
-    m.fair_share = values.get(k::module::fair_share);
+    m.min_in_flight_per_upstream = values.get(k::module::fair_share);
     m.connect_timeout = values.get(k::module::connect_timeout);
     m.retry_after = values.get(k::module::retry_after);
     m.max_retry_after = values.get(k::module::max_retry_after);
--- a/lab/fleet/balancers.cpp
+++ b/lab/fleet/balancers.cpp
@@ -49,7 +49,7 @@
     for (const CallClass& call_class : experiment.classes) settings.classes.push_back(call_class.told);
     settings.tenants.clear();
     for (const TenantKind& tenant : experiment.tenants) settings.tenants.push_back(tenant.told);
-    settings.must_ask_list = experiment.roster.mode == RosterMode::asked;
+    settings.must_request_list = experiment.roster.mode == RosterMode::asked;
     settings.idle_close = experiment.network.idle_close;
     settings.cold_share = experiment.servers.cold_share;
     settings.ramp_time = experiment.servers.ramp;
@@ -87,7 +87,7 @@
 class Balancers::Process final : public core::Clock,
                                  public core::Alarm,
                                  public core::Log,
-                                 public core::Front {
+                                 public core::Downstream {
 public:
     Process(Balancers& owner, std::uint32_t number)
         : owner_(owner),
@@ -100,10 +100,10 @@
         add_pool(0, settings_for(parts_.experiment, number, balancer_.zone), stream());
         if (parts_.experiment.fleet.door) {
             const Settings settings = settings_for(parts_.experiment, number, balancer_.zone);
-            gate_ = std::make_unique<door::Gate>(
-                door::Gate::World{core_, *this, gate_alarm_}, door_terms(settings),
-                door::Gate::Options{settings.retry_after, std::chrono::seconds(30), false}, stream(),
-                door::Tokens::Secret{});
+            gate_ = std::make_unique<door::QueuedCallAcceptor>(
+                door::QueuedCallAcceptor::Dependencies{core_, *this, gate_alarm_}, door_terms(settings),
+                door::QueuedCallAcceptor::Options{settings.retry_after, std::chrono::seconds(30), false},
+                stream(), door::RetryTokens::Secret{});
         }
         if (parts_.experiment.postgres.rate > 0) {
             add_pool(1, postgres_settings_for(parts_.experiment, number, balancer_.zone), stream());
@@ -148,11 +148,11 @@
         PoolAdapter* const pool_adapter = pools_[unit ? 1 : 0].get();
         call.pool = pool_adapter->id;
         call.class_index = unit ? 0 : from.class_index;
-        call.name = std::to_string(from.call);
+        call.call_id = std::to_string(from.call);
         if (from.tenant >= 0) call.tenant = {core::Tenant::Kind::known, from.tenant};
         call.key = from.key;
         call.budget = from.gives_up - from.asked;
-        call.unseen = client_network_time;
+        call.network_allowance = client_network_time;
         call.client_retry = from.number > 0;
         call.payload = std::make_shared<Handle>(handle);
         parts_.note(Event::taken, number_, from.client, from.call);
@@ -163,14 +163,14 @@
             recent_requests_.erase(recent_requests_.begin());
         recent_requests_.emplace_hint(recent_requests_.end(), handle,
                                       RequestIdentity{from.call, from.client});
-        core::Taken taken = core::Taken::yes;
+        core::AcceptResult taken = core::AcceptResult::accepted;
         if (gate_ && !unit) {
-            gate_->asked_by(std::to_string(from.client), {}, 500);
-            taken = gate_->take(std::move(call), *this, handle, &id);
+            gate_->set_next_requester(std::to_string(from.client), {}, 500);
+            taken = gate_->accept_call(std::move(call), *this, handle, &id);
         } else {
-            taken = core_.take(std::move(call), *this, handle, &id);
+            taken = core_.accept_call(std::move(call), *this, handle, &id);
         }
-        if (taken == core::Taken::yes) {
+        if (taken == core::AcceptResult::accepted) {
             if (const auto found = unanswered_.find(handle); found != unanswered_.end())
                 found->second.id = id;
         } else {
@@ -186,15 +186,15 @@
         const UnansweredRequest call = found->second;
         unanswered_.erase(found);
         if (call.held_by_gate) {
-            gate_->leave(call.id);
+            gate_->abandon_call(call.id);
         } else {
-            (void)core_.leave(call.id);
+            (void)core_.abandon_call(call.id);
         }
         end_if_done();
     }
 
     void on_started(std::uint64_t, std::unique_ptr<core::Payload>) override {}
-    void on_final(std::uint64_t token, core::Final answer) override {
+    void on_final(std::uint64_t token, core::FinalAnswer answer) override {
         final_answer(token, {answer.verdict == core::Verdict::served    ? Verdict::served
                              : answer.verdict == core::Verdict::refused ? Verdict::refused
                                                                         : Verdict::failed,
@@ -255,11 +255,11 @@
         for (const auto& [handle, id] : unanswered_) all.push_back(handle);
         return all;
     }
-    core::Figures figures() const { return core_.figures(); }
+    core::Stats figures() const { return core_.figures(); }
 
 private:
     // The connection pool and the list source of one pool.
-    struct PoolAdapter final : core::Back, core::Source {
+    struct PoolAdapter final : core::UpstreamConnectionPool, core::Source {
         PoolAdapter(Process& its_process, std::uint32_t its_pool) : process(its_process), pool(its_pool) {}
 
         struct IdleConnection {
@@ -290,7 +290,7 @@
             if (found == flights.end()) return;
             const Flight* const flight = process.parts_.flights->find(found->second);
             process.end(found->second,
-                        flight->phase == Flight::Phase::out ? Outcome::timeout : Outcome::moot);
+                        flight->phase == Flight::Phase::out ? Outcome::timeout : Outcome::inconclusive);
         }
         void close_idle(UpstreamId upstream) override { close_all(upstream); }
         void watch() override { process.parts_.roster->watch(process.number_, pool); }
@@ -349,7 +349,7 @@
             case Outcome::full: return Heard::turned_away;
             case Outcome::reset: return Heard::reset;
             case Outcome::connect_failed:
-            case Outcome::moot: return Heard::never_left;
+            case Outcome::inconclusive: return Heard::never_left;
             case Outcome::timeout:
             case Outcome::cancelled: break;
         }
@@ -441,7 +441,7 @@
         const auto upstream = pool_adapter->upstreams.find(flight->server + 1);
         const bool open = upstream != pool_adapter->upstreams.end() && upstream->second.takes_work;
         flight->phase = Flight::Phase::out;
-        if (!open || !core_.on_attempt_sending(flight->key)) return end(handle, Outcome::moot);
+        if (!open || !core_.on_attempt_sending(flight->key)) return end(handle, Outcome::inconclusive);
         flight = parts_.flights->find(handle);
         if (!flight || !flight->awaited) return;
         flight->at_server = true;
@@ -467,19 +467,20 @@
         if (out) {
             const auto upstream = pool_adapter.upstreams.find(flight->server + 1);
             // A discarded attempt wrote nothing to its connection, so the connection is kept as well.
-            if ((kept || (outcome == Outcome::moot && !flight->at_server)) &&
+            if ((kept || (outcome == Outcome::inconclusive && !flight->at_server)) &&
                 upstream != pool_adapter.upstreams.end() && upstream->second.takes_work) {
                 upstream->second.idle.push_back({flight->link, parts_.now()});
             } else {
                 parts_.servers->drop_connection(flight->server, flight->link);
             }
         }
-        parts_.note(Event::heard, number_, flight->server, flight->call, flight->number,
-                    static_cast<std::uint64_t>(attempt_end(outcome, out && outcome != Outcome::moot)));
+        parts_.note(
+            Event::heard, number_, flight->server, flight->call, flight->number,
+            static_cast<std::uint64_t>(attempt_end(outcome, out && outcome != Outcome::inconclusive)));
         core::AttemptResult result;
         result.key = flight->key;
         result.outcome = outcome;
-        result.whole = out && outcome != Outcome::moot;
+        result.fully_sent = out && outcome != Outcome::inconclusive;
         result.latency = parts_.now() - flight->sent;
         result.report = flight->report;
         if (outcome == Outcome::ok) result.answer = std::make_unique<Handle>(handle);
@@ -516,7 +517,7 @@
         Process& process;
         std::uint64_t number = 0;
     } gate_alarm_{*this};
-    std::unique_ptr<door::Gate> gate_;  // null without fleet.door
+    std::unique_ptr<door::QueuedCallAcceptor> gate_;  // null without fleet.door
 };
 
 Balancers::Balancers(Parts& parts) : parts_(parts) {
@@ -619,18 +620,18 @@
 
 std::size_t Balancers::open() const { return figures().open; }
 
-core::Figures Balancers::figures() const {
-    core::Figures sum;
+core::Stats Balancers::figures() const {
+    core::Stats sum;
     sum.faults = faults_;
     for (const Balancer& balancer : balancers_) {
         if (!balancer.running) continue;
-        const core::Figures figures = balancer.running->figures();
-        sum.taken += figures.taken;
+        const core::Stats figures = balancer.running->figures();
+        sum.accepted += figures.accepted;
         sum.open += figures.open;
         sum.waiting += figures.waiting;
-        sum.overdue += figures.overdue;
+        sum.watchdog_answers += figures.watchdog_answers;
         sum.faults += figures.faults;
-        sum.doubts += figures.doubts;
+        sum.in_doubt += figures.in_doubt;
         sum.timers += figures.timers;
     }
     return sum;
--- a/lab/fleet/balancers.h
+++ b/lab/fleet/balancers.h
@@ -65,7 +65,7 @@
     void list(std::uint32_t balancer, std::uint32_t pool, core::MemberList list);
     std::size_t open() const;  // open calls of all balancers
     // Sums the figures of the running processes. Faults also include those of ended processes.
-    core::Figures figures() const;
+    core::Stats figures() const;
 
 private:
     class Process;
--- a/lab/fleet/servers.cpp
+++ b/lab/fleet/servers.cpp
@@ -209,7 +209,8 @@
     if (server.pool == 1) return true;
     const ClassSettings& told = parts_.experiment.classes[static_cast<std::size_t>(flight.class_index)].told;
     if (told.effect != flaxdoor::Effect::keyed || flight.effect_key == 0) return true;
-    const std::uint64_t group = told.group == Group::zone ? static_cast<std::uint64_t>(server.zone) + 1 : 0;
+    const std::uint64_t group =
+        told.group == DeduplicationScope::zone ? static_cast<std::uint64_t>(server.zone) + 1 : 0;
     const Effect effect{static_cast<std::uint64_t>(flight.class_index) << 32U | group, flight.effect_key};
     const auto [place, made] = effect_windows_.emplace(effect, now + told.window);
     if (!made) return false;
--- a/lab/fleet/world.cpp
+++ b/lab/fleet/world.cpp
@@ -174,7 +174,7 @@
         result.effect = settings.effect == flaxdoor::Effect::safe    ? Terms::Effect::safe
                         : settings.effect == flaxdoor::Effect::keyed ? Terms::Effect::keyed
                                                                      : Terms::Effect::unsafe;
-        result.by_zone = settings.group == Group::zone;
+        result.by_zone = settings.group == DeduplicationScope::zone;
         result.window_us = to_us(settings.window);
         result.aim_us = to_us(settings.aim);
         result.deadline_us = to_us(settings.deadline);
--- a/lab/fleet/world.h
+++ b/lab/fleet/world.h
@@ -22,7 +22,7 @@
 struct WorldFigures {
     std::uint64_t happenings = 0;
     std::uint64_t calls = 0;
-    core::Figures cores;  // summed over the running processes
+    core::Stats cores;  // summed over the running processes
     std::size_t flights = 0, tries = 0;
 };
 
--- a/lab/real/nodes.cpp
+++ b/lab/real/nodes.cpp
@@ -35,7 +35,7 @@
     Micros window{0};
     for (const CallClass& c : part_.classes) {
         if (c.told.effect != Effect::keyed) continue;
-        by_zone = c.told.group == Group::zone;
+        by_zone = c.told.group == DeduplicationScope::zone;
         window = c.told.window;
     }
     const std::uint8_t zone = terms_.server_zones[number];
--- a/lab/real/scale.cpp
+++ b/lab/real/scale.cpp
@@ -63,7 +63,7 @@
                  {"late_worth", c.told.late_worth},
                  {"stream", false}};
         if (c.told.effect == Effect::keyed) {
-            one["group"] = c.told.group == Group::zone ? "zone" : "all";
+            one["group"] = c.told.group == DeduplicationScope::zone ? "zone" : "all";
             one["window"] = ms(c.told.window);
         }
         classes.push_back(std::move(one));
--- a/src/apps/balancer.cpp
+++ b/src/apps/balancer.cpp
@@ -16,13 +16,13 @@
 #include <string>
 
 #include "apps/daemon.h"
+#include "extensions/gateway.h"
+#include "extensions/postgres.h"
 #include "log/events.h"
 #include "log/logger.h"
 #include "loop/clock.h"
 #include "settings/product.h"
 #include "settings/reader.h"
-#include "sides/gateway.h"
-#include "sides/postgres.h"
 
 namespace {
 
@@ -65,7 +65,7 @@
     }
 
     void reload() {
-        if (!load(false)) log_.tell(events::operators_kept);
+        if (!load(false)) log_.write(events::operators_kept);
     }
 
     const std::string& text() const { return text_; }
@@ -111,36 +111,37 @@
     CLI11_PARSE(app, argc, argv);
     try {
         boost::asio::io_context loop(1);
-        const auto sides = std::make_shared<const flaxdoor::detail::Sides>(flaxdoor::detail::Sides{
-            {flaxdoor::sides::postgres(), flaxdoor::sides::gateway()},
-            &log,
-            [&log](const flaxdoor::settings::Values& operators) {
-                auto result = flaxdoor::log::options_from(operators);
-                if (auto* const options = std::get_if<flaxdoor::log::Options>(&result))
-                    log.set(std::move(*options));
-            }});
+        const auto sides =
+            std::make_shared<const flaxdoor::detail::InternalOptions>(flaxdoor::detail::InternalOptions{
+                {flaxdoor::extensions::postgres(), flaxdoor::extensions::gateway()},
+                &log,
+                [&log](const flaxdoor::settings::Values& operators) {
+                    auto result = flaxdoor::log::options_from(operators);
+                    if (auto* const options = std::get_if<flaxdoor::log::Options>(&result))
+                        log.set(std::move(*options));
+                }});
         flaxdoor::apps::Signals signals(loop);  // holds signals until the balancer can handle them
         const flaxdoor::apps::LogRetry log_retry(loop, log);
         OperatorFile operator_file(operator_path, log);
         BalancerOptions options = configuration();
         options.operators = operator_file.text();
-        options.sides = sides;
+        options.internal = sides;
         Balancer balancer(loop.get_executor(), options);
         const auto reload = [&] {  // files with faults change nothing
             operator_file.reload();
             try {
                 BalancerOptions fresh = configuration();
                 fresh.operators = operator_file.text();
-                fresh.sides = sides;
+                fresh.internal = sides;
                 balancer.reconfigure(fresh);
             } catch (const std::exception& error) {
-                log.tell(events::configuration_kept, error.what());
+                log.write(events::configuration_kept, error.what());
             }
         };
         signals.start(reload, [&] { balancer.async_drain([&loop] { loop.stop(); }); });
         loop.run();
     } catch (const std::exception& error) {
-        log.tell(events::not_started, error.what());
+        log.write(events::not_started, error.what());
         return 1;
     }
     return 0;
--- a/src/apps/coordinator_commands.cpp
+++ b/src/apps/coordinator_commands.cpp
@@ -21,7 +21,7 @@
 #include "coordinator/terms.h"
 #include "core/core.h"
 #include "http/client_machine.h"
-#include "http/front.h"
+#include "http/listener.h"
 #include "log/events.h"
 #include "loop/alarm.h"
 #include "loop/boot_clock.h"
@@ -89,7 +89,7 @@
 
 Journal::Opened open_journal(const settings::Values& values, Time now) {
     const std::string folder = values.get(keys::store).text;
-    Journal::World world;
+    Journal::Dependencies world;
     if (const int error = store::open_folder(folder, true, world.files); error != 0) {
         throw std::runtime_error("the store " + folder + ": " + std::strerror(error));
     }
@@ -107,16 +107,17 @@
     return opened;
 }
 
-http::FrontLimits limits() {
-    http::FrontLimits limits;
+http::ListenerLimits limits() {
+    http::ListenerLimits limits;
     rlimit limit{};
-    limits.most = max_connections;
+    limits.max_connections = max_connections;
     if (::getrlimit(RLIMIT_NOFILE, &limit) == 0 && limit.rlim_cur > reserved_descriptors) {
-        limits.most = std::min<std::size_t>(limits.most, limit.rlim_cur - reserved_descriptors);
+        limits.max_connections =
+            std::min<std::size_t>(limits.max_connections, limit.rlim_cur - reserved_descriptors);
     }
-    limits.asked = limits.most;
-    limits.idle_crowded = limits.idle;  // balancers keep their connections open
-    limits.body = coordinator::message_most;
+    limits.max_keepalive_connections = limits.max_connections;
+    limits.crowded_idle_timeout = limits.idle_timeout;  // balancers keep their connections open
+    limits.max_body_bytes = coordinator::max_message_size;
     return limits;
 }
 
@@ -154,9 +155,9 @@
         service_ = std::make_unique<Service>(coordinator::terms_of(values_),
                                              open_journal(values_, boot_clock_.now()), boot_clock_, log,
                                              grants.empty() ? nullptr : &grants_);
-        listener_ = std::make_unique<http::Front>(loop.get_executor(), core_, *service_, clock_, limits());
+        listener_ = std::make_unique<http::Listener>(loop.get_executor(), core_, *service_, clock_, limits());
         listener_->listen(endpoint_of(values_.get(keys::listen)));
-        log_.tell(events::listening, loop::text_of(listener_->address()));
+        log_.write(events::listening, loop::text_of(listener_->address()));
         tidy_periodically();
     }
 
@@ -164,21 +165,21 @@
         auto reading = read_operator_file(file_);
         if (const auto* const faults = std::get_if<settings::Faults>(&reading)) {
             log_faults(log_, file_, *faults);
-            return log_.tell(events::operators_kept);
+            return log_.write(events::operators_kept);
         }
         auto& wanted = std::get<settings::Values>(reading);
         try {
-            service_->change(coordinator::terms_of(wanted));
+            service_->update_budgets(coordinator::terms_of(wanted));
         } catch (const std::invalid_argument& error) {
-            return log_.tell(events::coordinator_kept, error.what());
+            return log_.write(events::coordinator_kept, error.what());
         }
         configure_log(log_, wanted);
         for (const auto& each : settings::changes(values_, wanted)) {
-            if (is_reloadable(each.key)) log_.tell(events::operators_taken, settings::line_of(each));
+            if (is_reloadable(each.key)) log_.write(events::operators_taken, settings::line_of(each));
         }
         for (const auto& each : settings::changes(initial_values_, wanted)) {
             if (belongs_to_coordinator(each.key) && !is_reloadable(each.key)) {
-                log_.tell(events::operators_held, settings::line_of(each));
+                log_.write(events::operators_held, settings::line_of(each));
             }
         }
         values_ = std::move(wanted);
@@ -189,7 +190,7 @@
     void drain() {
         if (draining_) return;
         draining_ = true;
-        log_.tell(events::draining);
+        log_.write(events::draining);
         listener_->begin_drain();
         drain_end_ = std::chrono::steady_clock::now() + drain_timeout;
         finish_drain();
@@ -200,15 +201,15 @@
         timer_.expires_after(tidy_interval);
         timer_.async_wait([this](const error_code& error) {
             if (error || draining_) return;
-            (void)service_->tidy();
+            (void)service_->run_background_step();
             tidy_periodically();
         });
     }
 
     void finish_drain() {
-        if (!listener_->wind_down() || std::chrono::steady_clock::now() >= drain_end_) {
+        if (!listener_->drain_connections() || std::chrono::steady_clock::now() >= drain_end_) {
             listener_->stop();
-            log_.tell(events::drained);
+            log_.write(events::drained);
             return loop_.stop();
         }
         timer_.expires_after(drain_poll_interval);
@@ -226,9 +227,9 @@
     const loop::BootClock boot_clock_;
     loop::Alarm alarm_;
     core::Core core_;  // the listener requires one; it receives no calls
-    coordinator::GrantsLog grants_;
+    coordinator::GrantLog grants_;
     std::unique_ptr<Service> service_;
-    std::unique_ptr<http::Front> listener_;
+    std::unique_ptr<http::Listener> listener_;
     asio::steady_timer timer_;
     bool draining_ = false;
     std::chrono::steady_clock::time_point drain_end_{};
@@ -254,7 +255,7 @@
         signals.start([&] { program.reload(); }, [&] { program.drain(); });
         loop.run();
     } catch (const std::exception& error) {
-        log.tell(events::not_started, error.what());
+        log.write(events::not_started, error.what());
         return exit_failure;
     }
     return 0;
@@ -306,7 +307,7 @@
 
     asio::io_context loop_{1};
     loop::tcp::socket socket_{loop_};
-    http::ClientMachine machine_{coordinator::view_most};
+    http::ClientMachine machine_{coordinator::max_view_size};
     std::array<char, 64 * 1024> buffer_{};
     std::optional<std::string> body_;
     std::string why_;
@@ -350,7 +351,7 @@
     std::map<std::string, budget::Counts> counts;
     for (const auto& each : view.sums) {
         counts[each.budget] = each.counts;
-        const budget::Amount free = most(each.whole - each.reserved - each.counted, {});
+        const budget::Amount free = component_max(each.whole - each.reserved - each.counted, {});
         const auto text = [&](budget::Amount amount) { return text_of(amount, each.counts); };
         sums.push_back({each.budget, std::string(coordinator::text_of(each.counts)), text(each.whole),
                         text(each.reserved), text(each.counted), text(free)});
--- a/src/apps/daemon.h
+++ b/src/apps/daemon.h
@@ -33,7 +33,7 @@
 // Logs each fault of an operator's file on its own line.
 inline void log_faults(log::Logger& log, const std::string& file, const settings::Faults& faults) {
     std::istringstream lines(faults.text(file));
-    for (std::string line; std::getline(lines, line);) log.tell(log::events::operators_fault, line);
+    for (std::string line; std::getline(lines, line);) log.write(log::events::operators_fault, line);
 }
 
 // Handles signals: SIGHUP reloads the files, SIGTERM and SIGINT end the program. Each may come several times. SIGHUPs in
--- a/src/apps/door_commands.cpp
+++ b/src/apps/door_commands.cpp
@@ -9,7 +9,7 @@
 #include <string>
 
 #include "door/explain.h"
-#include "engine/door_terms.h"
+#include "engine/admission_queue_options.h"
 #include "settings/product.h"
 #include "settings/reader.h"
 
@@ -59,7 +59,8 @@
         add_once(platform.classes, each.class_name);
     }
     try {
-        std::cout << door::explain(engine::door_terms(platform, values, [](const std::string&) {}), script);
+        std::cout << door::explain(
+            engine::admission_queue_options(platform, values, [](const std::string&) {}), script);
     } catch (const std::invalid_argument& error) {
         std::cerr << file << ": " << error.what() << "\n";
         return exit_failure;
--- a/src/apps/flaxdoor.cpp
+++ b/src/apps/flaxdoor.cpp
@@ -19,12 +19,12 @@
 #include "apps/door_commands.h"
 #include "apps/route_commands.h"
 #include "apps/store_commands.h"
+#include "extensions/gateway.h"
+#include "extensions/postgres.h"
 #include "log/logger.h"
 #include "settings/page.h"
 #include "settings/product.h"
 #include "settings/reader.h"
-#include "sides/gateway.h"
-#include "sides/postgres.h"
 
 namespace {
 
@@ -48,7 +48,7 @@
                                      {"column", fault.at.column},
                                      {"what", fault.what},
                                      {"key", fault.key},
-                                     {"mend", fault.mend}});
+                                     {"mend", fault.remedy}});
         }
     }
     return all.dump(2, ' ', false, json::error_handler_t::replace) + "\n";
@@ -65,8 +65,9 @@
     };
     check_table("log", flaxdoor::log::options_from);
     check_table("postgres",
-                [](const Values& values) { return flaxdoor::sides::postgres_options(values, 0); });
-    check_table("gateway", [](const Values& values) { return flaxdoor::sides::gateway_options(values, 0); });
+                [](const Values& values) { return flaxdoor::extensions::postgres_options(values, 0); });
+    check_table("gateway",
+                [](const Values& values) { return flaxdoor::extensions::gateway_options(values, 0); });
     const Faults* const faults = std::get_if<Faults>(&reading);
     const std::size_t settings = faults ? 0 : std::get<Values>(reading).count_given();
     if (json) {
--- a/src/apps/simhost.cpp
+++ b/src/apps/simhost.cpp
@@ -29,7 +29,7 @@
     void submit(RequestId request, UpstreamId upstream, Micros timeout) override {
         reply_.submit(number_, request, upstream, timeout);
     }
-    void refuse(RequestId request, Micros retry_after) override {
+    void reject(RequestId request, Micros retry_after) override {
         reply_.refuse(number_, request, retry_after);
     }
     void fail(RequestId request) override { reply_.fail(number_, request); }
@@ -40,7 +40,7 @@
     void unwatch() override { reply_.watch(number_, false); }
     void fetch() override { reply_.fetch(number_); }
     void close_idle(UpstreamId upstream) override { reply_.close_idle(number_, upstream); }
-    void tell(std::optional<int> peer, std::string_view payload) override {
+    void send_to_peer(std::optional<int> peer, std::string_view payload) override {
         reply_.tell(number_, peer, payload);
     }
     void log(std::string_view line) override { reply_.log(number_, line); }
--- a/src/budget/admission.cpp
+++ b/src/budget/admission.cpp
@@ -35,7 +35,7 @@
 // The permits of one call. Which budgets an attempt takes permits of depends on how many attempts of the call
 // begin before it, which is not known while several of them wait for connections. Reserved permits therefore
 // belong to the call: they serve the next attempts that begin, whichever these are.
-class Admission::CallPermits final : public core::Permits {
+class Admission::CallPermits final : public core::CallPermits {
 public:
     CallPermits(Admission& owner, std::vector<std::size_t> budgets)
         : owner_(owner), budgets_(std::move(budgets)) {}
@@ -45,7 +45,7 @@
     }
 
     // An attempt that never began leaves its reserved permits to the next attempt.
-    bool allow(int attempt, Time) override {
+    bool reserve(int attempt, Time) override {
         if (reserved_ > static_cast<int>(allowed_.size()) || set_aside()) {
             allowed_.push_back(attempt);
             return true;
@@ -53,7 +53,7 @@
         return false;
     }
 
-    bool begin(int attempt, Time) override {
+    bool commit(int attempt, Time) override {
         if (std::erase(allowed_, attempt) == 0) return false;
         const Time now = owner_.clock_.now();
         Holder& holder = owner_.holder_;
@@ -63,7 +63,7 @@
         bool all_committed = true;
         for (const std::size_t budget : budgets_) {
             if (!takes_permit(owner_.counts(budget), ordinal)) continue;
-            if (holder.at(budget).use(now)) {
+            if (holder.allowance(budget).commit(now)) {
                 committed.push_back(budget);
                 continue;
             }
@@ -82,7 +82,7 @@
         return true;
     }
 
-    void end(int attempt, bool known, Time) override {
+    void release(int attempt, bool known, Time) override {
         if (std::erase(allowed_, attempt) > 0) {
             // Keeps the permits if the call's first attempt is still to begin, so that it need not reserve
             // them again. Permits of a hedged attempt are released, since no other attempt may need them.
@@ -106,11 +106,13 @@
         const int ordinal = begun_count_ + reserved_;
         for (std::size_t i = 0; i < budgets_.size(); ++i) {
             const std::size_t budget = budgets_[i];
-            if (!takes_permit(owner_.counts(budget), ordinal) || holder.at(budget).set_aside(now)) continue;
+            if (!takes_permit(owner_.counts(budget), ordinal) || holder.allowance(budget).reserve(now))
+                continue;
             missing_budget_ = budget;
             owner_.on_refused(budget, now);
             for (std::size_t j = 0; j < i; ++j) {
-                if (takes_permit(owner_.counts(budgets_[j]), ordinal)) holder.at(budgets_[j]).give_back(now);
+                if (takes_permit(owner_.counts(budgets_[j]), ordinal))
+                    holder.allowance(budgets_[j]).release(now);
             }
             return false;
         }
@@ -128,7 +130,7 @@
         const Time now = owner_.clock_.now();
         const int ordinal = begun_count_ + --reserved_;
         for (const std::size_t budget : budgets_) {
-            if (takes_permit(owner_.counts(budget), ordinal)) owner_.holder_.at(budget).give_back(now);
+            if (takes_permit(owner_.counts(budget), ordinal)) owner_.holder_.allowance(budget).release(now);
         }
     }
 
@@ -136,7 +138,7 @@
         const Time now = owner_.clock_.now();
         for (const std::size_t budget : budgets) {
             if (owner_.counts(budget) == Counts::concurrency)
-                owner_.holder_.at(budget).free_place(known, began, now);
+                owner_.holder_.allowance(budget).end_attempt(known, began, now);
         }
     }
 
@@ -155,8 +157,8 @@
 }
 Admission::~Admission() = default;
 
-core::Admitted Admission::admit(core::Call& call, const std::string& pool, const Settings& settings,
-                                Time now) {
+core::AdmissionResult Admission::admit(core::Call& call, const std::string& pool, const Settings& settings,
+                                       Time now) {
     std::vector<std::size_t> applicable;
     const auto& budgets = holder_.terms().budgets;
     for (std::size_t i = 0; i < budgets.size(); ++i) {
@@ -165,10 +167,10 @@
         if (budgets[i].counts != Counts::concurrency) continue;
         // The attempt must not outlast its concurrency permit, which the authority frees after `longest` if
         // this process dies.
-        const Micros longest = holder_.terms().longest;
+        const Micros longest = holder_.terms().max_attempt_duration;
         call.attempt_limit = call.attempt_limit > Micros{} ? std::min(call.attempt_limit, longest) : longest;
     }
-    core::Admitted admitted;
+    core::AdmissionResult admitted;
     if (applicable.empty()) return admitted;
     auto permits = std::make_unique<CallPermits>(*this, std::move(applicable));
     if (!permits->set_aside()) {
@@ -185,15 +187,16 @@
 // Returns the time until the present share may yield a permit, or if there is none, until the next lease
 // request may bring a share.
 Micros Admission::retry_delay(std::size_t budget, Time now) {
-    const auto next = holder_.at(budget).next(now);
+    const auto next = holder_.allowance(budget).time_to_next_permit(now);
     const Micros until_request =
         std::max(holder_.next_request() - now, Micros{0}) + Micros(std::chrono::milliseconds(1));
-    return next && *next > Micros{0} ? std::min(*next, until_request + holder_.terms().term) : until_request;
+    return next && *next > Micros{0} ? std::min(*next, until_request + holder_.terms().lease_term)
+                                     : until_request;
 }
 
 void Admission::on_refused(std::size_t budget, Time now) {
     ++figures_[budget].refused;
-    holder_.on_want(budget, now);
+    holder_.on_refusal(budget, now);
     on_want_();
 }
 
--- a/src/budget/admission.h
+++ b/src/budget/admission.h
@@ -32,8 +32,8 @@
     Admission(Holder& holder, const core::Clock& clock, std::function<void()> on_want);
     ~Admission() override;
 
-    core::Admitted admit(core::Call& call, const std::string& pool, const Settings& settings,
-                         Time now) override;
+    core::AdmissionResult admit(core::Call& call, const std::string& pool, const Settings& settings,
+                                Time now) override;
     const std::vector<Figures>& figures() const { return figures_; }
 
 private:
--- a/src/budget/allowance.cpp
+++ b/src/budget/allowance.cpp
@@ -17,7 +17,7 @@
 Allowance::Allowance(Counts counts, Amount reserve, Micros longest, Time now, double drift)
     : counts_(counts),
       reserve_(reserve),
-      longest_(drift > 0 ? at_authority(longest, drift) : longest),
+      longest_(drift > 0 ? lengthened_by_drift(longest, drift) : longest),
       fill_factor_(fill_factor_of(drift)),
       lease_until_(now),
       updated_at_(now) {}
@@ -35,7 +35,7 @@
     clamp_to_size();
 }
 
-bool Allowance::set_aside(Time now) {
+bool Allowance::reserve(Time now) {
     advance(now);
     ++demand_.wanted;
     const bool available = counts_ == Counts::concurrency ? in_use_ + reserved_ < amount_at(updated_at_).size
@@ -50,7 +50,7 @@
     return true;
 }
 
-bool Allowance::use(Time now) {
+bool Allowance::commit(Time now) {
     advance(now);
     if (revoked_ > 0) {
         --revoked_;
@@ -63,7 +63,7 @@
     return available;
 }
 
-void Allowance::give_back(Time now) {
+void Allowance::release(Time now) {
     advance(now);
     if (revoked_ > 0) {
         --revoked_;
@@ -75,7 +75,7 @@
     clamp_to_size();
 }
 
-void Allowance::free_place(bool known, Time began, Time now) {
+void Allowance::end_attempt(bool known, Time began, Time now) {
     advance(now);
     const Time held_until = began + longest_;
     if (known || held_until <= updated_at_) {
@@ -100,7 +100,7 @@
     return in_use_ + reserved_;
 }
 
-std::optional<Micros> Allowance::next(Time now) {
+std::optional<Micros> Allowance::time_to_next_permit(Time now) {
     advance(now);
     const Amount amount = amount_at(updated_at_);
     if (amount.size == 0) return std::nullopt;
--- a/src/budget/allowance.h
+++ b/src/budget/allowance.h
@@ -1,8 +1,8 @@
 // The part of one budget that this process may use: its reserve, and its leased share while the lease is in
 // force. Either a token bucket or a number of concurrency permits.
 //
-// A permit is reserved (set_aside) when a call is admitted, committed (use) when the first byte of its
-// attempt is sent, and released (give_back) if no byte is sent. Reserved permits count against the bucket's
+// A permit is reserved (reserve) when a call is admitted, committed (commit) when the first byte of its
+// attempt is sent, and released (release) if no byte is sent. Reserved permits count against the bucket's
 // depth: tokens and reserved permits together never exceed the size in force. Over the fleet, the permits
 // committed in any window W are therefore at most rate * W + size. A new share starts empty. A share that
 // ends or shrinks takes its tokens with it, and reserved permits beyond the remaining size can no longer be
@@ -38,23 +38,23 @@
     void set_reserve(Amount reserve, Time now);
 
     // Reserves a permit. Returns false if none is available.
-    [[nodiscard]] bool set_aside(Time now);
+    [[nodiscard]] bool reserve(Time now);
     // Commits a reserved permit before the attempt's first byte. Returns false if the permit was revoked
     // because its share ended or shrank; nothing may be sent then.
-    [[nodiscard]] bool use(Time now);
+    [[nodiscard]] bool commit(Time now);
     // Releases a reserved permit that was not committed.
-    void give_back(Time now);
+    void release(Time now);
     // Returns a concurrency permit after its attempt has ended. If `known` is false, the upstream may still
     // be working on the attempt, and the permit is freed no earlier than `longest` after the attempt began.
-    void free_place(bool known, Time began, Time now);
+    void end_attempt(bool known, Time began, Time now);
 
     Amount leased(Time now);    // in force
     Amount in_force(Time now);  // leased share and reserve
-    Amount reserve() const { return reserve_; }
+    Amount static_reserve() const { return reserve_; }
     Time leased_until() const { return lease_until_; }
     std::int64_t in_use(Time now);  // concurrency permits, including reserved ones
     // Returns the time until a permit is available if nothing changes; empty if there will be none.
-    std::optional<Micros> next(Time now);
+    std::optional<Micros> time_to_next_permit(Time now);
 
     // Permits requested, permits refused, and the peak of permits in use, since the last take_demand().
     struct Demand {
--- a/src/budget/authority.cpp
+++ b/src/budget/authority.cpp
@@ -24,7 +24,7 @@
 
 bool is_zero(Amount amount) { return amount == Amount{}; }
 
-Amount positive(Amount amount) { return most(amount, {}); }
+Amount positive(Amount amount) { return component_max(amount, {}); }
 
 }  // namespace
 
@@ -41,13 +41,14 @@
     return "unknown";
 }
 
-void check(const Terms& terms) {
+void check(const BudgetConfig& terms) {
     const auto require = [](bool holds, const std::string& what) {
         if (!holds) throw std::invalid_argument("budget: " + what);
     };
-    require(terms.term > Micros{0}, "the term must be positive");
-    require(terms.drift >= 0 && terms.drift < 0.5, "the clock drift must be at least 0 and below 0.5");
-    require(terms.expected >= 1, "balancers must be at least 1");
+    require(terms.lease_term > Micros{0}, "the term must be positive");
+    require(terms.max_clock_drift >= 0 && terms.max_clock_drift < 0.5,
+            "the clock drift must be at least 0 and below 0.5");
+    require(terms.expected_balancers >= 1, "balancers must be at least 1");
     for (std::size_t i = 0; i < terms.budgets.size(); ++i) {
         const Budget& budget = terms.budgets[i];
         for (std::size_t j = 0; j < i; ++j)
@@ -55,18 +56,19 @@
         require(budget.whole.size >= 1, budget.name + ": the whole must be at least one permit");
         require((budget.counts == Counts::concurrency) == (budget.whole.rate == 0),
                 budget.name + ": a concurrency budget must have no rate, any other budget must have one");
-        const Amount reserves{budget.reserve.rate * terms.expected, budget.reserve.size * terms.expected};
+        const Amount reserves{budget.reserve.rate * terms.expected_balancers,
+                              budget.reserve.size * terms.expected_balancers};
         require(reserves.within(budget.whole), budget.name + ": the reserves exceed the whole");
     }
 }
 
-Authority::Authority(Terms terms, Start start, Time now)
+Authority::Authority(BudgetConfig terms, RestoredState start, Time now)
     : terms_(std::move(terms)),
       epoch_(start.epoch),
-      longest_term_(std::max(terms_.term, start.longest_term)) {
+      longest_term_(std::max(terms_.lease_term, start.longest_term)) {
     check(terms_);
     budgets_ = terms_.budgets;
-    if (!start.current) begin_waiting(now);
+    if (!start.complete) begin_waiting(now);
     for (Record& record : start.records) {
         HolderState& holder = holders_[{record.holder, record.instance}];
         holder.number = record.number;
@@ -101,8 +103,9 @@
 // Waits until no earlier grant can be in force, and for concurrency budgets until the attempts that began
 // under one must have ended.
 void Authority::begin_waiting(Time now) {
-    waits_until_ = now + at_authority(longest_term_, terms_.drift);
-    concurrency_waits_until_ = waits_until_ + at_authority(terms_.longest, terms_.drift);
+    waits_until_ = now + lengthened_by_drift(longest_term_, terms_.max_clock_drift);
+    concurrency_waits_until_ =
+        waits_until_ + lengthened_by_drift(terms_.max_attempt_duration, terms_.max_clock_drift);
 }
 
 // Extends the holders' vectors to the budgets that have been added.
@@ -134,17 +137,18 @@
     return index;
 }
 
-void Authority::change(Terms terms, Time) {
+void Authority::update_terms(BudgetConfig terms, Time) {
     check(terms);
     terms_ = std::move(terms);
-    longest_term_ = std::max(longest_term_, terms_.term);
+    longest_term_ = std::max(longest_term_, terms_.lease_term);
     for (Budget& budget : budgets_) budget.whole = budget.reserve = {};
     for (const Budget& budget : terms_.budgets) budgets_[find_or_add(budget.name)] = budget;
     resize_holders();
 }
 
 bool Authority::is_active(const HolderState& holder, Time now) const {
-    return !holder.leaving && now - holder.last_request_at < at_authority(terms_.term, terms_.drift);
+    return !holder.leaving &&
+           now - holder.last_request_at < lengthened_by_drift(terms_.lease_term, terms_.max_clock_drift);
 }
 
 // Guards against a share that stays unused at a holder whose requests arrive while the replies to it are
@@ -155,10 +159,11 @@
 
 Amount Authority::counted(const HolderState& holder, std::size_t budget, Time now) const {
     const bool is_concurrency = budgets_[budget].counts == Counts::concurrency;
-    const Micros extra_hold = is_concurrency ? at_authority(terms_.longest, terms_.drift) : Micros{0};
+    const Micros extra_hold =
+        is_concurrency ? lengthened_by_drift(terms_.max_attempt_duration, terms_.max_clock_drift) : Micros{0};
     Amount largest;
     for (const Allocation& allocation : holder.allocations) {
-        if (now < allocation.until + extra_hold) largest = most(largest, allocation.shares[budget]);
+        if (now < allocation.until + extra_hold) largest = component_max(largest, allocation.shares[budget]);
     }
     if (is_concurrency && now < holder.last_request_at + extra_hold) {
         largest.size = std::max(largest.size, holder.in_use[budget] - holder.reserves[budget].size);
@@ -174,7 +179,7 @@
         if (!is_active(holder, now)) continue;
         const bool duplicate_name = previous_name && *previous_name == key.first;
         if (!duplicate_name) ++names;
-        active.reserving.push_back({&holder, duplicate_name || names > terms_.expected});
+        active.reserving.push_back({&holder, duplicate_name || names > terms_.expected_balancers});
         previous_name = &key.first;
         const auto current = current_instance_.find(key.first);
         const bool owns_name = current != current_instance_.end() && current->second == key.second;
@@ -188,10 +193,10 @@
 // a process reports beyond the configured reserve.
 Amount Authority::reserved(std::size_t budget, const ActiveHolders& active) const {
     const Amount each = budgets_[budget].reserve;
-    Amount total{each.rate * terms_.expected, each.size * terms_.expected};
+    Amount total{each.rate * terms_.expected_balancers, each.size * terms_.expected_balancers};
     for (const auto& [holder, extra] : active.reserving) {
-        total = total +
-                (extra ? most(holder->reserves[budget], each) : positive(holder->reserves[budget] - each));
+        total = total + (extra ? component_max(holder->reserves[budget], each)
+                               : positive(holder->reserves[budget] - each));
     }
     return total;
 }
@@ -210,10 +215,10 @@
                                                                  : holder_elapsed - authority_elapsed;
     // Half a term is allowed for different delays of requests; a request delayed by more brings no usable
     // lease anyway.
-    const auto drift =
-        Micros(static_cast<std::int64_t>(2 * terms_.drift * static_cast<double>(authority_elapsed.count())));
-    const bool fault = difference > drift + terms_.term / 2;
-    const bool interval_over = authority_elapsed > terms_.term * clock_comparison_terms;
+    const auto drift = Micros(static_cast<std::int64_t>(2 * terms_.max_clock_drift *
+                                                        static_cast<double>(authority_elapsed.count())));
+    const bool fault = difference > drift + terms_.lease_term / 2;
+    const bool interval_over = authority_elapsed > terms_.lease_term * clock_comparison_terms;
     if (fault || interval_over) {
         holder.clock_off = fault;
         holder.holder_clock = holder_now;
@@ -226,7 +231,7 @@
 }
 
 std::optional<std::string> Authority::configuration_mismatch(const LeaseRequest& request) const {
-    for (const Need& need : request.needs) {
+    for (const BudgetDemand& need : request.needs) {
         const std::size_t index = find(need.budget);
         if (index == budgets_.size() || budgets_[index].whole == Amount{}) continue;
         if (budgets_[index].counts != need.counts) return need.budget + " counts something else here";
@@ -238,15 +243,15 @@
     expire_holders(now, changes);
     LeaseReply reply;
     reply.number = request.number;
-    reply.term = terms_.term;
+    reply.term = terms_.lease_term;
     const auto answer = [&](Verdict verdict, std::string why, Micros again = {}) {
         reply.verdict = verdict;
         reply.why = std::move(why);
-        reply.again = again;
+        reply.retry_after = again;
         reply.epoch = epoch_;
         return reply;
     };
-    const std::uint64_t reported_epoch = std::max(request.epoch, request.taken.epoch);
+    const std::uint64_t reported_epoch = std::max(request.epoch, request.accepted.epoch);
     if (reported_epoch > epoch_) {
         // An authority that still waits and has granted nothing may have started with an empty store after
         // its clock was set back; it takes a higher epoch. An authority that has granted something is the
@@ -265,10 +270,10 @@
     auto found = holders_.find(key);
     if (found != holders_.end() && request.number <= found->second.number) {
         return answer(Verdict::waiting, "an older request than the last",
-                      terms_.term / early_requests_per_term);
+                      terms_.lease_term / early_requests_per_term);
     }
     if (found == holders_.end()) {
-        if (holders_.size() >= terms_.holders_most) {
+        if (holders_.size() >= terms_.max_holders) {
             return answer(Verdict::too_many,
                           std::to_string(holders_.size()) + " processes are known already");
         }
@@ -299,7 +304,7 @@
     if (now < waits_until_) {
         changes.push_back({key.first, key.second, record_of(key, holder)});
         return answer(Verdict::waiting, "leases of an earlier authority may be in force",
-                      std::min(waits_until_ - now + Micros{1}, terms_.term / 2));
+                      std::min(waits_until_ - now + Micros{1}, terms_.lease_term / 2));
     }
     LeaseReply granted = grant(holder, now);
     granted.number = request.number;
@@ -311,34 +316,34 @@
     holder.number = request.number;
     holder.last_request_at = now;
     holder.leaving = false;
-    const bool behind = !holder.allocations.empty() && request.taken < holder.allocations.back().fence;
+    const bool behind = !holder.allocations.empty() && request.accepted < holder.allocations.back().fence;
     holder.unaccepted_grants = behind ? holder.unaccepted_grants + 1 : 0;
     std::vector<Amount> reported_leases(budgets_.size());
     std::fill(holder.wants.begin(), holder.wants.end(), Amount{});
-    for (const Need& need : request.needs) {
+    for (const BudgetDemand& need : request.needs) {
         const std::size_t index = find(need.budget);
         if (index == budgets_.size()) continue;
-        holder.wants[index] = positive(need.wants);
+        holder.wants[index] = positive(need.wanted);
         holder.reserves[index] = positive(need.reserve);
         holder.in_use[index] = std::max<std::int64_t>(need.in_use, 0);
         reported_leases[index] = positive(need.leased);
     }
     const bool known = std::any_of(holder.allocations.begin(), holder.allocations.end(),
-                                   [&](const Allocation& g) { return g.fence == request.taken; });
+                                   [&](const Allocation& g) { return g.fence == request.accepted; });
     // The lease was granted by another authority and has no record here: it counts until it must have ended.
-    if (!known && request.taken.epoch < epoch_ &&
+    if (!known && request.accepted.epoch < epoch_ &&
         !std::all_of(reported_leases.begin(), reported_leases.end(), is_zero)) {
-        add(holder,
-            {request.taken, now + at_authority(longest_term_, terms_.drift), std::move(reported_leases)});
+        add(holder, {request.accepted, now + lengthened_by_drift(longest_term_, terms_.max_clock_drift),
+                     std::move(reported_leases)});
     }
-    std::erase_if(holder.allocations, [&](const Allocation& g) { return g.fence < request.taken; });
+    std::erase_if(holder.allocations, [&](const Allocation& g) { return g.fence < request.accepted; });
 }
 
 LeaseReply Authority::grant(HolderState& holder, Time now) {
     LeaseReply reply;
-    reply.term = terms_.term;
+    reply.term = terms_.lease_term;
     Allocation allocation{{epoch_, ++seq_},
-                          now + at_authority(terms_.term, terms_.drift),
+                          now + lengthened_by_drift(terms_.lease_term, terms_.max_clock_drift),
                           std::vector<Amount>(budgets_.size())};
     bool more_wanted = false;
     const ActiveHolders active = active_holders(now);
@@ -355,7 +360,7 @@
             if (&other != &holder) left = left - counted(other, i, now);
         }
         const Amount wanted = fair_share(i, holder, positive(shared), active, now);
-        const Amount share = least(wanted, positive(left));
+        const Amount share = component_min(wanted, positive(left));
         more_wanted = more_wanted || !wanted.within(share);
         allocation.shares[i] = share;
         if (share.size > 0 || is_zero(holder.wants[i])) {
@@ -365,8 +370,9 @@
         }
         reply.grants.push_back({budget.name, share});
     }
-    reply.gap = interval_per_holder * static_cast<std::int64_t>(active.reserving.size());
-    if (more_wanted) reply.again = std::max(terms_.term / early_requests_per_term, reply.gap);
+    reply.min_request_interval = interval_per_holder * static_cast<std::int64_t>(active.reserving.size());
+    if (more_wanted)
+        reply.retry_after = std::max(terms_.lease_term / early_requests_per_term, reply.min_request_interval);
     reply.epoch = epoch_;
     reply.seq = seq_;
     add(holder, std::move(allocation));
@@ -385,8 +391,8 @@
         claim.wants = positive(claimant->wants[budget] - claimant->reserves[budget]);
         if (claimant->wants[budget].size > 0) claim.wants.size = std::max<std::int64_t>(claim.wants.size, 1);
         if (claimant->without_permit_since[budget] > Time{}) {
-            claim.terms_without_permit =
-                static_cast<std::uint64_t>((now - claimant->without_permit_since[budget]) / terms_.term);
+            claim.terms_without_permit = static_cast<std::uint64_t>(
+                (now - claimant->without_permit_since[budget]) / terms_.lease_term);
         }
         claims.push_back(claim);
     }
@@ -411,13 +417,13 @@
     Allocation& merged = holder.allocations.front();
     merged.until = std::max(merged.until, first.until);
     for (std::size_t i = 0; i < merged.shares.size(); ++i)
-        merged.shares[i] = most(merged.shares[i], first.shares[i]);
+        merged.shares[i] = component_max(merged.shares[i], first.shares[i]);
 }
 
 void Authority::expire_holders(Time now, std::vector<Change>& changes) {
-    if (now - last_expiry_at_ < terms_.term / 4) return;
+    if (now - last_expiry_at_ < terms_.lease_term / 4) return;
     last_expiry_at_ = now;
-    const Micros longest = at_authority(terms_.longest, terms_.drift);
+    const Micros longest = lengthened_by_drift(terms_.max_attempt_duration, terms_.max_clock_drift);
     for (auto entry = holders_.begin(); entry != holders_.end();) {
         auto& [key, holder] = *entry;
         std::erase_if(holder.allocations, [&](const Allocation& g) { return g.until + longest <= now; });
--- a/src/budget/authority.h
+++ b/src/budget/authority.h
@@ -10,14 +10,14 @@
 //
 // Durability: what on_request() puts into `changes` must be stored before its reply is sent. If storing
 //             fails, the reply must not be sent; the grant counts until it ends.
-// Restart:    with `current`, the records hold everything that was granted. Otherwise grants of an earlier
+// Restart:    with `complete`, the records hold everything that was granted. Otherwise grants of an earlier
 //             authority that this one does not know may be in force, and nothing is granted until the longest
 //             lease term has passed.
 // Time:       passed in; one clock that continues over a restart of the process (CLOCK_BOOTTIME). Ends in
 //             records are times of that clock.
 // Threading:  single-threaded.
 // Errors:     std::invalid_argument, naming the budget, for inconsistent terms; nothing else is thrown.
-// Bounds:     Terms::holders_most processes, `max_open_grants` grants of each that are not known to be
+// Bounds:     BudgetConfig::max_holders processes, `max_open_grants` grants of each that are not known to be
 //             superseded.
 #pragma once
 
@@ -37,7 +37,7 @@
 // configuration changes.
 struct Record {
     struct Allocation {
-        Fence fence;
+        FencingToken fence;
         Time until{};  // by the authority's clock
         std::vector<std::pair<std::string, Amount>> shares;
     };
@@ -56,29 +56,29 @@
 };
 
 // Throws std::invalid_argument if the terms are inconsistent.
-void check(const Terms& terms);
+void check(const BudgetConfig& terms);
 
 class Authority {
 public:
     static constexpr std::size_t max_open_grants = 16;
 
-    struct Start {
+    struct RestoredState {
         std::uint64_t epoch = 1;  // higher than any earlier one
-        bool current = false;     // the records hold every grant that may be in force
+        bool complete = false;    // the records hold every grant that may be in force
         std::vector<Record> records;
         Micros longest_term{};  // of any lease granted before
     };
-    Authority(Terms terms, Start start, Time now);
+    Authority(BudgetConfig terms, RestoredState start, Time now);
 
     [[nodiscard]] LeaseReply on_request(const LeaseRequest& request, Time now, std::vector<Change>& changes);
     // Applies new terms without revoking anything: allocations in force end or shrink as their holders send
     // requests. Throws as the constructor does; then nothing has changed.
-    void change(Terms terms, Time now);
+    void update_terms(BudgetConfig terms, Time now);
 
     std::uint64_t epoch() const { return epoch_; }  // may rise while the authority waits after a start
     Time waits_until() const { return waits_until_; }
     bool stepped_down() const { return stepped_down_; }
-    const Terms& terms() const { return terms_; }
+    const BudgetConfig& terms() const { return terms_; }
 
     // The allocation of one budget to one process, and why more than its share is counted.
     struct Held {
@@ -104,7 +104,7 @@
 
 private:
     struct Allocation {
-        Fence fence;
+        FencingToken fence;
         Time until{};
         std::vector<Amount> shares;  // by index in budgets_
     };
@@ -155,7 +155,7 @@
     void resize_holders();
     void begin_waiting(Time now);
 
-    Terms terms_;
+    BudgetConfig terms_;
     // Configured budgets, and removed ones of which an allocation may still be in force.
     std::vector<Budget> budgets_;
     std::uint64_t epoch_;
--- a/src/budget/holder.cpp
+++ b/src/budget/holder.cpp
@@ -32,13 +32,15 @@
       demand_rates_(terms_.budgets.size(), 0),
       peaks_(terms_.budgets.size(), Peak{0, 0, now}),
       reported_wants_(terms_.budgets.size()),
-      concurrency_reserves_from_(now + at_authority(terms_.longest, terms_.drift)),
+      concurrency_reserves_from_(now +
+                                 lengthened_by_drift(terms_.max_attempt_duration, terms_.max_clock_drift)),
       last_request_at_(now),
       next_request_at_(now),
-      min_interval_(terms_.term / max_requests_per_term) {
+      min_interval_(terms_.lease_term / max_requests_per_term) {
     for (const Budget& budget : terms_.budgets) {
         const Amount reserve = budget.counts == Counts::concurrency ? Amount{} : budget.reserve;
-        allowances_.emplace_back(budget.counts, reserve, terms_.longest, now, terms_.drift);
+        allowances_.emplace_back(budget.counts, reserve, terms_.max_attempt_duration, now,
+                                 terms_.max_clock_drift);
     }
 }
 
@@ -47,7 +49,7 @@
     for (std::size_t i = 0; i < allowances_.size(); ++i) {
         const Budget& budget = terms_.budgets[i];
         const bool due = budget.counts != Counts::concurrency || now >= concurrency_reserves_from_;
-        if (due && allowances_[i].reserve() != budget.reserve)
+        if (due && allowances_[i].static_reserve() != budget.reserve)
             allowances_[i].set_reserve(budget.reserve, now);
     }
 }
@@ -58,7 +60,7 @@
     request.holder = name_;
     request.instance = instance_;
     request.number = ++last_number_;
-    request.taken = accepted_fence_;
+    request.accepted = accepted_fence_;
     request.epoch = highest_epoch_;
     request.clock = now;
     request.leaving = left_;
@@ -67,45 +69,45 @@
         const Budget& budget = terms_.budgets[i];
         Allowance& allowance = allowances_[i];
         const Allowance::Demand demand = allowance.take_demand();
-        Need need;
+        BudgetDemand need;
         need.budget = budget.name;
         need.counts = budget.counts;
         need.leased = allowance.leased(now);
-        need.reserve = allowance.reserve();
+        need.reserve = allowance.static_reserve();
         need.in_use = allowance.in_use(now);
         if (budget.counts == Counts::concurrency) {
             // The peak of the last one or two terms, since a balancer with a few calls a second still needs
             // its permit between two of them.
             Peak& peak = peaks_[i];
-            if (now - peak.since >= terms_.term) peak = {peak.now, 0, now};
+            if (now - peak.since >= terms_.lease_term) peak = {peak.now, 0, now};
             peak.now = std::max(peak.now, demand.most_in_use + demand.refused);
-            need.wants.size = std::min(budget.whole.size, std::max(peak.now, peak.before));
+            need.wanted.size = std::min(budget.whole.size, std::max(peak.now, peak.before));
         } else {
             // An exponentially weighted moving average, weighted by the length of the interval: requests are
             // frequent under demand, and a single call in a short interval does not indicate a rate. A burst
             // beyond random variation counts in full at once.
             const double recent_rate = static_cast<double>(demand.wanted) / span;
             const double scheduled_interval =
-                static_cast<double>(terms_.term.count()) / (requests_per_term * 1e6);
+                static_cast<double>(terms_.lease_term.count()) / (requests_per_term * 1e6);
             demand_rates_[i] +=
                 (is_burst(i, demand.wanted, span) ? 1 : std::min(1.0, span / scheduled_interval)) *
                 (recent_rate - demand_rates_[i]);
             if (demand_rates_[i] < min_demand_rate) demand_rates_[i] = 0;
             const double wants =
                 std::min(demand_rates_[i] * demand_headroom * 1000, static_cast<double>(budget.whole.rate));
-            need.wants.rate = static_cast<std::int64_t>(std::ceil(wants));
+            need.wanted.rate = static_cast<std::int64_t>(std::ceil(wants));
             const double part_of_whole =
                 wants / static_cast<double>(std::max<std::int64_t>(budget.whole.rate, 1));
-            need.wants.size =
+            need.wanted.size =
                 static_cast<std::int64_t>(std::ceil(part_of_whole * static_cast<double>(budget.whole.size)));
         }
-        reported_wants_[i] = need.wants;
+        reported_wants_[i] = need.wanted;
         request.needs.push_back(std::move(need));
     }
     last_request_at_ = now;
     if (sent_.size() == max_sent) sent_.erase(sent_.begin());
     sent_.push_back({request.number, now});
-    next_request_at_ = now + with_jitter(terms_.term / requests_per_term);
+    next_request_at_ = now + with_jitter(terms_.lease_term / requests_per_term);
     return request;
 }
 
@@ -135,14 +137,14 @@
             reserves_withdrawn_ = true;
             for (Allowance& allowance : allowances_) allowance.set_reserve({}, now);
         }
-        if (reply.again > Micros{}) request_sooner(now, reply.again);
+        if (reply.retry_after > Micros{}) request_sooner(now, reply.retry_after);
         return;
     }
     reserves_withdrawn_ = false;
-    min_interval_ =
-        std::clamp(reply.gap, terms_.term / max_requests_per_term, terms_.term / requests_per_term);
-    const Fence fence{reply.epoch, reply.seq};
-    const Time until = sent_at + at_holder(reply.term, terms_.drift);
+    min_interval_ = std::clamp(reply.min_request_interval, terms_.lease_term / max_requests_per_term,
+                               terms_.lease_term / requests_per_term);
+    const FencingToken fence{reply.epoch, reply.seq};
+    const Time until = sent_at + lease_term_at_holder(reply.term, terms_.max_clock_drift);
     if (fence <= accepted_fence_ || until <= now) return;
     accepted_fence_ = fence;
     leased_until_ = until;
@@ -159,18 +161,18 @@
     // reports its new share.
     if (reduced) {
         request_sooner(now, Micros{0});
-    } else if (reply.again > Micros{}) {
-        request_sooner(now, reply.again);
+    } else if (reply.retry_after > Micros{}) {
+        request_sooner(now, reply.retry_after);
     }
 }
 
 void Holder::on_no_reply(Time now) {
-    const Micros max_back_off = terms_.term / requests_per_term;
-    back_off_ = std::clamp(back_off_ * 2, terms_.term / max_requests_per_term, max_back_off);
+    const Micros max_back_off = terms_.lease_term / requests_per_term;
+    back_off_ = std::clamp(back_off_ * 2, terms_.lease_term / max_requests_per_term, max_back_off);
     next_request_at_ = now + with_jitter(back_off_);
 }
 
-void Holder::on_want(std::size_t budget, Time now) {
+void Holder::on_refusal(std::size_t budget, Time now) {
     if (demand_is_news(budget, now)) request_sooner(now, Micros{0});
 }
 
--- a/src/budget/holder.h
+++ b/src/budget/holder.h
@@ -27,7 +27,7 @@
 class Holder {
 public:
     struct Options {
-        Terms terms;
+        BudgetConfig terms;
         std::string name, instance;
         std::uint64_t seed = 0;
     };
@@ -46,17 +46,17 @@
 
     // ----------------------------------------------------------------------------------------- admission
     std::size_t size() const { return allowances_.size(); }
-    const Terms& terms() const { return terms_; }
+    const BudgetConfig& terms() const { return terms_; }
     // To be called when a permit was refused. Makes the next request earlier if it would tell the authority
     // something new. The authority already divides by the demand that was reported to it, and its replies say
     // when there may be more.
-    void on_want(std::size_t budget, Time now);
-    Allowance& at(std::size_t budget) { return allowances_[budget]; }
+    void on_refusal(std::size_t budget, Time now);
+    Allowance& allowance(std::size_t budget) { return allowances_[budget]; }
 
     // -------------------------------------------------------------------------------------------- state
     Verdict last_verdict() const { return last_verdict_; }
     const std::string& why() const { return why_; }
-    Fence accepted_fence() const { return accepted_fence_; }
+    FencingToken accepted_fence() const { return accepted_fence_; }
     bool has_lease(Time now);
 
 private:
@@ -78,7 +78,7 @@
     void request_sooner(Time now, Micros after);
     Micros with_jitter(Micros span);
 
-    Terms terms_;
+    BudgetConfig terms_;
     const std::string name_, instance_;
     std::uint64_t random_state_;
     std::vector<Allowance> allowances_;
@@ -95,7 +95,7 @@
     Time next_request_at_{};
     Micros min_interval_{};  // between two requests, except for scheduled ones
     Micros back_off_{};
-    Fence accepted_fence_;
+    FencingToken accepted_fence_;
     std::uint64_t highest_epoch_ = 0;
     Time leased_until_{};
     Verdict last_verdict_ = Verdict::waiting;
--- a/src/budget/messages.h
+++ b/src/budget/messages.h
@@ -16,17 +16,17 @@
 namespace flaxdoor::budget {
 
 // Fencing token of a reply. Orders grants over all authorities.
-struct Fence {
+struct FencingToken {
     std::uint64_t epoch = 0;  // of the authority's start
     std::uint64_t seq = 0;    // within the epoch
-    friend auto operator<=>(const Fence&, const Fence&) = default;
+    friend auto operator<=>(const FencingToken&, const FencingToken&) = default;
 };
 
 // A holder's demand and state for one budget.
-struct Need {
+struct BudgetDemand {
     std::string budget;
     Counts counts = Counts::requests;
-    Amount wants;             // what the holder could use now, including its reserve
+    Amount wanted;            // what the holder could use now, including its reserve
     Amount leased;            // in force by a lease
     Amount reserve;           // in force, or would be without a lease
     std::int64_t in_use = 0;  // concurrency permits, including those of attempts whose end is not known yet
@@ -36,11 +36,11 @@
     std::string holder;    // name of the balancer
     std::string instance;  // identifies this start of the balancer; drawn at random
     std::uint64_t number = 0;
-    Fence taken;              // highest fencing token accepted by the holder, in force or not
+    FencingToken accepted;    // highest fencing token accepted by the holder, in force or not
     std::uint64_t epoch = 0;  // highest epoch that the holder has received
     Time clock{};             // the holder's clock
     bool leaving = false;     // the holder has released all leases and will not use its reserve
-    std::vector<Need> needs;
+    std::vector<BudgetDemand> needs;
 };
 
 enum class Verdict : std::uint8_t {
@@ -48,7 +48,7 @@
     waiting,       // leases of an earlier authority that this one does not know may be in force
     name_taken,    // another process uses this name
     stepped_down,  // another authority has a higher epoch
-    too_many,      // Terms::holders_most is reached
+    too_many,      // BudgetConfig::max_holders is reached
     clock_off,     // the rate of the holder's clock is outside the configured drift
     at_odds,       // a budget differs from the authority's configuration
 };
@@ -67,10 +67,10 @@
     std::uint64_t seq = 0;
     Micros term{};
     // Delay until the next request if more was wanted than could be granted yet; zero means the default.
-    Micros again{};
+    Micros retry_after{};
     // Least interval between two requests, except for scheduled ones. Bounds the rate of unscheduled requests
     // of the whole fleet.
-    Micros gap{};
+    Micros min_request_interval{};
     std::vector<Grant> grants;
 };
 
--- a/src/budget/terms.h
+++ b/src/budget/terms.h
@@ -31,8 +31,12 @@
     friend bool operator==(const Amount&, const Amount&) = default;
     friend Amount operator+(Amount a, Amount b) { return {a.rate + b.rate, a.size + b.size}; }
     friend Amount operator-(Amount a, Amount b) { return {a.rate - b.rate, a.size - b.size}; }
-    friend Amount least(Amount a, Amount b) { return {std::min(a.rate, b.rate), std::min(a.size, b.size)}; }
-    friend Amount most(Amount a, Amount b) { return {std::max(a.rate, b.rate), std::max(a.size, b.size)}; }
+    friend Amount component_min(Amount a, Amount b) {
+        return {std::min(a.rate, b.rate), std::min(a.size, b.size)};
+    }
+    friend Amount component_max(Amount a, Amount b) {
+        return {std::max(a.rate, b.rate), std::max(a.size, b.size)};
+    }
     bool within(Amount whole) const { return rate <= whole.rate && size <= whole.size; }
 };
 
@@ -46,23 +50,23 @@
 };
 
 // Configuration that all budgets of a fleet share. The authority and the holders use the same values.
-struct Terms {
+struct BudgetConfig {
     std::vector<Budget> budgets;
-    int expected = 1;                       // number of balancers that have a reserve
-    Micros term = std::chrono::seconds(3);  // duration of a lease
-    double drift = 0.001;                   // largest relative error of a clock's rate
-    Micros longest =
-        std::chrono::seconds(30);     // longest duration of an attempt that holds a concurrency permit
-    std::size_t holders_most = 1024;  // processes known at once, including former ones
+    int expected_balancers = 1;                   // number of balancers that have a reserve
+    Micros lease_term = std::chrono::seconds(3);  // duration of a lease
+    double max_clock_drift = 0.001;               // largest relative error of a clock's rate
+    // Longest duration of an attempt that holds a concurrency permit.
+    Micros max_attempt_duration = std::chrono::seconds(30);
+    std::size_t max_holders = 1024;  // processes known at once, including former ones
 };
 
 // Duration of a lease at its holder and at the authority. The holder counts from when it sent its request,
 // the authority from when it granted the lease, which is later. The holder's lease ends first even if the
 // holder's clock is slow by `drift` and the authority's is fast by it.
-inline Micros at_holder(Micros term, double drift) {
+inline Micros lease_term_at_holder(Micros term, double drift) {
     return Micros(static_cast<std::int64_t>(static_cast<double>(term.count()) * (1 - drift)));
 }
-inline Micros at_authority(Micros term, double drift) {
+inline Micros lengthened_by_drift(Micros term, double drift) {
     return Micros(static_cast<std::int64_t>(static_cast<double>(term.count()) * (1 + drift)) + 1);
 }
 
--- a/src/coordinator/agent.cpp
+++ b/src/coordinator/agent.cpp
@@ -26,7 +26,7 @@
 class Agent::Connection : public std::enable_shared_from_this<Connection> {
 public:
     explicit Connection(Agent& owner)
-        : owner_(owner), machine_(message_most), socket_(owner.executor_), timeout_(owner.executor_) {}
+        : owner_(owner), machine_(max_message_size), socket_(owner.executor_), timeout_(owner.executor_) {}
 
     // Connects, then calls on_connected() or on_no_reply() of its owner.
     void connect() {
@@ -77,7 +77,7 @@
     }
 
     void start_timeout() {
-        timeout_.expires_after(owner_.holder_.terms().term / reply_timeout_divisor);
+        timeout_.expires_after(owner_.holder_.terms().lease_term / reply_timeout_divisor);
         timeout_.async_wait([self = shared_from_this()](error_code error) {
             if (error || self->closed_ || self->timeout_.expiry() > std::chrono::steady_clock::now()) return;
             self->end("no response in time");
@@ -182,7 +182,7 @@
     if (left_ || (scheduled_at_ && *scheduled_at_ <= at)) return;
     scheduled_at_ = at;
     timer_.expires_after(std::max(at - clock_.now(), Micros{0}));
-    timer_.async_wait(alive_.guard([this](error_code error) {
+    timer_.async_wait(alive_.wrap([this](error_code error) {
         if (!error && timer_.expiry() <= std::chrono::steady_clock::now()) on_timer();
     }));
 }
@@ -230,10 +230,10 @@
         logged_verdict_ = verdict;
         const std::string& reason = holder_.why();
         switch (verdict) {
-            case Verdict::name_taken: log_.tell(log::events::budget_name_taken, reason); break;
-            case Verdict::clock_off: log_.tell(log::events::budget_clock_off, reason); break;
-            case Verdict::stepped_down: log_.tell(log::events::budget_stepped_down, reason); break;
-            case Verdict::at_odds: log_.tell(log::events::budget_at_odds, reason); break;
+            case Verdict::name_taken: log_.write(log::events::budget_name_taken, reason); break;
+            case Verdict::clock_off: log_.write(log::events::budget_clock_off, reason); break;
+            case Verdict::stepped_down: log_.write(log::events::budget_stepped_down, reason); break;
+            case Verdict::at_odds: log_.write(log::events::budget_at_odds, reason); break;
             case Verdict::granted:
             case Verdict::waiting:
             case Verdict::too_many: break;
@@ -243,9 +243,9 @@
     if (logged_lease_ == leased) return;
     logged_lease_ = leased;
     if (leased) {
-        log_.tell(log::events::budget_leased, loop::text_of(coordinator_));
+        log_.write(log::events::budget_leased, loop::text_of(coordinator_));
     } else {
-        log_.tell(log::events::budget_unleased, why);
+        log_.write(log::events::budget_unleased, why);
     }
 }
 
--- a/src/coordinator/agent.h
+++ b/src/coordinator/agent.h
@@ -7,7 +7,7 @@
 // Errors:    none. After a failure the holder sends another request later; its leases and its reserve stay in
 //            force meanwhile.
 // Bounds:    one connection and one request in flight, which times out after a third of the lease term;
-//            replies of at most `message_most` bytes.
+//            replies of at most `max_message_size` bytes.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -18,8 +18,8 @@
 
 #include "budget/holder.h"
 #include "core/ports.h"
-#include "loop/alive.h"
 #include "loop/executor.h"
+#include "loop/lifetime_guard.h"
 
 namespace flaxdoor::coordinator {
 
@@ -63,7 +63,7 @@
     bool left_ = false;
     std::optional<bool> logged_lease_;  // as logged last; empty if nothing was logged
     budget::Verdict logged_verdict_ = budget::Verdict::granted;
-    loop::Alive alive_;
+    loop::LifetimeGuard alive_;
 };
 
 }  // namespace flaxdoor::coordinator
--- a/src/coordinator/fields.h
+++ b/src/coordinator/fields.h
@@ -60,7 +60,7 @@
         fail(path(name), "not a word that is known here");
         return all.front();
     }
-    budget::Fence fence(const char* name) const {
+    budget::FencingToken fence(const char* name) const {
         const Json* const pair = pair_at(name);
         if (!pair) return {};
         return {unsigned_of(&(*pair)[0], path(name) + "[0]", max_number),
--- a/src/coordinator/grants_log.cpp
+++ b/src/coordinator/grant_log.cpp
@@ -1,4 +1,4 @@
-#include "coordinator/grants_log.h"
+#include "coordinator/grant_log.h"
 
 #include <fcntl.h>
 #include <sys/stat.h>
@@ -10,17 +10,17 @@
 
 namespace flaxdoor::coordinator {
 
-GrantsLog::~GrantsLog() {
+GrantLog::~GrantLog() {
     if (fd_ >= 0) ::close(fd_);
 }
 
-int GrantsLog::open(const std::string& path) {
+int GrantLog::open(const std::string& path) {
     fd_ = ::open(path.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
     return fd_ < 0 ? errno : 0;
 }
 
-int GrantsLog::write(const budget::LeaseRequest& request, const budget::LeaseReply& reply, Time now,
-                     Time until) {
+int GrantLog::write(const budget::LeaseRequest& request, const budget::LeaseReply& reply, Time now,
+                    Time until) {
     std::string lines;
     for (const budget::Grant& grant : reply.grants) {
         lines += text_of_json({{"time_us", now.count()},
--- a/src/coordinator/grants_log.h
+++ b/src/coordinator/grant_log.h
@@ -13,12 +13,12 @@
 
 namespace flaxdoor::coordinator {
 
-class GrantsLog {
+class GrantLog {
 public:
-    GrantsLog() = default;
-    ~GrantsLog();
-    GrantsLog(const GrantsLog&) = delete;
-    GrantsLog& operator=(const GrantsLog&) = delete;
+    GrantLog() = default;
+    ~GrantLog();
+    GrantLog(const GrantLog&) = delete;
+    GrantLog& operator=(const GrantLog&) = delete;
 
     // Opens the file for appending.
     [[nodiscard]] int open(const std::string& path);
--- a/src/coordinator/journal.cpp
+++ b/src/coordinator/journal.cpp
@@ -232,7 +232,7 @@
     return {};
 }
 
-Journal::Opened Journal::open(World world) {
+Journal::Opened Journal::open(Dependencies world) {
     Opened opened;
     std::unique_ptr<Journal> journal(new Journal(std::move(world)));
     const auto failed = [&](Result result) {
@@ -243,8 +243,8 @@
     std::optional<Head> previous_head;
     if (auto result = journal->read_head(previous_head); !result) return failed(std::move(result));
     Head head = previous_head.value_or(Head{});
-    opened.why = journal->incomplete_reason(head);
-    opened.start.current = opened.why.empty();
+    opened.incomplete_reason = journal->incomplete_reason(head);
+    opened.start.complete = opened.incomplete_reason.empty();
     opened.start.longest_term = head.longest_term;
     opened.start.epoch =
         std::max(head.epoch + 1,
@@ -265,7 +265,7 @@
         head.opening += text;
     }
     // The authority's first commit replaces this by an exact time.
-    if (!opened.start.current) head.known_from = Time(max_time);
+    if (!opened.start.complete) head.known_from = Time(max_time);
     journal->head_ = head;
     store::Batch batch;
     if (auto result = journal->write_head(head, batch, true); !result) return failed(std::move(result));
@@ -337,7 +337,7 @@
     return Result::ok();
 }
 
-bool Journal::tidy() {
+bool Journal::run_background_step() {
     if (!engine_ || engine_->broken() || !engine_->has_work()) return false;
     return static_cast<bool>(engine_->step()) && engine_->has_work();
 }
--- a/src/coordinator/journal.h
+++ b/src/coordinator/journal.h
@@ -59,7 +59,7 @@
 public:
     static constexpr std::size_t max_commit_records = 1000;
 
-    struct World {
+    struct Dependencies {
         std::unique_ptr<store::Files> files;  // of the store's directory
         store::Engine::Chance chance;
         std::unique_ptr<Witness> witness;  // may be null; then no start is current
@@ -71,12 +71,12 @@
     struct Opened {
         std::unique_ptr<Journal> journal;  // null unless the result is ok
         store::Result result;
-        budget::Authority::Start start;
-        std::string why;  // why the start is not current; empty if it is
+        budget::Authority::RestoredState start;
+        std::string incomplete_reason;  // why the start is not current; empty if it is
     };
     // Opens the store, which takes a commit of its own. Fails with `refused` if the store is of a newer
     // version, in use, or does not belong to an authority.
-    [[nodiscard]] static Opened open(World world);
+    [[nodiscard]] static Opened open(Dependencies world);
 
     // State of the authority after a change.
     struct Standing {
@@ -90,7 +90,7 @@
     bool differs(const Standing& standing) const;
 
     // Performs one bounded step of the store's background work. Returns false if none is left.
-    bool tidy();
+    bool run_background_step();
     // Returns why the witness can't be written; empty if it can.
     const std::string& witness_trouble() const { return witness_trouble_; }
     std::uint64_t commits() const { return head_.commits; }
@@ -102,7 +102,7 @@
         Time known_from{};
         Micros longest_term{};
     };
-    explicit Journal(World world) : world_(std::move(world)) {}
+    explicit Journal(Dependencies world) : world_(std::move(world)) {}
 
     static std::string encode(const Head& head);
     // Leaves `head` empty if the store has none.
@@ -115,7 +115,7 @@
     store::Result update_witness();
     std::string incomplete_reason(const Head& head) const;
 
-    World world_;
+    Dependencies world_;
     std::unique_ptr<store::Engine> engine_;  // borrows the files
     store::SpaceId space_ = 0;
     Head head_;
--- a/src/coordinator/service.cpp
+++ b/src/coordinator/service.cpp
@@ -21,24 +21,24 @@
 
 }  // namespace
 
-Service::Service(budget::Terms terms, Journal::Opened opened, const core::Clock& clock, core::Log& log,
-                 GrantsLog* grants)
+Service::Service(budget::BudgetConfig terms, Journal::Opened opened, const core::Clock& clock, core::Log& log,
+                 GrantLog* grants)
     : clock_(clock),
       log_(log),
       grants_(grants),
       journal_(std::move(opened.journal)),
       authority_(std::move(terms), std::move(opened.start), clock.now()),
-      longest_term_(std::max(authority_.terms().term, opened.start.longest_term)) {
+      longest_term_(std::max(authority_.terms().lease_term, opened.start.longest_term)) {
     const Micros wait_remaining = authority_.waits_until() - clock_.now();
     if (wait_remaining > Micros{0}) {
-        log_.tell(events::coordinator_waiting, wait_remaining.count() / 1000, opened.why);
+        log_.write(events::coordinator_waiting, wait_remaining.count() / 1000, opened.incomplete_reason);
     } else {
-        log_.tell(events::coordinator_current);
+        log_.write(events::coordinator_current);
     }
 }
 
-std::variant<http::Handler::Answer, http::Handler::Ask> Service::on_request(http::Request message,
-                                                                            const From& from) {
+std::variant<http::Handler::LocalResponse, http::Handler::Forward> Service::on_request(
+    http::Request message, const ConnectionInfo& from) {
     const auto only = [&](std::string_view method, auto answer) {
         return message.method == method ? answer() : http::plain_answer(405);
     };
@@ -52,12 +52,12 @@
     } else {
         response = http::plain_answer(404);
     }
-    return Answer{std::move(response), false};
+    return LocalResponse{std::move(response), false};
 }
 
-http::Response Service::on_final(core::Final, http::Asked*) { return http::plain_answer(500); }
+http::Response Service::on_final(core::FinalAnswer, http::RequestContext*) { return http::plain_answer(500); }
 
-http::Handler::Answer Service::on_not_taken(core::Taken, http::Asked*) {
+http::Handler::LocalResponse Service::on_call_rejected(core::AcceptResult, http::RequestContext*) {
     return {http::plain_answer(500), true};
 }
 
@@ -73,7 +73,7 @@
     update_refused(request, reply, now);
     if (!committed) return http::plain_answer(503, trouble_);
     if (grants_) {
-        const Time until = now + budget::at_authority(reply.term, authority_.terms().drift);
+        const Time until = now + budget::lengthened_by_drift(reply.term, authority_.terms().max_clock_drift);
         if (const int error = grants_->write(request, reply, now, until); error != 0) {
             set_trouble(std::string("the grants log: ") + std::strerror(error));
             return http::plain_answer(503, trouble_);
@@ -90,8 +90,9 @@
     if (authority_.stepped_down()) {
         known_from = Time(max_time);
     } else if (waits_until > Time{}) {
-        const budget::Terms& terms = authority_.terms();
-        known_from = waits_until + budget::at_authority(terms.longest, terms.drift);
+        const budget::BudgetConfig& terms = authority_.terms();
+        known_from =
+            waits_until + budget::lengthened_by_drift(terms.max_attempt_duration, terms.max_clock_drift);
     }
     return {authority_.epoch(), known_from, longest_term_};
 }
@@ -106,7 +107,7 @@
     }
     if (journal_->witness_trouble() != witness_trouble_) {
         witness_trouble_ = journal_->witness_trouble();
-        if (!witness_trouble_.empty()) log_.tell(events::coordinator_witness, witness_trouble_);
+        if (!witness_trouble_.empty()) log_.write(events::coordinator_witness, witness_trouble_);
     }
     return true;
 }
@@ -115,16 +116,16 @@
     if (trouble == trouble_) return;
     trouble_ = std::move(trouble);
     if (trouble_.empty()) {
-        log_.tell(events::coordinator_writes_again);
+        log_.write(events::coordinator_writes_again);
     } else {
-        log_.tell(events::coordinator_not_written, trouble_);
+        log_.write(events::coordinator_not_written, trouble_);
     }
 }
 
 // Logs each refusal once, and again when its reason changes, since a process sends several requests a term.
 void Service::update_refused(const budget::LeaseRequest& request, const budget::LeaseReply& reply, Time now) {
     if (authority_.stepped_down()) {
-        if (!logged_stepped_down_) log_.tell(events::coordinator_stepped_down, request.holder);
+        if (!logged_stepped_down_) log_.write(events::coordinator_stepped_down, request.holder);
         logged_stepped_down_ = true;
         return;
     }
@@ -148,19 +149,19 @@
     const auto& [holder, instance] = key;
     switch (refused.verdict) {
         case Verdict::name_taken:
-            log_.tell(events::coordinator_name_taken, holder, instance, refused.why);
+            log_.write(events::coordinator_name_taken, holder, instance, refused.why);
             break;
         case Verdict::clock_off:
-            log_.tell(events::coordinator_clock_off, holder, instance, refused.why);
+            log_.write(events::coordinator_clock_off, holder, instance, refused.why);
             break;
         default:
-            log_.tell(events::coordinator_refused, holder, instance, text_of(refused.verdict), refused.why);
+            log_.write(events::coordinator_refused, holder, instance, text_of(refused.verdict), refused.why);
             break;
     }
 }
 
-void Service::change(const budget::Terms& updated) {
-    budget::Terms terms = authority_.terms();
+void Service::update_budgets(const budget::BudgetConfig& updated) {
+    budget::BudgetConfig terms = authority_.terms();
     std::vector<budget::Budget> budgets;
     for (budget::Budget each : updated.budgets) {
         const auto existing = std::find_if(terms.budgets.begin(), terms.budgets.end(),
@@ -172,7 +173,7 @@
         budgets.push_back(std::move(each));
     }
     terms.budgets = std::move(budgets);
-    authority_.change(std::move(terms), clock_.now());
+    authority_.update_terms(std::move(terms), clock_.now());
 }
 
 bool Service::ready() const {
--- a/src/coordinator/service.h
+++ b/src/coordinator/service.h
@@ -10,7 +10,7 @@
 //            outlive the service.
 // Time:      the clock must continue over a restart of the process and advance while it is suspended
 //            (CLOCK_BOOTTIME).
-// Errors:    the constructor and change() throw std::invalid_argument for inconsistent terms.
+// Errors:    the constructor and update_budgets() throw std::invalid_argument for inconsistent terms.
 // Bounds:    at most `max_refused` refused processes are remembered, each for a minute.
 #pragma once
 
@@ -19,7 +19,7 @@
 #include <utility>
 
 #include "budget/authority.h"
-#include "coordinator/grants_log.h"
+#include "coordinator/grant_log.h"
 #include "coordinator/journal.h"
 #include "coordinator/wire.h"
 #include "core/ports.h"
@@ -33,24 +33,25 @@
     static constexpr Micros refused_retention = std::chrono::minutes(1);
 
     // Requires that `opened` holds a journal. `grants` may be null.
-    Service(budget::Terms terms, Journal::Opened opened, const core::Clock& clock, core::Log& log,
-            GrantsLog* grants);
+    Service(budget::BudgetConfig terms, Journal::Opened opened, const core::Clock& clock, core::Log& log,
+            GrantLog* grants);
 
-    std::variant<Answer, Ask> on_request(http::Request message, const From& from) override;
+    std::variant<LocalResponse, Forward> on_request(http::Request message,
+                                                    const ConnectionInfo& from) override;
     // Not called, since no request is passed to the core.
-    http::Response on_final(core::Final final, http::Asked* asked) override;
-    Answer on_not_taken(core::Taken taken, http::Asked* asked) override;
+    http::Response on_final(core::FinalAnswer final, http::RequestContext* asked) override;
+    LocalResponse on_call_rejected(core::AcceptResult taken, http::RequestContext* asked) override;
 
     // Applies changed wholes and added or removed budgets. Balancers read all other settings at their own
     // start: lease term, clock drift, number of balancers, attempt duration, reserves and what a budget
     // counts stay unchanged. If it throws, nothing has changed.
-    void change(const budget::Terms& updated);
-    const budget::Terms& terms() const { return authority_.terms(); }
+    void update_budgets(const budget::BudgetConfig& updated);
+    const budget::BudgetConfig& terms() const { return authority_.terms(); }
 
     [[nodiscard]] View view() const;
     [[nodiscard]] bool ready() const;
     // Performs one bounded step of the store's background work. Returns false if none is left.
-    bool tidy() { return journal_->tidy(); }
+    bool run_background_step() { return journal_->run_background_step(); }
 
 private:
     using Key = std::pair<std::string, std::string>;  // holder, instance
@@ -70,7 +71,7 @@
 
     const core::Clock& clock_;
     core::Log& log_;
-    GrantsLog* const grants_;
+    GrantLog* const grants_;
     const std::unique_ptr<Journal> journal_;
     budget::Authority authority_;
     Micros longest_term_;
--- a/src/coordinator/terms.cpp
+++ b/src/coordinator/terms.cpp
@@ -22,14 +22,14 @@
 
 }  // namespace
 
-budget::Terms terms_of(const settings::Values& values) {
+budget::BudgetConfig terms_of(const settings::Values& values) {
     const auto& table = values.row("budget");
-    budget::Terms terms;
-    terms.expected = static_cast<int>(table.get(keys::balancers));
-    terms.term = table.get(keys::term);
-    terms.drift = table.get(keys::clock_drift);
-    terms.longest = table.get(keys::longest_deadline);
-    terms.holders_most = static_cast<std::size_t>(table.get(keys::max_processes));
+    budget::BudgetConfig terms;
+    terms.expected_balancers = static_cast<int>(table.get(keys::balancers));
+    terms.lease_term = table.get(keys::term);
+    terms.max_clock_drift = table.get(keys::clock_drift);
+    terms.max_attempt_duration = table.get(keys::longest_deadline);
+    terms.max_holders = static_cast<std::size_t>(table.get(keys::max_processes));
     for (const auto& row : values.rows("budget_limit")) {
         budget::Budget each;
         each.name = row.get(keys::limit_name);
--- a/src/coordinator/terms.h
+++ b/src/coordinator/terms.h
@@ -10,6 +10,6 @@
 
 namespace flaxdoor::coordinator {
 
-[[nodiscard]] budget::Terms terms_of(const settings::Values& values);
+[[nodiscard]] budget::BudgetConfig terms_of(const settings::Values& values);
 
 }  // namespace flaxdoor::coordinator
--- a/src/coordinator/wire.cpp
+++ b/src/coordinator/wire.cpp
@@ -46,10 +46,10 @@
 
 std::string encode(const budget::LeaseRequest& request) {
     Json needs = Json::array();
-    for (const budget::Need& need : request.needs) {
+    for (const budget::BudgetDemand& need : request.needs) {
         needs.push_back({{"budget", need.budget},
                          {"counts", text_of(need.counts)},
-                         {"wants", json_of(need.wants)},
+                         {"wants", json_of(need.wanted)},
                          {"leased", json_of(need.leased)},
                          {"reserve", json_of(need.reserve)},
                          {"in_use", need.in_use}});
@@ -57,7 +57,7 @@
     return text_of_json({{"holder", request.holder},
                          {"instance", request.instance},
                          {"number", request.number},
-                         {"taken", Json::array({request.taken.epoch, request.taken.seq})},
+                         {"taken", Json::array({request.accepted.epoch, request.accepted.seq})},
                          {"epoch", request.epoch},
                          {"clock_us", request.clock.count()},
                          {"leaving", request.leaving},
@@ -65,20 +65,20 @@
 }
 
 std::variant<budget::LeaseRequest, Malformed> decode_request(std::string_view text) {
-    return decode<budget::LeaseRequest>(text, message_most,
+    return decode<budget::LeaseRequest>(text, max_message_size,
                                         [](const Fields& in, budget::LeaseRequest& request) {
                                             request.holder = in.name("holder");
                                             request.instance = in.name("instance");
                                             request.number = in.number("number");
-                                            request.taken = in.fence("taken");
+                                            request.accepted = in.fence("taken");
                                             request.epoch = in.number("epoch");
                                             request.clock = in.time("clock_us");
                                             request.leaving = in.flag("leaving");
                                             in.for_each("needs", max_needs, [&](const Fields& each) {
-                                                budget::Need need;
+                                                budget::BudgetDemand need;
                                                 need.budget = each.name("budget");
                                                 need.counts = each.one_of("counts", all_counts);
-                                                need.wants = each.amount("wants");
+                                                need.wanted = each.amount("wants");
                                                 need.leased = each.amount("leased");
                                                 need.reserve = each.amount("reserve");
                                                 need.in_use = each.integer("in_use", 0, max_size);
@@ -98,25 +98,26 @@
                          {"epoch", reply.epoch},
                          {"seq", reply.seq},
                          {"term_us", reply.term.count()},
-                         {"again_us", reply.again.count()},
-                         {"gap_us", reply.gap.count()},
+                         {"again_us", reply.retry_after.count()},
+                         {"gap_us", reply.min_request_interval.count()},
                          {"grants", std::move(grants)}});
 }
 
 std::variant<budget::LeaseReply, Malformed> decode_reply(std::string_view text) {
-    return decode<budget::LeaseReply>(text, message_most, [](const Fields& in, budget::LeaseReply& reply) {
-        reply.verdict = in.one_of("verdict", all_verdicts);
-        reply.why = in.why("why");
-        reply.number = in.number("number");
-        reply.epoch = in.number("epoch");
-        reply.seq = in.number("seq");
-        reply.term = in.span("term_us");
-        reply.again = in.span("again_us");
-        reply.gap = in.span("gap_us");
-        in.for_each("grants", max_needs, [&](const Fields& each) {
-            reply.grants.push_back({each.name("budget"), each.amount("share")});
+    return decode<budget::LeaseReply>(
+        text, max_message_size, [](const Fields& in, budget::LeaseReply& reply) {
+            reply.verdict = in.one_of("verdict", all_verdicts);
+            reply.why = in.why("why");
+            reply.number = in.number("number");
+            reply.epoch = in.number("epoch");
+            reply.seq = in.number("seq");
+            reply.term = in.span("term_us");
+            reply.retry_after = in.span("again_us");
+            reply.min_request_interval = in.span("gap_us");
+            in.for_each("grants", max_needs, [&](const Fields& each) {
+                reply.grants.push_back({each.name("budget"), each.amount("share")});
+            });
         });
-    });
 }
 
 std::string encode(const View& view) {
@@ -157,7 +158,7 @@
 }
 
 std::variant<View, Malformed> decode_view(std::string_view text) {
-    return decode<View>(text, view_most, [](const Fields& in, View& view) {
+    return decode<View>(text, max_view_size, [](const Fields& in, View& view) {
         view.epoch = in.number("epoch");
         view.waits = Micros(in.integer("waits_us", 0, max_time));
         view.stepped_down = in.flag("stepped_down");
--- a/src/coordinator/wire.h
+++ b/src/coordinator/wire.h
@@ -19,8 +19,8 @@
 
 namespace flaxdoor::coordinator {
 
-inline constexpr std::size_t message_most = 64 * 1024;  // bytes of a request or a reply
-inline constexpr std::size_t view_most = 16 * 1024 * 1024;
+inline constexpr std::size_t max_message_size = 64 * 1024;  // bytes of a request or a reply
+inline constexpr std::size_t max_view_size = 16 * 1024 * 1024;
 inline constexpr std::size_t max_name_size = 64;     // bytes of a holder's, an instance's or a budget's name
 inline constexpr std::size_t max_reason_size = 256;  // bytes of a reason; encoding truncates a longer one
 inline constexpr std::size_t max_needs = 256;
--- a/src/core/addresses.cpp
+++ b/src/core/addresses.cpp
@@ -82,9 +82,9 @@
     }
 }
 
-std::shared_ptr<ColdAccount> Addresses::token_bucket(const std::string& address) {
+std::shared_ptr<SlowStartBucket> Addresses::token_bucket(const std::string& address) {
     AddressState& state = addresses_[address];
-    if (!state.token_bucket) state.token_bucket = std::make_shared<ColdAccount>();
+    if (!state.token_bucket) state.token_bucket = std::make_shared<SlowStartBucket>();
     return state.token_bucket;
 }
 
--- a/src/core/addresses.h
+++ b/src/core/addresses.h
@@ -11,8 +11,8 @@
 // was already listed when the notice was received.
 //
 // Token buckets: there is one for each address, and every entry at the address refers to it
-// (UpstreamEntry::cold). It is retained for a while after the last entry was removed, so that a pool which is
-// removed and added again does not start with a full bucket.
+// (UpstreamEntry::slow_start). It is retained for a while after the last entry was removed, so that a pool
+// which is removed and added again does not start with a full bucket.
 //
 // Threading: not thread-safe.
 #pragma once
@@ -58,7 +58,7 @@
     // Marks the drain notices of a removed pool: any pool's later list may revoke them.
     void orphan_notices(PoolId pool);
     // Returns the address's slow-start token bucket, and creates it if there is none.
-    std::shared_ptr<ColdAccount> token_bucket(const std::string& address);
+    std::shared_ptr<SlowStartBucket> token_bucket(const std::string& address);
     // Drops the addresses without entries whose retention time has passed.
     void purge(Time now);
 
@@ -72,7 +72,7 @@
         bool orphaned = false;
     };
     struct AddressState {
-        std::shared_ptr<ColdAccount> token_bucket;
+        std::shared_ptr<SlowStartBucket> token_bucket;
         std::vector<Entry> entries;
         std::vector<DrainNotice> notices;
         Time keep_until{};  // the latest time that was given for a removed entry
--- a/src/core/admission.h
+++ b/src/core/admission.h
@@ -15,24 +15,24 @@
 
 // The permits of one call. Destroyed when the core drops the call. If an attempt has begun by then and its
 // end was not reported, its outcome is unknown.
-class Permits {
+class CallPermits {
 public:
-    virtual ~Permits() = default;
+    virtual ~CallPermits() = default;
     // Reserves a permit for an attempt that the policy wants to make. Returns false if there is none: the
     // call ends.
-    [[nodiscard]] virtual bool allow(int attempt, Time now) = 0;
+    [[nodiscard]] virtual bool reserve(int attempt, Time now) = 0;
     // Commits the attempt's permit just before its first byte is sent. Returns false if the reservation has
     // lapsed: nothing is sent, and the call ends.
-    [[nodiscard]] virtual bool begin(int attempt, Time now) = 0;
+    [[nodiscard]] virtual bool commit(int attempt, Time now) = 0;
     // Releases the permit of an attempt that has ended here. `known`: the attempt has ended at its server
     // too, or never began.
-    virtual void end(int attempt, bool known, Time now) = 0;
+    virtual void release(int attempt, bool known, Time now) = 0;
     // Returns after how long a client should retry a call that was denied a permit; zero if that is unknown.
     virtual Micros retry_after(Time now) = 0;
 };
 
-struct Admitted {
-    std::unique_ptr<Permits> permits;  // null if the call needs none
+struct AdmissionResult {
+    std::unique_ptr<CallPermits> permits;  // null if the call needs none
     bool refused = false;
     Micros retry_after{};  // zero: unknown
 };
@@ -41,8 +41,8 @@
 public:
     virtual ~Admission() = default;
     // May tighten the call's attempt_limit.
-    [[nodiscard]] virtual Admitted admit(Call& call, const std::string& pool, const Settings& settings,
-                                         Time now) = 0;
+    [[nodiscard]] virtual AdmissionResult admit(Call& call, const std::string& pool, const Settings& settings,
+                                                Time now) = 0;
 };
 
 }  // namespace flaxdoor::core
--- a/src/core/call.h
+++ b/src/core/call.h
@@ -37,9 +37,9 @@
 // A limit on retries besides the policy's. The core asks it before each attempt that follows one whose
 // sending has begun. When it returns false the call ends at once: refused if no attempt may have executed,
 // otherwise failed.
-class RetryGate {
+class RetryAdmission {
 public:
-    virtual ~RetryGate() = default;
+    virtual ~RetryAdmission() = default;
     virtual bool allow(Time now) = 0;
 };
 
@@ -48,17 +48,17 @@
     int class_index = 0;  // in the pool's settings
     // The client's id of the call; empty if it has none. Two calls with one id are never open at once, and
     // none is accepted while an unsafe call with its id may still be executing at an upstream.
-    std::string name;
+    std::string call_id;
     Tenant tenant;
     std::uint64_t key = 0;  // zero: none
     // How long the client waits, counted from `received`. Zero: the client does not say, and
-    // Options::own_limit applies.
+    // Options::default_timeout applies.
     Micros budget{};
     Time received{};  // when the call was received completely; zero: now
     // The part of the budget that passes on the network, before the call is received and after it is
     // answered. The policy gets the rest as the deadline. If the call is not answered by then, the deadline
     // watchdog answers it when half of this part is left.
-    Micros unseen{};
+    Micros network_allowance{};
     // How long an answer may continue after its first bytes have been passed to the client; zero: no limit.
     Micros max_answer_duration{};
     std::optional<Micros> cost_hint;
@@ -66,7 +66,7 @@
     bool write = false;
     std::optional<UpstreamId> pinned;  // the only upstream that may serve the call
     Micros attempt_limit{};            // upper bound on an attempt's timeout, beside the policy's; zero: none
-    std::shared_ptr<RetryGate> retries;  // null: only the policy limits retries
+    std::shared_ptr<RetryAdmission> retries;  // null: only the policy limits retries
     std::shared_ptr<Payload> payload;
 };
 
@@ -74,25 +74,25 @@
 
 // Why a call was not served. The client side words it in its own protocol.
 enum class Cause {
-    none,          // served
-    no_room,       // refused by the policy with nothing sent: no upstream had capacity in time
-    over_budget,   // refused by the core's admission: nothing was sent, or nothing that was sent was executed
-    turned_away,   // upstreams rejected every attempt, or could not be reached
-    timed_out,     // the last attempt was not answered within its timeout
-    broken,        // the last attempt's connection broke after the request had been sent completely
-    error,         // the last attempt's answer was an error or malformed
-    broken_off,    // the answer ended prematurely after its first bytes
-    overdue,       // answered by the deadline watchdog: nothing else had answered the call by then
-    own_shortage,  // this process lacks descriptors, ports or memory
-    pool_removed,  // the pool was removed while the call was open
-    shutting_down,  // not accepted: the core is closed
-    fault,          // an error in this program
+    none,         // served
+    no_capacity,  // refused by the policy with nothing sent: no upstream had capacity in time
+    over_budget,  // refused by the core's admission: nothing was sent, or nothing that was sent was executed
+    rejected_by_upstreams,  // upstreams rejected every attempt, or could not be reached
+    timed_out,              // the last attempt was not answered within its timeout
+    broken,                 // the last attempt's connection broke after the request had been sent completely
+    error,                  // the last attempt's answer was an error or malformed
+    answer_truncated,       // the answer ended prematurely after its first bytes
+    watchdog,               // answered by the deadline watchdog: nothing else had answered the call by then
+    local_resources,        // this process lacks descriptors, ports or memory
+    pool_removed,           // the pool was removed while the call was open
+    shutting_down,          // not accepted: the core is closed
+    fault,                  // an error in this program
 };
 // Returns a text for people, which the protocols may pass on to clients.
 const char* text_of(Cause cause);
 
 // The one final answer of a call.
-struct Final {
+struct FinalAnswer {
     Verdict verdict = Verdict::failed;
     Cause cause = Cause::none;
     Micros retry_after{};             // refused: when the client should retry; zero: no advice
@@ -109,18 +109,18 @@
 struct Attempt {
     AttemptKey key;
     UpstreamId upstream = 0;
-    Time expires{};  // the core calls Back::expire at this time
+    Time expires{};  // the core calls UpstreamConnectionPool::expire at this time
     std::shared_ptr<Payload> payload;
 };
 
-// The result of an attempt. `Outcome::moot` also ends an attempt that this process had no resources for
-// (`own_fault`): such an attempt was not executed, and its result says nothing about the upstream.
+// The result of an attempt. `Outcome::inconclusive` also ends an attempt that this process had no resources
+// for (`local_failure`): such an attempt was not executed, and its result says nothing about the upstream.
 struct AttemptResult {
     AttemptKey key;
-    Outcome outcome = Outcome::moot;
-    bool own_fault = false;
-    bool whole =
-        false;  // the request's last byte was handed to the socket: a cancelled attempt may have executed
+    Outcome outcome = Outcome::inconclusive;
+    bool local_failure = false;
+    // The request's last byte was handed to the socket: a cancelled attempt may have executed.
+    bool fully_sent = false;
     Micros latency{};
     Report report;
     std::unique_ptr<Payload> answer;  // if the outcome is `ok`
--- a/src/core/intake.h
+++ b/src/core/call_acceptor.h
@@ -8,12 +8,13 @@
 
 namespace flaxdoor::core {
 
-class Intake {
+class CallAcceptor {
 public:
-    virtual ~Intake() = default;
-    // The id is the intake's own, not the core's.
-    [[nodiscard]] virtual Taken take(Call call, Front& front, std::uint64_t token, CallId* id) = 0;
-    virtual void leave(CallId call) = 0;
+    virtual ~CallAcceptor() = default;
+    // The id is the acceptor's own, not the core's.
+    [[nodiscard]] virtual AcceptResult accept_call(Call call, Downstream& front, std::uint64_t token,
+                                                   CallId* id) = 0;
+    virtual void abandon_call(CallId call) = 0;
 };
 
 }  // namespace flaxdoor::core
--- a/src/core/core.cpp
+++ b/src/core/core.cpp
@@ -17,15 +17,15 @@
 const char* text_of(Cause cause) {
     switch (cause) {
         case Cause::none: return "none";
-        case Cause::no_room: return "no room";
+        case Cause::no_capacity: return "no room";
         case Cause::over_budget: return "over budget";
-        case Cause::turned_away: return "turned away";
+        case Cause::rejected_by_upstreams: return "turned away";
         case Cause::timed_out: return "timed out";
         case Cause::broken: return "broken";
         case Cause::error: return "error";
-        case Cause::broken_off: return "broken off";
-        case Cause::overdue: return "overdue";
-        case Cause::own_shortage: return "own shortage";
+        case Cause::answer_truncated: return "broken off";
+        case Cause::watchdog: return "overdue";
+        case Cause::local_resources: return "own shortage";
         case Cause::pool_removed: return "pool removed";
         case Cause::shutting_down: return "shutting down";
         case Cause::fault: return "fault";
@@ -35,11 +35,12 @@
 
 namespace {
 
-// The deadline watchdog fires at least this long after the deadline, also when Call::unseen is zero.
+// The deadline watchdog fires at least this long after the deadline, also when Call::network_allowance is
+// zero.
 constexpr Micros watchdog_margin{1};
 // Longer timeouts are cut to this one, so that sums of times do not overflow.
 constexpr Micros max_timeout = std::chrono::hours(24);
-// Delay before Back::expire is called again for an attempt for which it threw.
+// Delay before UpstreamConnectionPool::expire is called again for an attempt for which it threw.
 constexpr Micros expire_retry_delay = std::chrono::milliseconds(10);
 
 // Interval between two polls of the sources for lists that they have not handed in. Bounds for how long such
@@ -55,7 +56,7 @@
         case Outcome::cancelled: return whole;
         case Outcome::full:
         case Outcome::connect_failed:
-        case Outcome::moot: return false;
+        case Outcome::inconclusive: return false;
     }
     return true;
 }
@@ -71,7 +72,7 @@
         case Outcome::timeout: return Cause::timed_out;
         case Outcome::reset: return Cause::broken;
         case Outcome::error: return Cause::error;
-        default: return Cause::turned_away;
+        default: return Cause::rejected_by_upstreams;
     }
 }
 
@@ -98,7 +99,7 @@
 
     // ---------------------------------------------------------------------------------------------- pools
 
-    PoolId add_pool(PoolOptions options, Back& back, Source* source) {
+    PoolId add_pool(PoolOptions options, UpstreamConnectionPool& back, Source* source) {
         const PoolId id = ++last_pool_id_;
         auto pool = std::make_unique<Pool>(*this, id, std::move(options), back, source);
         Pool& added = *pool;
@@ -144,31 +145,32 @@
         return found == pools_.end() || found->second->removed ? nullptr : &found->second->settings;
     }
 
-    std::optional<UpstreamMemory> learned(PoolId id, UpstreamId upstream) const {
+    std::optional<LearnedState> learned_state(PoolId id, UpstreamId upstream) const {
         const auto found = pools_.find(id);
         if (found == pools_.end() || found->second->removed) return std::nullopt;
-        return found->second->policy->learned(upstream);
+        return found->second->policy->learned_state(upstream);
     }
 
     // ---------------------------------------------------------------------------------------- client side
 
-    Taken take(Call call, Front& front, std::uint64_t token, CallId* id) {
-        heed_lists();
+    AcceptResult accept_call(Call call, Downstream& front, std::uint64_t token, CallId* id) {
+        apply_pending_lists();
         Pool* const pool = find_pool(call.pool);
-        if (closed_) return Taken::shutting_down;
-        if (!pool) return Taken::no_pool;
+        if (closed_) return AcceptResult::shutting_down;
+        if (!pool) return AcceptResult::no_pool;
         const auto& classes = pool->settings.classes;
         if (call.class_index < 0 || static_cast<std::size_t>(call.class_index) >= classes.size()) {
-            return Taken::bad_class;
+            return AcceptResult::bad_class;
         }
         const bool unknown = call.tenant.kind == Tenant::Kind::unknown && !pool->settings.tenants.empty();
-        if (options_.refuse_unknown_tenants && unknown) return Taken::unknown_tenant;
-        if (options_.open_calls > 0 && unanswered_ >= options_.open_calls) return Taken::too_many;
+        if (options_.refuse_unknown_tenants && unknown) return AcceptResult::unknown_tenant;
+        if (options_.open_calls > 0 && unanswered_ >= options_.open_calls) return AcceptResult::too_many;
         const Time at = now();
         expire_in_doubt(at);
         // Prevents a repeated effect: servers identify a call by its id. Of two calls with one id that may
         // both execute, one is a repeat, and their answers could not be told apart.
-        if (!call.name.empty() && !call_ids_in_use_.insert(call.name).second) return Taken::name_open;
+        if (!call.call_id.empty() && !call_ids_in_use_.insert(call.call_id).second)
+            return AcceptResult::name_in_use;
         const CallId number = ++last_call_id_;
         if (id) *id = number;
         OpenCall& open = open_calls_[number];
@@ -178,14 +180,14 @@
         open.token = token;
         const Time received = call.received > Time{} ? std::min(call.received, at) : at;
         const Micros budget =
-            call.budget > Micros{0} ? std::min(call.budget, max_timeout) : options_.own_limit;
-        const Micros unseen = std::max(call.unseen, Micros{0});
+            call.budget > Micros{0} ? std::min(call.budget, max_timeout) : options_.default_timeout;
+        const Micros unseen = std::max(call.network_allowance, Micros{0});
         open.deadline = received + budget - std::min(unseen, budget / 2);
         const Time watchdog_at = received + budget - std::min(unseen / 2, budget / 4);
         open.watchdog = timers_.set(std::max(watchdog_at, open.deadline + watchdog_margin),
                                     {TimerKind::watchdog, number, 0});
         open.call = std::move(call);
-        ++figures_.taken;
+        ++figures_.accepted;
         ++unanswered_;
         if (admit(open, *pool, at)) {
             events_.emplace_back(NewCall{number});
@@ -193,28 +195,28 @@
             events_.emplace_back(PermitDenied{number});
         }
         process_queue();
-        return Taken::yes;
+        return AcceptResult::accepted;
     }
 
-    bool name_open(const std::string& name) {
+    bool is_name_in_use(const std::string& name) {
         expire_in_doubt(now());
         return call_ids_in_use_.contains(name);
     }
 
-    bool leave(CallId id) {
+    bool abandon_call(CallId id) {
         const auto found = open_calls_.find(id);
         if (found == open_calls_.end() || found->second.answered) return false;
         OpenCall& open = found->second;
         const bool may_have_run = open.may_have_run();
         mark_answered(open);
-        ++figures_.left;
+        ++figures_.abandoned;
         events_.emplace_back(CallClosed{id, open.call.pool});
         process_queue();
         return may_have_run;
     }
 
     void close() { closed_ = true; }
-    void set_own_limit(Micros limit) { options_.own_limit = limit; }
+    void set_default_timeout(Micros limit) { options_.default_timeout = limit; }
 
     // -------------------------------------------------------------------------------------- upstream side
 
@@ -233,7 +235,7 @@
             bool wanted = true;
             call_port([&] { wanted = open.front->on_sending(open.token); });
             if (!wanted) {
-                if (open.permits) call_port([&] { open.permits->end(key.number, true, at); });
+                if (open.permits) call_port([&] { open.permits->release(key.number, true, at); });
                 return false;
             }
             open.sending_reported = true;
@@ -248,7 +250,7 @@
     }
 
     void on_attempt_end(AttemptResult result) {
-        heed_lists();
+        apply_pending_lists();
         events_.emplace_back(std::move(result));
         process_queue();
     }
@@ -260,7 +262,7 @@
 
     // Prevents sending to an upstream that was marked as draining while this process was stalled: after a
     // stall sockets are read in an arbitrary order.
-    void heed_lists() {
+    void apply_pending_lists() {
         const Time at = clock_.now();
         if (processing_ || applying_lists_ || at - lists_applied_at_ < list_poll_interval) return;
         lists_applied_at_ = at;
@@ -270,7 +272,7 @@
             for (const auto& [id, pool] : pools_) pool_ids.push_back(id);
             for (const PoolId id : pool_ids) {
                 Pool* const pool = find_pool(id);
-                if (pool && pool->source) call_port([&] { pool->source->catch_up(); });
+                if (pool && pool->source) call_port([&] { pool->source->deliver_pending(); });
             }
         });
         applying_lists_ = false;
@@ -278,7 +280,7 @@
 
     // Timers that are set while this runs are handled by a later alarm, even if they are due at once.
     void on_alarm() {
-        heed_lists();
+        apply_pending_lists();
         alarm_at_.reset();
         const Time at = clock_.now();
         for (std::size_t remaining = timers_.size(); remaining > 0; --remaining) {
@@ -291,14 +293,14 @@
         update_alarm();
     }
 
-    Figures figures() const {
-        Figures figures = figures_;
+    Stats figures() const {
+        Stats figures = figures_;
         figures.open = open_calls_.size();
         figures.waiting = unanswered_;
         figures.pools = pools_.size();
         figures.addresses = addresses_.size();
         figures.timers = timers_.size();
-        figures.doubts = in_doubt_calls_.size();
+        figures.in_doubt = in_doubt_calls_.size();
         return figures;
     }
 
@@ -317,10 +319,10 @@
         bool active = true;        // its end has not been reported
         bool sending = false;      // its first byte was handed to the socket
         Time sending_since{};      // when that was
-        bool cancellable = false;  // handed to the Back, and not cancelled
+        bool cancellable = false;  // handed to the connection pool, and not cancelled
         bool may_have_run = false;
         bool own_fault = false;
-        Outcome outcome = Outcome::moot;
+        Outcome outcome = Outcome::inconclusive;
     };
 
     // A call that is not answered, or has an attempt that has not ended.
@@ -328,9 +330,9 @@
         CallId id = 0;
         Call call;
         Effect effect = Effect::unsafe;
-        Group group = Group::all;
+        DeduplicationScope group = DeduplicationScope::all;
         Micros window{};  // the shortest one of the class while the call was open
-        Front* front = nullptr;
+        Downstream* front = nullptr;
         std::uint64_t token = 0;
         Time deadline{};
         std::vector<AttemptState> attempts;
@@ -341,7 +343,7 @@
         bool sending_reported = false;
         bool in_doubt = false;  // an attempt ended here, and its end at the upstream is unknown
         std::optional<Handle> watchdog;
-        std::unique_ptr<Permits> permits;
+        std::unique_ptr<CallPermits> permits;
         std::optional<Micros> denied_retry_after;  // set if a permit was denied; zero: unknown
 
         bool may_have_run() const {
@@ -375,7 +377,7 @@
         }
         // Returns whether a retry is harmless even if the call may have executed.
         bool retry_is_harmless() const {
-            return effect == Effect::safe || (effect == Effect::keyed && group == Group::all);
+            return effect == Effect::safe || (effect == Effect::keyed && group == DeduplicationScope::all);
         }
     };
 
@@ -393,7 +395,8 @@
     // A policy with its pool's list. The policy's actions and log lines wait in the core's queue, so that the
     // policy is never on the stack when a port is called.
     struct Pool final : Actions {
-        Pool(Impl& owner, PoolId number, PoolOptions options, Back& pool_back, Source* pool_source)
+        Pool(Impl& owner, PoolId number, PoolOptions options, UpstreamConnectionPool& pool_back,
+             Source* pool_source)
             : core(owner),
               id(number),
               name(std::move(options.name)),
@@ -416,7 +419,7 @@
         void submit(RequestId request, UpstreamId upstream, Micros timeout) override {
             enqueue({Action::Kind::submit, 0, request, upstream, timeout, 0, {}});
         }
-        void refuse(RequestId request, Micros retry_after) override {
+        void reject(RequestId request, Micros retry_after) override {
             enqueue({Action::Kind::refuse, 0, request, 0, retry_after, 0, {}});
         }
         void fail(RequestId request) override { enqueue({Action::Kind::fail, 0, request, 0, {}, 0, {}}); }
@@ -436,7 +439,7 @@
         void probe(UpstreamId) override {
             core.fault("the policy asked for a probe request, which the core does not support");
         }
-        void tell(std::optional<int>, std::string_view) override {
+        void send_to_peer(std::optional<int>, std::string_view) override {
             core.fault("the policy sent a message to other balancers, which the core does not support");
         }
         void log(std::string_view line) override {
@@ -448,7 +451,7 @@
         const std::string name;
         Settings settings;  // as handed in, without the entry for unknown tenants
         const std::uint64_t seed;
-        Back& back;
+        UpstreamConnectionPool& back;
         Source* const source;
         std::unordered_map<UpstreamId, Member> members;
         std::uint64_t version = 0;
@@ -590,7 +593,7 @@
     void fault(std::string_view what) noexcept {
         ++figures_.faults;
         try {
-            log_.tell(events::fault, what);
+            log_.write(events::fault, what);
         } catch (...) {  // nothing is left to report to
         }
     }
@@ -682,13 +685,13 @@
         OpenCall& open = found->second;
         cancel_timer(attempt->expiry);
         attempt->active = false;
-        attempt->own_fault = result.own_fault;
-        attempt->outcome = result.own_fault ? Outcome::moot : result.outcome;
-        attempt->may_have_run = counts_as_executed(attempt->outcome, result.whole);
-        const bool unknown = ends_in_doubt(attempt->outcome, result.whole);
+        attempt->own_fault = result.local_failure;
+        attempt->outcome = result.local_failure ? Outcome::inconclusive : result.outcome;
+        attempt->may_have_run = counts_as_executed(attempt->outcome, result.fully_sent);
+        const bool unknown = ends_in_doubt(attempt->outcome, result.fully_sent);
         open.in_doubt |= unknown;
         if (open.permits) {
-            call_port([&] { open.permits->end(result.key.number, !unknown || !attempt->sending, now_); });
+            call_port([&] { open.permits->release(result.key.number, !unknown || !attempt->sending, now_); });
         }
         --open.in_flight;
         const bool may_answer = open.started_attempt < 0 || open.started_attempt == result.key.number;
@@ -703,9 +706,9 @@
         if (!open.answered && may_answer && attempt->outcome == Outcome::ok) {
             answer(open, {Verdict::served, Cause::none, {}, true, std::move(result.answer)});
         } else if (!open.answered && open.started_attempt == result.key.number) {
-            answer(open, {Verdict::failed, Cause::broken_off, {}, true, nullptr});
+            answer(open, {Verdict::failed, Cause::answer_truncated, {}, true, nullptr});
         }
-        end.closed = open.answered || open.started_attempt >= 0;
+        end.request_answered = open.answered || open.started_attempt >= 0;
         if (Pool* const pool = find_pool(open.call.pool)) pool->policy->on_attempt_end(now_, end);
         erase_if_finished(result.key.call);
     }
@@ -731,8 +734,8 @@
     // Answers a call when its deadline watchdog fires, whatever went wrong before.
     void answer_overdue(CallId id, OpenCall& open) {
         if (open.answered) return;
-        ++figures_.overdue;
-        answer(open, {Verdict::failed, Cause::overdue, {}, open.may_have_run(), nullptr});
+        ++figures_.watchdog_answers;
+        answer(open, {Verdict::failed, Cause::watchdog, {}, open.may_have_run(), nullptr});
         events_.emplace_back(CallClosed{id, open.call.pool});
         fault("call " + std::to_string(id) + " was not answered by its deadline");
     }
@@ -757,7 +760,7 @@
                 if (pool->source) pool->source->fetch();
                 return;
             case Action::Kind::close_idle: return pool->back.close_idle(action.upstream);
-            case Action::Kind::log: return log_.tell(events::from_module, action.text);
+            case Action::Kind::log: return log_.write(events::from_module, action.text);
         }
     }
 
@@ -793,7 +796,7 @@
     // Reserves the permits of the first attempt. Returns false if the call is denied.
     bool admit(OpenCall& open, const Pool& pool, Time at) {
         if (!options_.admission) return true;
-        Admitted admitted;
+        AdmissionResult admitted;
         if (!call_port(
                 [&] { admitted = options_.admission->admit(open.call, pool.name, pool.settings, at); }))
             admitted.refused = true;
@@ -807,7 +810,7 @@
         const auto number = static_cast<int>(open.attempts.size());
         bool allowed = true;
         open.denied_retry_after.reset();
-        if (open.permits) call_port([&] { allowed = open.permits->allow(number, now_); });
+        if (open.permits) call_port([&] { allowed = open.permits->reserve(number, now_); });
         if (!allowed) {
             record_denial(open, now_);
             return false;
@@ -822,10 +825,10 @@
     bool may_send_first_byte(OpenCall& open, AttemptKey key, Time at) {
         if (!open.permits) return true;
         bool begins = false;
-        call_port([&] { begins = open.permits->begin(key.number, at); });
+        call_port([&] { begins = open.permits->commit(key.number, at); });
         if (!begins) {
             record_denial(open, at);
-            // Queued, because the Back is on the stack.
+            // Queued, because the connection pool is on the stack.
             events_.emplace_back(PermitDenied{key.call, key.number});
         }
         return begins;
@@ -836,14 +839,14 @@
         call_port([&] { open.denied_retry_after = open.permits->retry_after(at); });
     }
 
-    // Answers a call whose next attempt was denied by the retry gate or for lack of a permit.
+    // Answers a call whose next attempt was denied by retry admission or for lack of a permit.
     void end_without_retry(OpenCall& open) {
         const bool may_have_run = open.may_have_run();
         if (!may_have_run) {
-            const Cause cause = open.denied_retry_after ? Cause::over_budget : Cause::turned_away;
+            const Cause cause = open.denied_retry_after ? Cause::over_budget : Cause::rejected_by_upstreams;
             return answer(open, {Verdict::refused, cause, retry_advice(open), false, nullptr});
         }
-        Cause cause = Cause::turned_away;
+        Cause cause = Cause::rejected_by_upstreams;
         for (const AttemptState& attempt : open.attempts) {
             if (attempt.may_have_run) cause = cause_of(attempt.outcome);
         }
@@ -871,7 +874,7 @@
         if (open.answered || open.started_attempt != action.attempt) cancel(open, *attempt, pool);
     }
 
-    // Calls Back::cancel, at most once for an attempt unless it throws.
+    // Calls UpstreamConnectionPool::cancel, at most once for an attempt unless it throws.
     void cancel(OpenCall& open, AttemptState& attempt, Pool& pool) {
         if (!attempt.active || !attempt.cancellable) return;
         const auto number = static_cast<int>(&attempt - open.attempts.data());
@@ -891,7 +894,7 @@
     void end_attempt_unsent(AttemptKey key, bool own_fault) {
         AttemptResult result;
         result.key = key;
-        result.own_fault = own_fault;
+        result.local_failure = own_fault;
         events_.emplace_back(std::move(result));
     }
 
@@ -908,9 +911,9 @@
         const auto& attempts = open.attempts;
         const bool local_failure = std::any_of(attempts.begin(), attempts.end(),
                                                [](const AttemptState& attempt) { return attempt.own_fault; });
-        const Cause cause = attempts.empty() ? Cause::no_room
-                            : local_failure  ? Cause::own_shortage
-                                             : Cause::turned_away;
+        const Cause cause = attempts.empty() ? Cause::no_capacity
+                            : local_failure  ? Cause::local_resources
+                                             : Cause::rejected_by_upstreams;
         answer(open, {Verdict::refused, cause, action.duration, may_have_run, nullptr});
         erase_if_finished(action.request);
     }
@@ -920,10 +923,10 @@
         if (found == open_calls_.end() || found->second.answered || found->second.started_attempt >= 0)
             return;
         OpenCall& open = found->second;
-        Cause cause = Cause::no_room;
+        Cause cause = Cause::no_capacity;
         for (const AttemptState& attempt : open.attempts) {
             cause = attempt.active      ? Cause::timed_out
-                    : attempt.own_fault ? Cause::own_shortage
+                    : attempt.own_fault ? Cause::local_resources
                                         : cause_of(attempt.outcome);
         }
         answer(open, {Verdict::failed, cause, {}, open.may_have_run(), nullptr});
@@ -931,7 +934,7 @@
     }
 
     // Passes the final answer to the client side. All final answers pass through here.
-    void answer(OpenCall& open, Final answer) {
+    void answer(OpenCall& open, FinalAnswer answer) {
         mark_answered(open);
         switch (answer.verdict) {
             case Verdict::served: ++figures_.served; break;
@@ -968,12 +971,12 @@
         const auto found = open_calls_.find(id);
         if (found == open_calls_.end() || !found->second.answered || found->second.in_flight > 0) return;
         OpenCall& open = found->second;
-        if (!open.call.name.empty()) {
+        if (!open.call.call_id.empty()) {
             if (open.effect == Effect::unsafe && open.in_doubt) {
-                in_doubt_calls_.push_back({now_ + options_.in_doubt_retention, std::move(open.call.name)});
+                in_doubt_calls_.push_back({now_ + options_.in_doubt_retention, std::move(open.call.call_id)});
                 expire_in_doubt(now_);
             } else {
-                call_ids_in_use_.erase(open.call.name);
+                call_ids_in_use_.erase(open.call.call_id);
             }
         }
         open_calls_.erase(found);
@@ -1033,10 +1036,10 @@
         if (known != pool.members.end() && known->second.address != member.address) remove_member(pool, id);
         const bool drains = addresses_.update(member.address, pool.id, member.entry, changes);
         member.entry.state = drains ? UpstreamState::draining : UpstreamState::ready;
-        member.entry.cold = addresses_.token_bucket(member.address);
+        member.entry.slow_start = addresses_.token_bucket(member.address);
         call_port([&] { pool.back.set_upstream(id, member.address, !drains); });
         Member& kept = pool.members[id] = member;
-        kept.entry.memory.reset();  // passed to the policy once
+        kept.entry.restored.reset();  // passed to the policy once
     }
 
     void remove_member(Pool& pool, UpstreamId id) {
@@ -1159,7 +1162,7 @@
     std::unordered_set<std::string> call_ids_in_use_;  // of open calls and calls in doubt
     std::deque<InDoubtCall> in_doubt_calls_;
     Addresses addresses_;
-    Figures figures_;
+    Stats figures_;
     CallId last_call_id_ = 0;
     PoolId last_pool_id_ = 0;
     std::unordered_map<PoolId, std::unique_ptr<Pool>> pools_;
@@ -1169,30 +1172,30 @@
     : impl_(std::make_unique<Impl>(clock, alarm, log, options)) {}
 Core::~Core() = default;
 
-PoolId Core::add_pool(PoolOptions options, Back& back, Source* source) {
+PoolId Core::add_pool(PoolOptions options, UpstreamConnectionPool& back, Source* source) {
     return impl_->add_pool(std::move(options), back, source);
 }
 void Core::change_pool(PoolId pool, const Settings& settings) { impl_->change_pool(pool, settings); }
 void Core::remove_pool(PoolId pool) { impl_->remove_pool(pool); }
 const Settings* Core::settings(PoolId pool) const { return impl_->settings(pool); }
-std::optional<UpstreamMemory> Core::learned(PoolId pool, UpstreamId upstream) const {
-    return impl_->learned(pool, upstream);
+std::optional<LearnedState> Core::learned_state(PoolId pool, UpstreamId upstream) const {
+    return impl_->learned_state(pool, upstream);
 }
-Taken Core::take(Call call, Front& front, std::uint64_t token, CallId* id) {
-    return impl_->take(std::move(call), front, token, id);
+AcceptResult Core::accept_call(Call call, Downstream& front, std::uint64_t token, CallId* id) {
+    return impl_->accept_call(std::move(call), front, token, id);
 }
-bool Core::leave(CallId call) { return impl_->leave(call); }
+bool Core::abandon_call(CallId call) { return impl_->abandon_call(call); }
 void Core::close() { impl_->close(); }
-bool Core::name_open(const std::string& name) { return impl_->name_open(name); }
-void Core::set_own_limit(Micros limit) { impl_->set_own_limit(limit); }
+bool Core::is_name_in_use(const std::string& name) { return impl_->is_name_in_use(name); }
+void Core::set_default_timeout(Micros limit) { impl_->set_default_timeout(limit); }
 bool Core::on_attempt_sending(AttemptKey attempt) { return impl_->on_attempt_sending(attempt); }
 void Core::on_attempt_started(AttemptKey attempt, Micros latency, std::unique_ptr<Payload> head) {
     impl_->on_attempt_started(attempt, latency, std::move(head));
 }
 void Core::on_attempt_end(AttemptResult result) { impl_->on_attempt_end(std::move(result)); }
 void Core::on_list(PoolId pool, MemberList list) { impl_->on_list(pool, std::move(list)); }
-void Core::heed_lists() { impl_->heed_lists(); }
+void Core::apply_pending_lists() { impl_->apply_pending_lists(); }
 void Core::on_alarm() { impl_->on_alarm(); }
-Figures Core::figures() const { return impl_->figures(); }
+Stats Core::figures() const { return impl_->figures(); }
 
 }  // namespace flaxdoor::core
--- a/src/core/ports.h
+++ b/src/core/ports.h
@@ -2,7 +2,8 @@
 // whole core run under virtual time.
 //
 // Threading:   all functions are called on the core's one thread.
-// Ownership:   all objects are borrowed and must outlive the core (a Back or Source: its pool).
+// Ownership:   all objects are borrowed and must outlive the core (an UpstreamConnectionPool or Source: its
+//              pool).
 // Re-entrancy: each function may call the core from within; what it reports waits in the core's queue. None
 //              may destroy the core, or throw because of outside events. One that throws (out of memory) must
 //              have had no effect.
@@ -39,7 +40,7 @@
     virtual void event(const Event& event, std::span<const Value> values) = 0;
 
     template <std::size_t N, class... Values>
-    requires(sizeof...(Values) == N) void tell(const EventOf<N>& kind, const Values&... values) {
+    requires(sizeof...(Values) == N) void write(const EventOf<N>& kind, const Values&... values) {
         const std::array<Value, N> all{Value(values)...};
         event(kind, all);
     }
@@ -47,26 +48,27 @@
 
 // The client side: hands in calls and receives their answers. `token` is the value that it gave with the
 // call. No function is called for a call that it has abandoned.
-class Front {
+class Downstream {
 public:
-    virtual ~Front() = default;
+    virtual ~Downstream() = default;
     // Called once for each call, before its first byte is sent: from then on the call may have executed until
     // the contrary is known. Returns false if the call is no longer wanted: then nothing is sent.
     virtual bool on_sending(std::uint64_t) { return true; }
     // Receives the answer's first bytes. From then on the attempt's answer goes to the client, and nothing is
     // sent to another upstream.
     virtual void on_started(std::uint64_t token, std::unique_ptr<Payload> head) = 0;
-    // Called exactly once for each accepted call, possibly while Core::take is on the stack.
-    virtual void on_final(std::uint64_t token, Final answer) = 0;
+    // Called exactly once for each accepted call, possibly while Core::accept_call is on the stack.
+    virtual void on_final(std::uint64_t token, FinalAnswer answer) = 0;
 };
 
 // The upstream side: runs the attempts of one pool. Each attempt that was sent ends in exactly one
 // Core::on_attempt_end, which may be called from within.
-class Back {
+class UpstreamConnectionPool {
 public:
-    virtual ~Back() = default;
+    virtual ~UpstreamConnectionPool() = default;
     // Sets an upstream's address, and whether the upstream accepts new attempts. A connection that is
-    // established after the upstream was set to accept none carries nothing: its attempt ends as moot.
+    // established after the upstream was set to accept none carries nothing: its attempt ends as
+    // inconclusive.
     virtual void set_upstream(UpstreamId upstream, const std::string& address, bool takes_work) = 0;
     // Attempts in flight at the upstream end by themselves. No connection is kept, and no attempt begins.
     virtual void remove_upstream(UpstreamId upstream) = 0;
@@ -91,7 +93,7 @@
     virtual void fetch() = 0;
     // Hands in at once the lists that were received and not read yet. Called before work that may have waited
     // in this process.
-    virtual void catch_up() {}
+    virtual void deliver_pending() {}
 };
 
 }  // namespace flaxdoor::core
--- a/src/door/door.cpp
+++ b/src/door/door.cpp
@@ -68,7 +68,7 @@
     return texts[static_cast<std::size_t>(reason)];
 }
 
-struct Door::Entry {
+struct AdmissionQueue::Entry {
     enum class State { free, queued, evicted, handed };
     State state = State::free;
     std::uint32_t generation = 0;
@@ -84,10 +84,10 @@
     double worth = 0;  // at the arrival; stays the same if the class changes later
     std::size_t bytes = 0;
     bool in_flows = false;  // charged to its flow as well as to its tenant
-    Window::InFlight handed;
+    ConcurrencyWindow::InFlight handed;
 };
 
-struct Door::Tenant {
+struct AdmissionQueue::Tenant {
     TenantTerms terms;
     LimitState limit_state;
     std::unique_ptr<Flows> flows;  // created when a request is first queued
@@ -97,16 +97,16 @@
     TenantFigures figures;
 };
 
-struct Door::Class {
+struct AdmissionQueue::Class {
     ClassTerms terms;
     LimitState limit_state;
     double mean = 0;    // of the service time, in microseconds
     double median = 0;  // the same; moves in steps of a fiftieth of the mean
 };
 
-Door::~Door() = default;
+AdmissionQueue::~AdmissionQueue() = default;
 
-Door::Door(Terms terms, Time now, std::uint64_t seed, const Tokens::Secret& secret)
+AdmissionQueue::AdmissionQueue(Terms terms, Time now, std::uint64_t seed, const RetryTokens::Secret& secret)
     : random_state_(seed),
       client_hash_key_(0),
       tokens_(secret),
@@ -117,14 +117,14 @@
 }
 
 // SplitMix64 (Steele, Lea, Flood 2014).
-std::uint64_t Door::next_random() {
+std::uint64_t AdmissionQueue::next_random() {
     std::uint64_t z = (random_state_ += 0x9e3779b97f4a7c15u);
     z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9u;
     z = (z ^ (z >> 27)) * 0x94d049bb133111ebu;
     return z ^ (z >> 31);
 }
 
-void Door::change(Terms terms, Time now) {
+void AdmissionQueue::change(Terms terms, Time now) {
     check(terms);
     std::vector<std::unique_ptr<Tenant>> tenants;
     Scheduler scheduler(terms.tenants.size() + 1);
@@ -201,19 +201,20 @@
     }
 }
 
-Door::Entry* Door::find(Ticket ticket) {
+AdmissionQueue::Entry* AdmissionQueue::find(Ticket ticket) {
     const auto index = static_cast<std::uint32_t>(ticket) - 1;
     if (index >= entries_.size()) return nullptr;
     Entry& entry = entries_[index];
     return entry.state != Entry::State::free && entry.generation == ticket >> 32 ? &entry : nullptr;
 }
 
-std::size_t Door::memory_of(const Request& request) const {
+std::size_t AdmissionQueue::memory_of(const Request& request) const {
     return request.bytes + sizeof(Entry) + node_bytes;
 }
 
-std::optional<std::pair<Reason, Micros>> Door::check_limits(Time now, Tenant& tenant, Class& request_class,
-                                                            std::uint64_t client) {
+std::optional<std::pair<Reason, Micros>> AdmissionQueue::check_limits(Time now, Tenant& tenant,
+                                                                      Class& request_class,
+                                                                      std::uint64_t client) {
     const auto open = [](const Limits& limits, std::uint32_t count) {
         return limits.open != 0 && count >= limits.open;
     };
@@ -244,7 +245,7 @@
     return std::nullopt;
 }
 
-double Door::share_excess(const Tenant& tenant, std::size_t entries, std::size_t bytes) const {
+double AdmissionQueue::share_excess(const Tenant& tenant, std::size_t entries, std::size_t bytes) const {
     const double share = tenant.terms.weight / total_weight_;
     return std::max(static_cast<double>(entries) / static_cast<double>(terms_.most_entries),
                     static_cast<double>(bytes) / static_cast<double>(terms_.most_bytes)) /
@@ -254,7 +255,7 @@
 // Makes room for a request. While the queue is full, chooses the tenant that exceeds its share by the most and
 // evicts its request of least worth, the latest among equals. If that would be the arriving request, evicts
 // nothing and returns the reason for refusing it.
-std::optional<Reason> Door::evict_for(std::size_t tenant, double worth, std::size_t bytes) {
+std::optional<Reason> AdmissionQueue::evict_for(std::size_t tenant, double worth, std::size_t bytes) {
     // If the limits were reduced while more requests were queued, an arriving request replaces one of them
     // and the rest stay queued.
     const std::size_t most_entries = std::max(terms_.most_entries, waiting_);
@@ -298,7 +299,7 @@
     for (const std::uint32_t index : evicted) {
         dequeue(index);
         entries_[index].state = Entry::State::evicted;
-        evicted_.emplace_back(index, Reason::gave_way);
+        evicted_.emplace_back(index, Reason::evicted);
     }
     return std::nullopt;
 }
@@ -306,7 +307,7 @@
 // Estimates the wait of a new request, assuming calls of equal cost: its flow is served once in a round of
 // the tenant's active flows, and the tenant by its weight among the active tenants. The estimate never
 // exceeds the time to serve all queued requests.
-Micros Door::expected_wait(Time now, const Tenant& tenant, std::size_t flow) const {
+Micros AdmissionQueue::expected_wait(Time now, const Tenant& tenant, std::size_t flow) const {
     // Little's law gives the rate until completions show the capacity.
     const double in_flight = static_cast<double>(window_.in_flight());
     const double by_in_flight = in_flight * in_flight / std::max(in_flight_cost_, 1.0) * 1e6;
@@ -319,8 +320,8 @@
     return micros(std::min(flow_wait, static_cast<double>(waiting_)) / rate * 1e6);
 }
 
-Refusal Door::make_refusal(Time now, std::size_t tenant, int class_index, std::uint64_t client, Reason reason,
-                           Micros soonest) {
+Refusal AdmissionQueue::make_refusal(Time now, std::size_t tenant, int class_index, std::uint64_t client,
+                                     Reason reason, Micros soonest) {
     Tenant& refused_tenant = *tenants_[tenant];
     ++refused_tenant.figures.refused[static_cast<std::size_t>(reason)];
     ++refused_tenant.figures.promised;
@@ -333,7 +334,7 @@
                           static_cast<float>(virtual_time)})};
 }
 
-Door::Arrival Door::arrive(Time now, const Request& request) {
+AdmissionQueue::Arrival AdmissionQueue::enqueue(Time now, const Request& request) {
     const std::size_t tenant = std::min(request.tenant, tenants_.size() - 1);
     Tenant& tenant_state = *tenants_[tenant];
     // A request that arrives while the classes change may have an invalid index; it counts for the last
@@ -423,7 +424,7 @@
     return {ticket, !queued, std::nullopt};
 }
 
-void Door::enqueue(std::uint32_t index, std::optional<double> earliest_start) {
+void AdmissionQueue::enqueue(std::uint32_t index, std::optional<double> earliest_start) {
     Entry& entry = entries_[index];
     Tenant& tenant_state = *tenants_[entry.tenant];
     entry.state = Entry::State::queued;
@@ -438,7 +439,7 @@
     waiting_bytes_ += entry.bytes;
 }
 
-void Door::dequeue(std::uint32_t index) {
+void AdmissionQueue::dequeue(std::uint32_t index) {
     Entry& entry = entries_[index];
     Tenant& tenant_state = *tenants_[entry.tenant];
     tenant_state.flows->remove(entry.flow, entry.queue_key);
@@ -451,7 +452,7 @@
     waiting_bytes_ -= entry.bytes;
 }
 
-void Door::dispatch(std::uint32_t index, Time now, bool others_wait) {
+void AdmissionQueue::dispatch(std::uint32_t index, Time now, bool others_wait) {
     Entry& entry = entries_[index];
     Tenant& tenant_state = *tenants_[entry.tenant];
     (void)scheduler_.charge(entry.tenant, entry.cost);
@@ -463,7 +464,7 @@
     tenant_state.figures.waited_seconds += micros(now - entry.arrived) / 1e6;
 }
 
-void Door::free_entry(std::uint32_t index) {
+void AdmissionQueue::free_entry(std::uint32_t index) {
     Entry& entry = entries_[index];
     Tenant& tenant_state = *tenants_[entry.tenant];
     --tenant_state.limit_state.open;
@@ -479,7 +480,7 @@
     free_.push_back(index);
 }
 
-std::optional<Step> Door::next(Time now) {
+std::optional<Step> AdmissionQueue::next(Time now) {
     const auto refuse = [&](std::uint32_t index, Reason reason) {
         const Entry& entry = entries_[index];
         const Ticket ticket = static_cast<Ticket>(entry.generation) << 32 | (index + 1);
@@ -507,20 +508,20 @@
     return Step{static_cast<Ticket>(entry.generation) << 32 | (index + 1), std::nullopt};
 }
 
-std::optional<Time> Door::next_deadline(Time now) const {
+std::optional<Time> AdmissionQueue::next_deadline(Time now) const {
     if (!evicted_.empty()) return now;
     if (latest_starts_.empty()) return std::nullopt;
     return latest_starts_.begin()->first + Micros(1);
 }
 
-void Door::sending(Ticket ticket, Time now) {
+void AdmissionQueue::on_first_byte(Ticket ticket, Time now) {
     Entry* const entry = find(ticket);
     if (!entry || entry->state != Entry::State::handed) return;
     if (!entry->handed.sent) entry->sent_at = now;
     window_.sending(entry->handed);
 }
 
-std::optional<Refusal> Door::end(Ticket ticket, Time now, Window::End end) {
+std::optional<Refusal> AdmissionQueue::end(Ticket ticket, Time now, ConcurrencyWindow::End end) {
     Entry* const entry = find(ticket);
     if (!entry || entry->state != Entry::State::handed) return std::nullopt;
     Tenant& tenant_state = *tenants_[entry->tenant];
@@ -529,7 +530,7 @@
     scheduler_.settle(entry->tenant, elapsed - entry->cost);
     if (entry->in_flows) tenant_state.flows->settle(entry->flow, elapsed - entry->cost);
     tenant_state.figures.served_seconds += elapsed / 1e6;
-    if (end == Window::End::served) {
+    if (end == ConcurrencyWindow::End::served) {
         retry_schedule_.completed(now);
         request_class.mean += (elapsed - request_class.mean) / 50;
         request_class.median += (elapsed > request_class.median ? 1 : -1) * request_class.mean / 50;
@@ -538,7 +539,7 @@
     window_.end(entry->handed, end);
     in_flight_cost_ = window_.in_flight() == 0 ? 0 : in_flight_cost_ - entry->cost;
     std::optional<Refusal> refused;
-    if (end == Window::End::no_room) {
+    if (end == ConcurrencyWindow::End::no_room) {
         refused = make_refusal(now, entry->tenant, entry->class_index, entry->client, Reason::module,
                                micros(request_class.median));
     }
@@ -546,13 +547,13 @@
     return refused;
 }
 
-void Door::leave(Ticket ticket, Time now) {
+void AdmissionQueue::leave(Ticket ticket, Time now) {
     Entry* const entry = find(ticket);
     if (!entry) return;
     ++tenants_[entry->tenant]->figures.left;
     const auto index = static_cast<std::uint32_t>(ticket) - 1;
     if (entry->state == Entry::State::handed) {
-        (void)end(ticket, now, Window::End::other);
+        (void)end(ticket, now, ConcurrencyWindow::End::other);
     } else if (entry->state == Entry::State::queued) {
         dequeue(index);
         free_entry(index);
@@ -562,7 +563,7 @@
     }
 }
 
-Figures Door::figures(Time now) const {
+Figures AdmissionQueue::figures(Time now) const {
     Figures figures;
     for (const auto& each : tenants_) {
         figures.tenants.push_back(each->figures);
@@ -572,7 +573,7 @@
     figures.waiting = waiting_;
     figures.waiting_bytes = waiting_bytes_;
     figures.in_flight = window_.in_flight();
-    figures.bytes += waiting_bytes_ + sizeof(Door) + (entries_.size() - waiting_) * sizeof(Entry);
+    figures.bytes += waiting_bytes_ + sizeof(AdmissionQueue) + (entries_.size() - waiting_) * sizeof(Entry);
     figures.window = window_.size();
     figures.capacity_per_s = retry_schedule_.capacity(now, {});
     figures.promised = retry_schedule_.assigned();
@@ -580,8 +581,8 @@
     return figures;
 }
 
-std::size_t Door::most_bytes() const {
-    return terms_.most_bytes + tenants_.size() * (Flows::bytes() + sizeof(Tenant)) + sizeof(Door) +
+std::size_t AdmissionQueue::most_bytes() const {
+    return terms_.most_bytes + tenants_.size() * (Flows::bytes() + sizeof(Tenant)) + sizeof(AdmissionQueue) +
            entries_.size() * sizeof(Entry);
 }
 
--- a/src/door/door.h
+++ b/src/door/door.h
@@ -32,7 +32,7 @@
 enum class Reason {
     total_entries,  // the queue is full, and no other tenant exceeds its share by more
     total_bytes,
-    gave_way,  // evicted from the full queue, since its tenant exceeded its share by the most
+    evicted,  // evicted from the full queue, since its tenant exceeded its share by the most
     tenant_open,
     tenant_rate,
     client_open,
@@ -132,12 +132,12 @@
     std::uint64_t promised = 0, excess = 0;
 };
 
-class Door {
+class AdmissionQueue {
 public:
-    Door(Terms terms, Time now, std::uint64_t seed, const Tokens::Secret& secret);
-    ~Door();
-    Door(const Door&) = delete;
-    Door& operator=(const Door&) = delete;
+    AdmissionQueue(Terms terms, Time now, std::uint64_t seed, const RetryTokens::Secret& secret);
+    ~AdmissionQueue();
+    AdmissionQueue(const AdmissionQueue&) = delete;
+    AdmissionQueue& operator=(const AdmissionQueue&) = delete;
 
     // Applies new terms. Tenants and classes are identified by name. Queued requests of a removed tenant move
     // to others.
@@ -149,16 +149,16 @@
         bool handed = false;  // true if the request is to be dispatched now, false if it is queued
         std::optional<Refusal> refused;
     };
-    [[nodiscard]] Arrival arrive(Time now, const Request& request);
+    [[nodiscard]] Arrival enqueue(Time now, const Request& request);
     // Returns the next action, or empty if there is none.
     [[nodiscard]] std::optional<Step> next(Time now);
     // Returns when to call next() again if no other call is made before.
     [[nodiscard]] std::optional<Time> next_deadline(Time now) const;
 
-    // sending() reports that the first byte of a dispatched request is sent, end() that the request has
+    // on_first_byte() reports that the first byte of a dispatched request is sent, end() that the request has
     // ended. For a request that the module refused, end() returns the refusal with its retry time.
-    void sending(Ticket ticket, Time now);
-    [[nodiscard]] std::optional<Refusal> end(Ticket ticket, Time now, Window::End end);
+    void on_first_byte(Ticket ticket, Time now);
+    [[nodiscard]] std::optional<Refusal> end(Ticket ticket, Time now, ConcurrencyWindow::End end);
     // Reports that the client has gone, whether its request is queued or dispatched.
     void leave(Ticket ticket, Time now);
     // Queues no more requests. Queued ones are still dispatched.
@@ -197,8 +197,8 @@
     Terms terms_;
     double max_worth_ = 0, total_weight_ = 0;
     std::uint64_t random_state_, client_hash_key_;
-    Tokens tokens_;
-    Window window_;
+    RetryTokens tokens_;
+    ConcurrencyWindow window_;
     RetrySchedule retry_schedule_;
     Scheduler scheduler_;
     std::vector<std::unique_ptr<Tenant>> tenants_;
--- a/src/door/explain.cpp
+++ b/src/door/explain.cpp
@@ -206,7 +206,7 @@
         request.bytes = 1000;
         const std::size_t tenant = std::min(request.tenant, rows_.size() - 1);
         ++rows_[tenant].came;
-        const auto arrival = queue_.arrive(now_, request);
+        const auto arrival = queue_.enqueue(now_, request);
         if (arrival.refused) return record_refusal(tenant, *arrival.refused);
         open_[arrival.ticket] = {load_index, tenant, now_};
         if (arrival.handed) dispatch(arrival.ticket);
@@ -233,7 +233,7 @@
         for (; free_servers_ > 0 && !module_queue_.empty(); module_queue_.pop_front()) {
             --free_servers_;
             const Ticket ticket = module_queue_.front();
-            queue_.sending(ticket, now_);
+            queue_.on_first_byte(ticket, now_);
             const bool slow = now_ >= begin + script_.slow_from && now_ < begin + script_.slow_to;
             const auto service = static_cast<double>(script_.loads[open_.at(ticket).load].service.count());
             events_.push({now_ + Micros(static_cast<Micros::rep>(service * (slow ? script_.slowed : 1))),
@@ -245,7 +245,7 @@
         ++free_servers_;
         ++rows_[open_.at(ticket).tenant].served;
         open_.erase(ticket);
-        (void)queue_.end(ticket, now_, Window::End::served);
+        (void)queue_.end(ticket, now_, ConcurrencyWindow::End::served);
         start_calls();
     }
 
@@ -326,7 +326,7 @@
     const Terms& terms_;
     const Script& script_;
     Time now_ = begin;
-    Door queue_;
+    AdmissionQueue queue_;
     std::mt19937_64 random_;
     std::size_t free_servers_;
     std::vector<Row> rows_, totals_;
