--- a/src/door/gate.cpp
+++ b/src/door/gate.cpp
@@ -6,12 +6,13 @@
 
 namespace flaxdoor::door {
 
-Gate::Gate(const World& world, Terms terms, Options options, std::uint64_t seed, const Tokens::Secret& secret)
+QueuedCallAcceptor::QueuedCallAcceptor(const Dependencies& world, Terms terms, Options options,
+                                       std::uint64_t seed, const RetryTokens::Secret& secret)
     : world_(world), options_(options), queue_(std::move(terms), world.clock.now(), seed, secret) {}
 
-Gate::~Gate() = default;
+QueuedCallAcceptor::~QueuedCallAcceptor() = default;
 
-void Gate::change(Terms terms, Options options) {
+void QueuedCallAcceptor::change(Terms terms, Options options) {
     const Terms old_terms = queue_.terms();
     queue_.change(std::move(terms), world_.clock.now());
     options_ = options;
@@ -36,22 +37,22 @@
     }
 }
 
-void Gate::asked_by(std::string client, std::string retry_token, std::size_t bytes) {
+void QueuedCallAcceptor::set_next_requester(std::string client, std::string retry_token, std::size_t bytes) {
     request_client_ = std::move(client);
     request_token_ = std::move(retry_token);
     request_bytes_ = bytes;
 }
 
-void Gate::begin_drain() { queue_.drain(); }
+void QueuedCallAcceptor::begin_drain() { queue_.drain(); }
 
-void Gate::stop() {
+void QueuedCallAcceptor::stop() {
     std::vector<Ticket> waiting;
     for (const auto& [ticket, held] : calls_) {
         if (!held.handed) waiting.push_back(ticket);
     }
     for (const Ticket ticket : waiting) {
         queue_.leave(ticket, world_.clock.now());
-        core::Final final;
+        core::FinalAnswer final;
         final.verdict = core::Verdict::refused;
         final.cause = core::Cause::shutting_down;
         try {
@@ -62,19 +63,21 @@
     }
 }
 
-void Gate::on_alarm() { run_queue(); }
+void QueuedCallAcceptor::on_alarm() { run_queue(); }
 
-Figures Gate::figures() const { return queue_.figures(world_.clock.now()); }
+Figures QueuedCallAcceptor::figures() const { return queue_.figures(world_.clock.now()); }
 
-// ------------------------------------------------------------------------------------------------ intake
+// ------------------------------------------------------------------------------------------------ call acceptor
 
-core::Taken Gate::take(core::Call call, core::Front& front, std::uint64_t token, core::CallId* id) {
+core::AcceptResult QueuedCallAcceptor::accept_call(core::Call call, core::Downstream& front,
+                                                   std::uint64_t token, core::CallId* id) {
     const Time now = world_.clock.now();
     if (call.received == Time{}) call.received = now;
     // Guards against a duplicate effect: a refusal by the queue states that nothing was executed, but a call
     // of the same name may have been.
-    if (!call.name.empty() && (queued_names_.contains(call.name) || world_.core.name_open(call.name)))
-        return core::Taken::name_open;
+    if (!call.call_id.empty() &&
+        (queued_names_.contains(call.call_id) || world_.core.is_name_in_use(call.call_id)))
+        return core::AcceptResult::name_in_use;
 
     Request request;
     request.tenant = call.tenant.kind == core::Tenant::Kind::known
@@ -88,17 +91,17 @@
     request.client = client;
     request.token = retry_token;
     request.class_index = call.class_index;
-    request.deadline =
-        call.received + (call.budget > Micros{} ? call.budget : options_.own_limit) - call.unseen;
+    request.deadline = call.received + (call.budget > Micros{} ? call.budget : options_.default_timeout) -
+                       call.network_allowance;
     request.cost_hint = call.cost_hint;
-    request.bytes = sizeof(HeldCall) + 2 * call.name.size() + client.size() + request_bytes_;
-    const auto arrival = queue_.arrive(now, request);
+    request.bytes = sizeof(HeldCall) + 2 * call.call_id.size() + client.size() + request_bytes_;
+    const auto arrival = queue_.enqueue(now, request);
     if (arrival.refused) {
         retry_token_ = options_.tells ? arrival.refused->token : std::string();
         front.on_final(token, refused_final(*arrival.refused));
         retry_token_.clear();
         run_queue();
-        return core::Taken::yes;
+        return core::AcceptResult::accepted;
     }
     const Ticket ticket = arrival.ticket;
     if (id) *id = ticket;
@@ -108,10 +111,10 @@
     if (arrival.handed) {
         held.handed = true;
         core::CallId in_core = 0;
-        const core::Taken taken = world_.core.take(std::move(call), *this, ticket, &in_core);
+        const core::AcceptResult taken = world_.core.accept_call(std::move(call), *this, ticket, &in_core);
         const auto still = calls_.find(ticket);
-        if (taken != core::Taken::yes) {
-            (void)queue_.end(ticket, now, Window::End::other);
+        if (taken != core::AcceptResult::accepted) {
+            (void)queue_.end(ticket, now, ConcurrencyWindow::End::other);
             calls_.erase(ticket);
         } else if (still != calls_.end()) {
             still->second.in_core = in_core;
@@ -119,83 +122,84 @@
         run_queue();
         return taken;
     }
-    if (!call.name.empty()) queued_names_.insert(call.name);
+    if (!call.call_id.empty()) queued_names_.insert(call.call_id);
     held.call = std::move(call);
     run_queue();
-    return core::Taken::yes;
+    return core::AcceptResult::accepted;
 }
 
-void Gate::leave(core::CallId call) {
+void QueuedCallAcceptor::abandon_call(core::CallId call) {
     const auto found = calls_.find(call);
     if (found == calls_.end()) return;
     const HeldCall held = std::move(found->second);
     calls_.erase(found);
-    queued_names_.erase(held.call.name);
+    queued_names_.erase(held.call.call_id);
     queue_.leave(call, world_.clock.now());
-    if (held.handed) world_.core.leave(held.in_core);
+    if (held.handed) world_.core.abandon_call(held.in_core);
     run_queue();
 }
 
-void Gate::dispatch(Ticket ticket) {
+void QueuedCallAcceptor::dispatch(Ticket ticket) {
     HeldCall& held = calls_.at(ticket);
     held.handed = true;
-    queued_names_.erase(held.call.name);
+    queued_names_.erase(held.call.call_id);
     core::CallId in_core = 0;
-    const core::Taken taken = world_.core.take(std::move(held.call), *this, ticket, &in_core);
+    const core::AcceptResult taken = world_.core.accept_call(std::move(held.call), *this, ticket, &in_core);
     const auto still = calls_.find(ticket);
     if (still == calls_.end()) return;  // already answered
     still->second.call = {};
     still->second.in_core = in_core;
-    if (taken == core::Taken::yes) return;
-    (void)queue_.end(ticket, world_.clock.now(), Window::End::other);
-    core::Final final;
+    if (taken == core::AcceptResult::accepted) return;
+    (void)queue_.end(ticket, world_.clock.now(), ConcurrencyWindow::End::other);
+    core::FinalAnswer final;
     // A call of the same name may still be running, so it is not known whether a retry is safe.
-    const bool open = taken == core::Taken::name_open;
+    const bool open = taken == core::AcceptResult::name_in_use;
     final.verdict = open ? core::Verdict::failed : core::Verdict::refused;
-    final.cause = open ? core::Cause::fault : core::Cause::no_room;
+    final.cause = open ? core::Cause::fault : core::Cause::no_capacity;
     final.may_have_run = open;
     answer(ticket, std::move(final), {});
 }
 
-void Gate::answer(Ticket ticket, core::Final final, const std::string& token) {
+void QueuedCallAcceptor::answer(Ticket ticket, core::FinalAnswer final, const std::string& token) {
     const auto found = calls_.find(ticket);
     if (found == calls_.end()) return;
-    core::Front& front = *found->second.front;
+    core::Downstream& front = *found->second.front;
     const std::uint64_t front_token = found->second.token;
-    queued_names_.erase(found->second.call.name);
+    queued_names_.erase(found->second.call.call_id);
     calls_.erase(found);
     retry_token_ = token;
     front.on_final(front_token, std::move(final));
     retry_token_.clear();
 }
 
-core::Final Gate::refused_final(const Refusal& refusal) const {
-    core::Final final;
+core::FinalAnswer QueuedCallAcceptor::refused_final(const Refusal& refusal) const {
+    core::FinalAnswer final;
     final.verdict = core::Verdict::refused;
-    final.cause = core::Cause::no_room;
+    final.cause = core::Cause::no_capacity;
     if (options_.tells) final.retry_after = refusal.retry_after;
     return final;
 }
 
 // Answers a call whose dispatch threw an exception. Its state is not known any more.
-void Gate::fail(Ticket ticket) noexcept {
+void QueuedCallAcceptor::fail(Ticket ticket) noexcept {
     try {
-        (void)queue_.end(ticket, world_.clock.now(), Window::End::other);
-        core::Final final;
+        (void)queue_.end(ticket, world_.clock.now(), ConcurrencyWindow::End::other);
+        core::FinalAnswer final;
         final.cause = core::Cause::fault;
         final.may_have_run = true;
         answer(ticket, std::move(final), {});
-    } catch (...) {  // the front has been notified as far as possible
+    } catch (...) {  // the downstream has been notified as far as possible
         retry_token_.clear();
     }
 }
 
 // Performs all pending actions of the queue. A nested call does nothing, since the outer one continues.
-void Gate::run_queue() {
+void QueuedCallAcceptor::run_queue() {
     if (running_queue_) return;
     running_queue_ = true;
     while (const auto step = queue_.next(world_.clock.now())) {
-        // As in the core, an exception of a front ends its own step only and does not affect other calls.
+        // As in the core, an exception of a downstream ends its own step only and does not affect other
+        // calls.
         try {
             if (step->refused) {
                 answer(step->ticket, refused_final(*step->refused),
@@ -213,25 +217,25 @@
 
 // --------------------------------------------------------------------------------------- dispatched calls
 
-bool Gate::on_sending(std::uint64_t token) {
+bool QueuedCallAcceptor::on_sending(std::uint64_t token) {
     const auto found = calls_.find(token);
     if (found == calls_.end()) return false;
-    core::Front& front = *found->second.front;
+    core::Downstream& front = *found->second.front;
     const std::uint64_t front_token = found->second.token;
-    queue_.sending(token, world_.clock.now());
+    queue_.on_first_byte(token, world_.clock.now());
     const bool wanted = front.on_sending(front_token);
     run_queue();
     return wanted;
 }
 
-void Gate::on_started(std::uint64_t token, std::unique_ptr<core::Payload> head) {
+void QueuedCallAcceptor::on_started(std::uint64_t token, std::unique_ptr<core::Payload> head) {
     const auto found = calls_.find(token);
     if (found != calls_.end()) found->second.front->on_started(found->second.token, std::move(head));
 }
 
-void Gate::on_final(std::uint64_t token, core::Final final) {
-    using End = Window::End;
-    const bool no_room = final.verdict == core::Verdict::refused && final.cause == core::Cause::no_room;
+void QueuedCallAcceptor::on_final(std::uint64_t token, core::FinalAnswer final) {
+    using End = ConcurrencyWindow::End;
+    const bool no_room = final.verdict == core::Verdict::refused && final.cause == core::Cause::no_capacity;
     const End end = no_room                                  ? End::no_room
                     : final.verdict == core::Verdict::served ? End::served
                                                              : End::other;
--- a/src/door/token.cpp
+++ b/src/door/token.cpp
@@ -26,7 +26,7 @@
     return value;
 }
 
-std::array<unsigned char, 32> mac_of(const Tokens::Secret& secret, const Bytes& bytes) {
+std::array<unsigned char, 32> mac_of(const RetryTokens::Secret& secret, const Bytes& bytes) {
     std::array<unsigned char, 32> mac{};
     unsigned size = 0;
     if (!HMAC(EVP_sha256(), secret.data(), static_cast<int>(secret.size()), bytes.data(), body_size,
@@ -37,7 +37,7 @@
 
 }  // namespace
 
-std::string Tokens::sign(const RetryClaim& claim) const {
+std::string RetryTokens::sign(const RetryClaim& claim) const {
     Bytes bytes{};
     write_big_endian(bytes, 0, claim.slot, 4);
     write_big_endian(bytes, 4, claim.tenant, 2);
@@ -55,7 +55,7 @@
     return text;
 }
 
-std::optional<RetryClaim> Tokens::verify(std::string_view text) const {
+std::optional<RetryClaim> RetryTokens::verify(std::string_view text) const {
     if (text.size() != 2 * token_size) return std::nullopt;
     Bytes bytes{};
     for (std::size_t i = 0; i < text.size(); ++i) {
--- a/src/door/token.h
+++ b/src/door/token.h
@@ -25,10 +25,10 @@
     bool operator==(const RetryClaim&) const = default;
 };
 
-class Tokens {
+class RetryTokens {
 public:
     using Secret = std::array<unsigned char, 32>;
-    explicit Tokens(const Secret& secret) : secret_(secret) {}
+    explicit RetryTokens(const Secret& secret) : secret_(secret) {}
 
     [[nodiscard]] std::string sign(const RetryClaim& claim) const;
     // Returns empty unless the text is a token signed with this secret.
--- a/src/door/window.cpp
+++ b/src/door/window.cpp
@@ -4,7 +4,7 @@
 
 namespace flaxdoor::door {
 
-bool Window::has_room(Time now, bool others_wait) const {
+bool ConcurrencyWindow::has_room(Time now, bool others_wait) const {
     const std::size_t sent = in_flight_ - unsent_.size();
     const bool many_unsent = unsent_.size() > 1 + sent / 8;
     if (others_wait && many_unsent) return false;
@@ -13,7 +13,7 @@
     return !others_wait || static_cast<double>(in_flight_) < size_;
 }
 
-Window::InFlight Window::dispatch(Time now, bool others_wait) {
+ConcurrencyWindow::InFlight ConcurrencyWindow::dispatch(Time now, bool others_wait) {
     ++in_flight_;
     ++dispatched_;
     if (!others_wait)
@@ -21,13 +21,13 @@
     return {unsent_.insert(unsent_.end(), now), false, dispatched_};
 }
 
-void Window::sending(InFlight& call) {
+void ConcurrencyWindow::sending(InFlight& call) {
     if (call.sent) return;
     call.sent = true;
     unsent_.erase(call.unsent);
 }
 
-void Window::end(InFlight& call, End end) {
+void ConcurrencyWindow::end(InFlight& call, End end) {
     if (!call.sent) unsent_.erase(call.unsent);
     call.sent = true;
     if (end == End::no_room && call.number > shrunk_at_) {
--- a/src/door/window.h
+++ b/src/door/window.h
@@ -23,9 +23,9 @@
 
 namespace flaxdoor::door {
 
-class Window {
+class ConcurrencyWindow {
 public:
-    explicit Window(Micros patience) : patience_(patience) {}
+    explicit ConcurrencyWindow(Micros patience) : patience_(patience) {}
 
     struct InFlight {
         std::list<Time>::iterator unsent;
--- a/src/engine/doorway.cpp
+++ b/src/engine/admission_queue_handler.cpp
@@ -1,10 +1,10 @@
-#include "engine/doorway.h"
+#include "engine/admission_queue_handler.h"
 
 #include <openssl/rand.h>
 
 #include <stdexcept>
 
-#include "engine/door_terms.h"
+#include "engine/admission_queue_options.h"
 #include "log/events.h"
 #include "settings/tables/core.h"
 #include "settings/tables/door.h"
@@ -16,14 +16,14 @@
 namespace keys = settings::door;
 constexpr std::string_view token_field = "Retry-Token";
 
-door::Tokens::Secret new_secret() {
-    door::Tokens::Secret secret{};
+door::RetryTokens::Secret new_secret() {
+    door::RetryTokens::Secret secret{};
     if (RAND_bytes(secret.data(), static_cast<int>(secret.size())) != 1)
         throw std::invalid_argument("[door]: no random bytes available for the key of retry tokens");
     return secret;
 }
 
-door::Gate::Options options_of(const Settings& settings, const settings::Values& operators) {
+door::QueuedCallAcceptor::Options options_of(const Settings& settings, const settings::Values& operators) {
     return {settings.retry_after, operators.get(settings::core::default_deadline),
             operators.row("door").get(keys::client) == keys::Client::key};
 }
@@ -34,8 +34,8 @@
 
 }  // namespace
 
-AdmissionQueueHandler::AdmissionQueueHandler(const door::Gate::World& world, core::Log& log,
-                                             http::Handler& handler, const Settings& settings,
+AdmissionQueueHandler::AdmissionQueueHandler(const door::QueuedCallAcceptor::Dependencies& world,
+                                             core::Log& log, http::Handler& handler, const Settings& settings,
                                              const settings::Values& operators, std::uint64_t seed)
     : log_(log),
       handler_(handler),
@@ -44,8 +44,8 @@
 
 door::Terms AdmissionQueueHandler::terms_of(const Settings& settings,
                                             const settings::Values& operators) const {
-    return door_terms(settings, operators,
-                      [this](const std::string& what) { log_.tell(log::events::door_terms, what); });
+    return admission_queue_options(
+        settings, operators, [this](const std::string& what) { log_.write(log::events::door_terms, what); });
 }
 
 void AdmissionQueueHandler::apply_settings(const Settings& settings, const settings::Values& operators) {
@@ -65,31 +65,32 @@
                 line += std::string(", ") + door::text_of(static_cast<door::Reason>(i)) + " " +
                         std::to_string(each.refused[i]);
         }
-        log_.tell(log::events::door_tenant, each.name,
-                  line + ", promised " + std::to_string(each.promised) + ", returned " +
-                      std::to_string(each.returned) + ", with an invalid token " +
-                      std::to_string(each.unheeded));
+        log_.write(log::events::door_tenant, each.name,
+                   line + ", promised " + std::to_string(each.promised) + ", returned " +
+                       std::to_string(each.returned) + ", with an invalid token " +
+                       std::to_string(each.unheeded));
     }
 }
 
-std::variant<http::Handler::Answer, http::Handler::Ask> AdmissionQueueHandler::on_request(
-    http::Request message, const From& from) {
+std::variant<http::Handler::LocalResponse, http::Handler::Forward> AdmissionQueueHandler::on_request(
+    http::Request message, const ConnectionInfo& from) {
     std::string client;
     if (!client_header_.empty()) client = message.fields[client_header_];
     if (client.empty()) client = from.peer().address().to_string();
-    gate_.asked_by(std::move(client), std::string(message.fields[token_field]),
-                   message.fields.block().size() + message.target.size() + message.body.size());
+    gate_.set_next_requester(std::move(client), std::string(message.fields[token_field]),
+                             message.fields.block().size() + message.target.size() + message.body.size());
     return handler_.on_request(std::move(message), from);
 }
 
-http::Response AdmissionQueueHandler::on_final(core::Final final, http::Asked* asked) {
+http::Response AdmissionQueueHandler::on_final(core::FinalAnswer final, http::RequestContext* asked) {
     http::Response response = handler_.on_final(std::move(final), asked);
-    if (!gate_.telling().empty()) response.fields.set(token_field, gate_.telling());
+    if (!gate_.current_retry_token().empty()) response.fields.set(token_field, gate_.current_retry_token());
     return response;
 }
 
-http::Handler::Answer AdmissionQueueHandler::on_not_taken(core::Taken taken, http::Asked* asked) {
-    return handler_.on_not_taken(taken, asked);
+http::Handler::LocalResponse AdmissionQueueHandler::on_call_rejected(core::AcceptResult taken,
+                                                                     http::RequestContext* asked) {
+    return handler_.on_call_rejected(taken, asked);
 }
 
 }  // namespace flaxdoor::engine
--- a/src/engine/door_terms.cpp
+++ b/src/engine/admission_queue_options.cpp
@@ -1,4 +1,4 @@
-#include "engine/door_terms.h"
+#include "engine/admission_queue_options.h"
 
 #include <algorithm>
 
@@ -16,8 +16,8 @@
 
 }  // namespace
 
-door::Terms door_terms(const Settings& settings, const settings::Values& operators,
-                       const std::function<void(const std::string&)>& log) {
+door::Terms admission_queue_options(const Settings& settings, const settings::Values& operators,
+                                    const std::function<void(const std::string&)>& log) {
     const auto& table = operators.row("door");
     door::Terms terms;
     for (const auto& each : settings.tenants) {
--- a/src/engine/door_terms.h
+++ b/src/engine/admission_queue_options.h
@@ -12,7 +12,7 @@
 namespace flaxdoor::engine {
 
 // `log` receives a message for each row of a tenant or class that the platform does not name.
-[[nodiscard]] door::Terms door_terms(const Settings& settings, const settings::Values& operators,
-                                     const std::function<void(const std::string&)>& log);
+[[nodiscard]] door::Terms admission_queue_options(const Settings& settings, const settings::Values& operators,
+                                                  const std::function<void(const std::string&)>& log);
 
 }  // namespace flaxdoor::engine
--- a/src/engine/budgets.cpp
+++ b/src/engine/budgets.cpp
@@ -67,9 +67,10 @@
         const bool has_other_pools = operators.given("postgres") || operators.given("gateway");
         if (has_other_pools || !(each.pool.empty() || each.pool == "api")) continue;
         if (!each.tenant.empty() && !has_name(config.settings.tenants, each.tenant))
-            log.tell(log::events::budget_terms, each.name + ": the platform names no tenant " + each.tenant);
+            log.write(log::events::budget_terms, each.name + ": the platform names no tenant " + each.tenant);
         if (!each.of_class.empty() && !has_name(config.settings.classes, each.of_class))
-            log.tell(log::events::budget_terms, each.name + ": the platform names no class " + each.of_class);
+            log.write(log::events::budget_terms,
+                      each.name + ": the platform names no class " + each.of_class);
     }
 }
 
--- a/src/engine/config.cpp
+++ b/src/engine/config.cpp
@@ -95,7 +95,7 @@
                 "above 0, at most 1");
         require(settings.fall_span <= Micros{0} || settings.fall_multiple > 0, "invariants.fall_multiple",
                 "above 0 where invariants.fall is given");
-        require(!settings.must_ask_list || settings.ask_within > Micros{0}, "invariants.ask_within",
+        require(!settings.must_request_list || settings.ask_within > Micros{0}, "invariants.ask_within",
                 "above 0 ms where registry_mode is \"ask\"");
         for (std::size_t i = 0; i < settings.classes.size(); ++i)
             check_class("services", i, settings.classes[i]);
--- a/src/engine/engine.cpp
+++ b/src/engine/engine.cpp
@@ -3,17 +3,17 @@
 #include <algorithm>
 #include <boost/asio/steady_timer.hpp>
 
+#include "engine/admission_queue_handler.h"
 #include "engine/budgets.h"
-#include "engine/doorway.h"
-#include "engine/keeper.h"
-#include "engine/side.h"
-#include "http/back.h"
-#include "http/front.h"
+#include "engine/extension.h"
+#include "engine/warm_restart.h"
+#include "http/listener.h"
 #include "http/platform_handler.h"
+#include "http/upstream_connection_pool.h"
 #include "log/events.h"
 #include "loop/alarm.h"
-#include "loop/alive.h"
-#include "membership/roster.h"
+#include "loop/lifetime_guard.h"
+#include "membership/discovery_client.h"
 #include "settings/reload.h"
 #include "settings/tables/core.h"
 #include "settings/tables/drain.h"
@@ -42,17 +42,17 @@
     return static_cast<std::size_t>(static_cast<double>(sockets) * fraction);
 }
 
-http::FrontLimits front_limits(const settings::Values& operators, std::size_t sockets,
-                               std::size_t max_client_connections) {
+http::ListenerLimits front_limits(const settings::Values& operators, std::size_t sockets,
+                                  std::size_t max_client_connections) {
     namespace keys = settings::http;
-    http::FrontLimits limits;
-    limits.most = max_client_connections;
-    limits.asked = fraction_of(sockets, operators.get(keys::keepalive_share));
-    limits.request = operators.get(keys::request_timeout);
-    limits.idle = operators.get(keys::idle_timeout);
-    limits.idle_crowded = operators.get(keys::idle_timeout_crowded);
-    limits.answer = operators.get(keys::send_timeout);
-    limits.linger = operators.get(keys::linger_timeout);
+    http::ListenerLimits limits;
+    limits.max_connections = max_client_connections;
+    limits.max_keepalive_connections = fraction_of(sockets, operators.get(keys::keepalive_share));
+    limits.request_timeout = operators.get(keys::request_timeout);
+    limits.idle_timeout = operators.get(keys::idle_timeout);
+    limits.crowded_idle_timeout = operators.get(keys::idle_timeout_crowded);
+    limits.response_write_timeout = operators.get(keys::send_timeout);
+    limits.linger_timeout = operators.get(keys::linger_timeout);
     limits.linger_bytes = static_cast<std::size_t>(operators.get(keys::linger_bytes).count);
     return limits;
 }
@@ -66,7 +66,7 @@
     }
     options.refuse_unknown_tenants =
         operators.get(settings::core::unknown_tenants) == settings::core::UnknownTenants::refuse;
-    options.own_limit = operators.get(settings::core::default_deadline);
+    options.default_timeout = operators.get(settings::core::default_deadline);
     return options;
 }
 
@@ -82,7 +82,7 @@
 // Ignores all actions: it is used only to construct a Policy, which validates the settings.
 class NullActions final : public Actions {
     void submit(RequestId, UpstreamId, Micros) override {}
-    void refuse(RequestId, Micros) override {}
+    void reject(RequestId, Micros) override {}
     void fail(RequestId) override {}
     void cancel(RequestId, int) override {}
     void probe(UpstreamId) override {}
@@ -91,7 +91,7 @@
     void unwatch() override {}
     void fetch() override {}
     void close_idle(UpstreamId) override {}
-    void tell(std::optional<int>, std::string_view) override {}
+    void send_to_peer(std::optional<int>, std::string_view) override {}
     void log(std::string_view) override {}
 };
 
@@ -108,10 +108,10 @@
         : executor_(executor),
           log_(log),
           config_(std::move(options.config)),
-          operators_(std::move(options.operators)),
-          open_calls_(options.open_calls),
-          keep_taking_(options.keep_taking),
-          on_operators_(std::move(options.on_operators)),
+          operators_(std::move(options.operator_settings)),
+          open_calls_(options.max_open_calls),
+          keep_taking_(options.keep_accepting),
+          on_operators_(std::move(options.on_operator_settings)),
           max_connections_(connection_limit(config_)),
           max_client_connections_(
               options.listens ? fraction_of(max_connections_, operators_.get(settings::http::client_share))
@@ -125,45 +125,46 @@
           drain_timer_(executor) {
         alarm_.on_due([this] { core_.on_alarm(); });
         if (operators_.given("store")) {
-            auto keeper_options = Keeper::options_of(operators_);
+            auto keeper_options = WarmRestart::options_of(operators_);
             keeper_options.open_folder = std::move(options.open_folder);
-            keeper_ = std::make_unique<Keeper>(
+            keeper_ = std::make_unique<WarmRestart>(
                 executor, log_, clock_, std::move(keeper_options),
-                recovery::History{loop::text_of(config_.discovery), pool_name, config_.name});
-            config_.known = keeper_->begin(std::move(config_.known), config_.settings);
+                recovery::ListOrigin{loop::text_of(config_.discovery), pool_name, config_.name});
+            config_.known = keeper_->restore(std::move(config_.known), config_.settings);
         }
-        if (options.asks_roster) {
+        if (options.uses_discovery) {
             discovery_ = std::make_unique<membership::DiscoveryClient>(
-                executor, log, config_.discovery, config_.names, !config_.settings.must_ask_list,
-                config_.seed, [this](core::MemberList list) { take_list(std::move(list)); });
+                executor, log, config_.discovery, config_.names, !config_.settings.must_request_list,
+                config_.seed, [this](core::MemberList list) { apply_list(std::move(list)); });
             discovery_->start_from(config_.known.version);
         }
         pool_ = core_.add_pool({pool_name, config_.settings, config_.seed}, upstream_connections_,
                                discovery_.get());
         core_.on_list(pool_, std::move(config_.known));
         if (keeper_)
-            keeper_->remember([this](UpstreamId upstream) { return core_.learned(pool_, upstream); });
+            keeper_->start_recording(
+                [this](UpstreamId upstream) { return core_.learned_state(pool_, upstream); });
         if (options.listens) {
             handler_ = std::make_unique<http::PlatformHandler>(core_, pool_);
             if (operators_.given("door")) {
                 queue_ = std::make_unique<AdmissionQueueHandler>(
-                    door::Gate::World{core_, clock_, queue_alarm_}, log_, *handler_, config_.settings,
-                    operators_, config_.seed);
+                    door::QueuedCallAcceptor::Dependencies{core_, clock_, queue_alarm_}, log_, *handler_,
+                    config_.settings, operators_, config_.seed);
                 queue_alarm_.on_due([this] { queue_->gate().on_alarm(); });
             }
             http::Handler& handler = queue_ ? static_cast<http::Handler&>(*queue_) : *handler_;
-            listener_ = std::make_unique<http::Front>(
+            listener_ = std::make_unique<http::Listener>(
                 executor, core_, handler, clock_,
                 front_limits(operators_, max_connections_, max_client_connections_),
-                http::Front::MakeChannel{}, queue_ ? &queue_->gate() : nullptr);
+                http::Listener::MakeChannel{}, queue_ ? &queue_->gate() : nullptr);
         }
-        create_sides(options.sides);
+        create_sides(options.extensions);
         apply_operators();
         if (budgets_) budgets_->start();
-        if (discovery_ && !config_.settings.must_ask_list) discovery_->watch();
+        if (discovery_ && !config_.settings.must_request_list) discovery_->watch();
         if (!listener_) return;
         listener_->listen(config_.listen);
-        log_.tell(log::events::listening, loop::text_of(listener_->address()));
+        log_.write(log::events::listening, loop::text_of(listener_->address()));
     }
 
     ~Impl() {
@@ -192,36 +193,36 @@
             config_.settings = config.settings;
             config_.report_fields = config.report_fields;
             upstream_connections_.set_options(upstream_options());
-            log_.tell(log::events::settings_taken);
+            log_.write(log::events::settings_taken);
         }
-        if (!discovery_) return log_.tell(log::events::configuration_taken);
-        log_.tell(log::events::discovery_taken, loop::text_of(config.discovery));
+        if (!discovery_) return log_.write(log::events::configuration_taken);
+        log_.write(log::events::discovery_taken, loop::text_of(config.discovery));
         discovery_->move_to(config.discovery);
-        if (keeper_) keeper_->move_to(loop::text_of(config.discovery));
+        if (keeper_) keeper_->set_discovery(loop::text_of(config.discovery));
     }
 
-    bool set_operators(const settings::Values& wanted) {
+    bool apply_operator_settings(const settings::Values& wanted) {
         if (drained_) return true;
         auto change = settings::reload(operators_, wanted);
         if (const auto* faults = std::get_if<settings::Faults>(&change)) {
-            log_.tell(log::events::operators_contradict, faults->first().front().what);
+            log_.write(log::events::operators_contradict, faults->first().front().what);
             return false;
         }
         auto& reload = std::get<settings::Reload>(change);
         for (const auto& each : reload.taken)
-            log_.tell(log::events::operators_taken, settings::line_of(each));
+            log_.write(log::events::operators_taken, settings::line_of(each));
         for (const auto& each : reload.held) {
-            log_.tell(log::events::operators_held, settings::line_of(each));
+            log_.write(log::events::operators_held, settings::line_of(each));
         }
         operators_ = std::move(reload.values);
         apply_operators();
         if (queue_) queue_->apply_settings(config_.settings, operators_);
         bool all_applied = true;
-        for (const auto& side : sides_) all_applied = side->change(operators_) && all_applied;
+        for (const auto& side : sides_) all_applied = side->apply_settings(operators_) && all_applied;
         return all_applied;
     }
 
-    void take_list(core::MemberList list) {
+    void apply_list(core::MemberList list) {
         if (keeper_) keeper_->on_list(list);
         core_.on_list(pool_, std::move(list));
     }
@@ -230,7 +231,7 @@
         if (draining_) return;
         draining_ = true;
         on_drained_ = std::move(drained);
-        log_.tell(log::events::draining);
+        log_.write(log::events::draining);
         Micros longest_deadline{};
         for (const auto& call_class : config_.settings.classes)
             longest_deadline = std::max(longest_deadline, call_class.deadline);
@@ -245,17 +246,17 @@
     }
 
     bool drained() const { return drained_; }
-    core::Figures figures() const { return core_.figures(); }
-    std::optional<door::Figures> door() const {
+    core::Stats figures() const { return core_.figures(); }
+    std::optional<door::Figures> admission_queue_figures() const {
         return queue_ ? std::optional(queue_->gate().figures()) : std::nullopt;
     }
-    std::size_t servers() const { return upstream_connections_.known(); }
+    std::size_t upstreams() const { return upstream_connections_.known(); }
     std::size_t connections() const {
         return connection_budget_.open + (listener_ ? listener_->figures().connections : 0);
     }
 
 private:
-    http::BackOptions upstream_options() const {
+    http::ConnectionPoolOptions upstream_options() const {
         return {config_.settings.connect_timeout, config_.settings.idle_close, config_.report_fields};
     }
 
@@ -263,14 +264,14 @@
         if (listener_)
             listener_->set_limits(front_limits(operators_, max_connections_, max_client_connections_));
         if (discovery_) discovery_->set_limits(discovery_limits(operators_));
-        core_.set_own_limit(core_options(operators_, open_calls_, nullptr).own_limit);
+        core_.set_default_timeout(core_options(operators_, open_calls_, nullptr).default_timeout);
         keep_accepting_ = operators_.get(settings::drain::keep_accepting);
         end_slack_ = operators_.get(settings::drain::end_slack);
         if (on_operators_) on_operators_(operators_);
     }
 
-    void create_sides(const std::vector<SideMaker>& makers) {
-        for (const SideMaker& maker : makers) {
+    void create_sides(const std::vector<ExtensionFactory>& makers) {
+        for (const ExtensionFactory& maker : makers) {
             if (!operators_.given(maker.table)) continue;
             sides_.push_back(maker.make({executor_, core_, clock_, log_, operators_, config_.seed}));
         }
@@ -287,7 +288,7 @@
 
     void finish_drain_after(Micros delay) {
         drain_timer_.expires_after(delay);
-        drain_timer_.async_wait(alive_.guard([this](error_code error) {
+        drain_timer_.async_wait(alive_.wrap([this](error_code error) {
             if (!error) finish_drain();
         }));
     }
@@ -296,18 +297,18 @@
     // answered, so that none is lost at the end. A client that never completes its request is waited for no longer than the
     // longest deadline.
     void finish_drain() {
-        bool busy = (listener_ && listener_->wind_down()) || core_.figures().waiting > 0;
-        for (const auto& side : sides_) busy = side->wind_down() || busy;
+        bool busy = (listener_ && listener_->drain_connections()) || core_.figures().waiting > 0;
+        for (const auto& side : sides_) busy = side->finish_drain() || busy;
         if (busy && clock_.now() < drain_end_) return finish_drain_after(drain_poll_interval);
         drained_ = true;
-        log_.tell(log::events::drained);
+        log_.write(log::events::drained);
         if (discovery_) discovery_->stop();
         core_.close();
         if (queue_) {
             queue_->gate().stop();
             queue_->log_figures();
         }
-        // The keeper reads the learned state here, while the pool still exists.
+        // The warm restart reads the learned state here, while the pool still exists.
         const auto on_finished = [this] {
             if (on_drained_) on_drained_();
         };
@@ -334,21 +335,21 @@
     loop::Alarm alarm_, queue_alarm_;
     std::unique_ptr<FleetBudgets> budgets_;  // with [budget]
     core::Core core_;
-    http::ConnectionBudget connection_budget_;
-    http::Back upstream_connections_;
-    std::unique_ptr<Keeper> keeper_;
+    http::ConnectionLimit connection_budget_;
+    http::UpstreamConnectionPool upstream_connections_;
+    std::unique_ptr<WarmRestart> keeper_;
     std::unique_ptr<membership::DiscoveryClient> discovery_;
     core::PoolId pool_ = 0;
     std::unique_ptr<http::PlatformHandler> handler_;
     std::unique_ptr<AdmissionQueueHandler> queue_;  // with [door]
-    std::unique_ptr<http::Front> listener_;
-    std::vector<std::unique_ptr<Side>> sides_;
+    std::unique_ptr<http::Listener> listener_;
+    std::vector<std::unique_ptr<Extension>> sides_;
     boost::asio::steady_timer drain_timer_;
     bool draining_ = false;
     Time drain_end_{};
     bool drained_ = false;
     std::function<void()> on_drained_;
-    loop::Alive alive_;
+    loop::LifetimeGuard alive_;
 };
 
 Engine::Engine(const loop::Executor& executor, core::Log& log, EngineOptions options)
@@ -360,13 +361,17 @@
 core::PoolId Engine::pool() const { return impl_->pool(); }
 const Config& Engine::config() const { return impl_->config(); }
 void Engine::reconfigure(const Config& config) { impl_->reconfigure(config); }
-bool Engine::set_operators(const settings::Values& wanted) { return impl_->set_operators(wanted); }
-void Engine::take_list(core::MemberList list) { impl_->take_list(std::move(list)); }
+bool Engine::apply_operator_settings(const settings::Values& wanted) {
+    return impl_->apply_operator_settings(wanted);
+}
+void Engine::apply_list(core::MemberList list) { impl_->apply_list(std::move(list)); }
 void Engine::drain(std::function<void()> drained) { impl_->drain(std::move(drained)); }
 bool Engine::drained() const { return impl_->drained(); }
-core::Figures Engine::figures() const { return impl_->figures(); }
-std::optional<door::Figures> Engine::door() const { return impl_->door(); }
-std::size_t Engine::servers() const { return impl_->servers(); }
+core::Stats Engine::figures() const { return impl_->figures(); }
+std::optional<door::Figures> Engine::admission_queue_figures() const {
+    return impl_->admission_queue_figures();
+}
+std::size_t Engine::upstreams() const { return impl_->upstreams(); }
 std::size_t Engine::connections() const { return impl_->connections(); }
 
 }  // namespace flaxdoor::engine
--- a/src/engine/engine.h
+++ b/src/engine/engine.h
@@ -17,7 +17,7 @@
 #include "core/core.h"
 #include "door/door.h"
 #include "engine/config.h"
-#include "engine/side.h"
+#include "engine/extension.h"
 #include "loop/executor.h"
 #include "settings/values.h"
 #include "store/store.h"
@@ -26,19 +26,19 @@
 
 struct EngineOptions {
     Config config;
-    settings::Values operators;  // the operator's file
+    settings::Values operator_settings;  // the operator's file
     bool listens = true;
-    bool asks_roster = true;  // uses service discovery; otherwise lists come through take_list()
+    bool uses_discovery = true;  // uses service discovery; otherwise lists come through apply_list()
     // Limit on open calls; 0: the limit of the operator's file.
-    std::size_t open_calls = 0;
+    std::size_t max_open_calls = 0;
     // Without a listener: how long a drain goes on accepting calls.
-    Micros keep_taking{};
+    Micros keep_accepting{};
     // How the store's folder is opened, where the operator's file has a store.
     store::Store::OpenFolder open_folder = store::open_folder;
     // Optional protocol front ends, each enabled by its table of the operator's file.
-    std::vector<SideMaker> sides{};
+    std::vector<ExtensionFactory> extensions{};
     // Receives the settings in effect, at the start and after each reload that is applied.
-    std::function<void(const settings::Values&)> on_operators{};
+    std::function<void(const settings::Values&)> on_operator_settings{};
 };
 
 class Engine {
@@ -59,18 +59,19 @@
     void reconfigure(const Config& config);
     // Applies those settings of the operator's file that can change at run time. Logs which ones are applied and which take
     // a restart. Returns false and changes nothing if the new values contradict settings that take a restart.
-    bool set_operators(const settings::Values& wanted);
-    void take_list(core::MemberList list);
+    bool apply_operator_settings(const settings::Values& wanted);
+    void apply_list(core::MemberList list);
 
     // Shuts down gracefully: accepts calls for a while longer, answers the open ones, ends, and calls `drained` once. A
     // second call has no effect.
     void drain(std::function<void()> drained);
     bool drained() const;
 
-    core::Figures figures() const;
-    std::optional<door::Figures> door() const;  // of the admission queue; none without [door]
-    std::size_t servers() const;                // number of upstreams that the pool lists
-    std::size_t connections() const;            // number of connections to upstreams and from clients
+    core::Stats figures() const;
+    std::optional<door::Figures> admission_queue_figures()
+        const;                        // of the admission queue; none without [door]
+    std::size_t upstreams() const;    // number of upstreams that the pool lists
+    std::size_t connections() const;  // number of connections to upstreams and from clients
 
 private:
     class Impl;
--- a/src/engine/keeper.cpp
+++ b/src/engine/warm_restart.cpp
@@ -1,4 +1,4 @@
-#include "engine/keeper.h"
+#include "engine/warm_restart.h"
 
 #include <algorithm>
 #include <boost/asio/post.hpp>
@@ -35,7 +35,7 @@
 }  // namespace
 
 // Filled by the store's thread when a store is opened; may be read once `ready` is.
-struct Keeper::Load {
+struct WarmRestart::Load {
     store::Result result;
     store::SpaceId space = 0;
     std::vector<std::pair<std::string, std::string>> values;
@@ -56,12 +56,12 @@
 
 }  // namespace
 
-Keeper::Options Keeper::options_of(const settings::Values& operators) {
+WarmRestart::Options WarmRestart::options_of(const settings::Values& operators) {
     namespace keys = settings::store;
     Options options;
     options.folder = operators.get(keys::folder).text;
     options.open_within = operators.get(keys::open_within);
-    options.remember_every = operators.get(keys::remember_every);
+    options.snapshot_interval = operators.get(keys::remember_every);
     options.half_life = operators.get(keys::half_life);
     options.store.soon = std::chrono::duration_cast<std::chrono::milliseconds>(operators.get(keys::soon));
     options.store.queue_bytes = static_cast<std::size_t>(operators.get(keys::queue_bytes).count);
@@ -73,8 +73,8 @@
     return options;
 }
 
-Keeper::Keeper(const loop::Executor& executor, core::Log& log, const loop::Clock& clock, Options options,
-               recovery::History history)
+WarmRestart::WarmRestart(const loop::Executor& executor, core::Log& log, const loop::Clock& clock,
+                         Options options, recovery::ListOrigin history)
     : executor_(executor),
       log_(log),
       clock_(clock),
@@ -87,11 +87,11 @@
     open();
 }
 
-Keeper::~Keeper() {
+WarmRestart::~WarmRestart() {
     if (store_) (void)store_->close(close_timeout);
 }
 
-void Keeper::open() {
+void WarmRestart::open() {
     const std::uint64_t opening = ++opening_;
     store::Options store_options = options_.store;
     store_options.post = [executor = executor_](std::function<void()> call) {
@@ -99,7 +99,7 @@
     };
     store_ = store::Store::start(
         options_.folder, std::move(store_options),
-        alive_.guard([this, opening](const store::Result& result, const store::Opening& details) {
+        alive_.wrap([this, opening](const store::Result& result, const store::Opening& details) {
             if (opening == opening_) on_opened(result, details);
         }),
         options_.open_folder);
@@ -123,56 +123,56 @@
             }
             promise->set_value();
         },
-        alive_.guard([this, opening, load](const store::Result& result) {
+        alive_.wrap([this, opening, load](const store::Result& result) {
             if (opening == opening_ && result) on_loaded(load);
         }));
 }
 
-void Keeper::on_opened(const store::Result& result, const store::Opening& opening) {
+void WarmRestart::on_opened(const store::Result& result, const store::Opening& opening) {
     if (!result) {
         log_trouble("not used: " + result.why + "; its files stay as they are");
         return reopen_later(result);
     }
     if (opening.dropped > 0) {
-        log_.tell(log::events::store_cut_off, opening.dropped, opening.dropped_in, opening.dropped_at);
+        log_.write(log::events::store_cut_off, opening.dropped, opening.dropped_in, opening.dropped_at);
     }
 }
 
-void Keeper::on_loaded(const std::shared_ptr<Load>& load) {
+void WarmRestart::on_loaded(const std::shared_ptr<Load>& load) {
     if (!load->result) {
         log_trouble("not used: " + load->result.why + "; its files stay as they are");
         return reopen_later(load->result);
     }
-    if (!logged_trouble_.empty()) log_.tell(log::events::store_in_use);
+    if (!logged_trouble_.empty()) log_.write(log::events::store_in_use);
     logged_trouble_.clear();
     space_ = load->space;
-    // The store may have been loaded too late for begin(), which then could not check its history.
-    const auto stored = recovery::history_of(history_.pool, load->values);
-    if (recorder_ && stored && *stored != history_) recorder_->forget_stored();
+    // The store may have been loaded too late for restore(), which then could not check its history.
+    const auto stored = recovery::origin_of(history_.pool, load->values);
+    if (recorder_ && stored && *stored != history_) recorder_->discard_stored_state();
     write_list_soon();
 }
 
 // Opens the store again later, unless it is damaged. All other errors may be temporary: the previous process has not ended
 // yet, or the disk is full.
-void Keeper::reopen_later(const store::Result& why) {
+void WarmRestart::reopen_later(const store::Result& why) {
     space_.reset();
     if (why.status == store::Status::corrupt) return;
     reopen_timer_.expires_after(reopen_interval);
-    reopen_timer_.async_wait(alive_.guard([this](error_code error) {
+    reopen_timer_.async_wait(alive_.wrap([this](error_code error) {
         if (error || ending_) return;
         if (store_) (void)store_->close(std::chrono::milliseconds(0));
         store_.reset();
         under_way_ = 0;
         list_under_way_ = false;
-        if (recorder_) recorder_->on_lost();
+        if (recorder_) recorder_->on_write_lost();
         open();
     }));
 }
 
-core::MemberList Keeper::begin(core::MemberList known, const Settings& settings) {
+core::MemberList WarmRestart::restore(core::MemberList known, const Settings& settings) {
     const std::shared_ptr<Load> load = std::exchange(load_, nullptr);
     const Time now = clock_.now();
-    recovery::Belief belief;
+    recovery::RestoredState belief;
     if (load->ready.wait_for(options_.open_within) != std::future_status::ready) {
         log_trouble("not read within " + std::to_string(options_.open_within.count() / 1000) +
                     " ms: the configuration's list");
@@ -182,45 +182,45 @@
     } else {
         space_ = load->space;
         auto stored = recovery::decode(history_.pool, load->values);
-        for (const auto& fault : stored.faults) log_.tell(log::events::store_not_heeded, fault);
+        for (const auto& fault : stored.faults) log_.write(log::events::store_not_heeded, fault);
         const bool stored_list = stored.list.has_value();
-        belief = recovery::believe(std::move(known), std::move(stored), history_, settings, now,
+        belief = recovery::restore(std::move(known), std::move(stored), history_, settings, now,
                                    options_.half_life);
         log_restored(belief, stored_list);
     }
     // A complete list is recorded as it is: service discovery may never send another one.
     const bool complete = belief.list.kind == ListKind::full;
     recorder_.emplace(history_, belief.list, now);
-    if (belief.other_history) recorder_->forget_stored();
+    if (belief.different_origin) recorder_->discard_stored_state();
     if (complete) on_list(belief.list);
     return std::move(belief.list);
 }
 
-void Keeper::log_restored(const recovery::Belief& belief, bool stored_list) {
-    if (belief.clock_went_back) log_.tell(log::events::store_clock_back);
+void WarmRestart::log_restored(const recovery::RestoredState& belief, bool stored_list) {
+    if (belief.clock_went_back) log_.write(log::events::store_clock_back);
     const std::uint64_t version = belief.list.version;
     if (belief.stored) {
-        log_.tell(log::events::store_list, version, belief.list.members.size(),
-                  std::chrono::duration_cast<std::chrono::seconds>(belief.list.age).count(),
-                  belief.remembered);
-    } else if (belief.other_history) {
-        log_.tell(log::events::store_other_history, version);
+        log_.write(log::events::store_list, version, belief.list.members.size(),
+                   std::chrono::duration_cast<std::chrono::seconds>(belief.list.age).count(),
+                   belief.remembered);
+    } else if (belief.different_origin) {
+        log_.write(log::events::store_other_history, version);
     } else if (stored_list) {
-        log_.tell(log::events::store_as_new, version, belief.remembered);
+        log_.write(log::events::store_as_new, version, belief.remembered);
     } else {
-        log_.tell(log::events::store_empty);
+        log_.write(log::events::store_empty);
     }
 }
 
-void Keeper::remember(recovery::Recorder::Learned learned) {
+void WarmRestart::start_recording(recovery::Recorder::Learned learned) {
     learned_ = std::move(learned);
     write_periodically();
 }
 
-void Keeper::write_periodically() {
-    write_timer_.expires_after(std::max<Micros>(options_.remember_every / recovery::Recorder::slices,
+void WarmRestart::write_periodically() {
+    write_timer_.expires_after(std::max<Micros>(options_.snapshot_interval / recovery::Recorder::slices,
                                                 std::chrono::milliseconds(10)));
-    write_timer_.async_wait(alive_.guard([this](error_code error) {
+    write_timer_.async_wait(alive_.wrap([this](error_code error) {
         if (error || ending_) return;
         if (store_ && space_) {
             if (const auto failed = store_->figures().sync_failed) on_written(*failed);
@@ -233,48 +233,50 @@
     }));
 }
 
-void Keeper::on_list(const core::MemberList& list) {
+void WarmRestart::on_list(const core::MemberList& list) {
     if (ending_) return;
     recorder_->on_list(clock_.now(), list);
     write_list_soon();
 }
 
-void Keeper::move_to(std::string discovery) {
+void WarmRestart::set_discovery(std::string discovery) {
     history_.discovery = discovery;
-    recorder_->move_to(std::move(discovery));
+    recorder_->set_discovery(std::move(discovery));
 }
 
-void Keeper::write_list_soon() {
+void WarmRestart::write_list_soon() {
     if (list_timer_set_ || !recorder_ || !recorder_->has_list_changes()) return;
     list_timer_set_ = true;
     list_timer_.expires_after(list_write_delay);
-    list_timer_.async_wait(alive_.guard([this](error_code error) {
+    list_timer_.async_wait(alive_.wrap([this](error_code error) {
         list_timer_set_ = false;
         if (!error && !ending_) write_list();
     }));
 }
 
 // After a failed write everything is encoded again, so the next write waits until `wait_until_`.
-bool Keeper::may_write() const { return space_ && under_way_ < max_writes && clock_.now() >= wait_until_; }
+bool WarmRestart::may_write() const {
+    return space_ && under_way_ < max_writes && clock_.now() >= wait_until_;
+}
 
 // Writes changes of the list, one write at a time: a write contains the changes since the previous one, so if that one
 // failed the store would contain a mixture of two lists.
-void Keeper::write_list() {
+void WarmRestart::write_list() {
     if (list_under_way_ || !may_write() || !recorder_->has_list_changes()) return;
     try {
         list_under_way_ = write(recorder_->take_list_changes(), store::Level::soon, true);
     } catch (const std::exception& error) {  // a name is not valid UTF-8
-        recorder_->on_lost();
+        recorder_->on_write_lost();
         return log_trouble(std::string("the list is not stored: ") + error.what());
     }
     const bool too_large = recorder_->too_large();
     if (too_large && !logged_too_large_) {
-        log_.tell(log::events::store_too_large, recorder_->members());
+        log_.write(log::events::store_too_large, recorder_->members());
     }
     logged_too_large_ = too_large;
 }
 
-bool Keeper::write(std::vector<recovery::Change> changes, store::Level level, bool list) {
+bool WarmRestart::write(std::vector<recovery::Change> changes, store::Level level, bool list) {
     if (changes.empty()) return false;
     store::Batch batch;
     for (const auto& change : changes) {
@@ -291,7 +293,7 @@
     const std::uint64_t opening = opening_;
     ++under_way_;
     const auto queued = store_->write(
-        std::move(batch), level, alive_.guard([this, opening, list](const store::Engine::Written& written) {
+        std::move(batch), level, alive_.wrap([this, opening, list](const store::Engine::Written& written) {
             if (opening != opening_) return;
             --under_way_;
             if (list) list_under_way_ = false;
@@ -304,9 +306,9 @@
     return false;
 }
 
-void Keeper::on_written(const store::Result& result) {
+void WarmRestart::on_written(const store::Result& result) {
     if (result) {
-        if (!logged_trouble_.empty()) log_.tell(log::events::store_in_use);
+        if (!logged_trouble_.empty()) log_.write(log::events::store_in_use);
         logged_trouble_.clear();
         return;
     }
@@ -315,19 +317,19 @@
     if (result.status != store::Status::retry && space_) reopen_later(result);
 }
 
-void Keeper::on_write_failed(const std::string& message) {
-    recorder_->on_lost();
-    wait_until_ = clock_.now() + options_.remember_every;
+void WarmRestart::on_write_failed(const std::string& message) {
+    recorder_->on_write_lost();
+    wait_until_ = clock_.now() + options_.snapshot_interval;
     log_trouble(message);
 }
 
-void Keeper::log_trouble(const std::string& message) {
+void WarmRestart::log_trouble(const std::string& message) {
     if (message == logged_trouble_) return;
     logged_trouble_ = message;
-    log_.tell(log::events::store_trouble, message);
+    log_.write(log::events::store_trouble, message);
 }
 
-void Keeper::finish(std::function<void()> finished) {
+void WarmRestart::finish(std::function<void()> finished) {
     finished_ = std::move(finished);
     ending_ = true;
     write_timer_.cancel();
@@ -340,7 +342,7 @@
     }
     learned_ = nullptr;
     finish_timer_.expires_after(finish_timeout);
-    finish_timer_.async_wait(alive_.guard([this](error_code) {
+    finish_timer_.async_wait(alive_.wrap([this](error_code) {
         if (auto callback = std::exchange(finished_, nullptr)) callback();
     }));
     settle();
@@ -348,7 +350,7 @@
 
 // While ending, starts the last writes, and ends early when none is in progress. Cancelling the timer runs its handler from
 // the loop, so `finished_` is never called from within finish().
-void Keeper::settle() {
+void WarmRestart::settle() {
     if (!ending_) return;
     if (space_ && under_way_ < max_writes - 1) {
         write_list();
--- a/src/engine/keeper.h
+++ b/src/engine/warm_restart.h
@@ -1,5 +1,5 @@
 // Writes the warm-restart snapshot of a pool to a store beside the program and restores it at the next start. The recorder
-// decides what to write; the store writes it on its own thread. Only begin() waits for the disk, for a limited time.
+// decides what to write; the store writes it on its own thread. Only restore() waits for the disk, for a limited time.
 //
 // Threading: the executor's one thread.   Ownership: log and clock are borrowed and outlive it.
 // Errors:    none is reported to the caller. Each reason why nothing can be stored is logged once; then nothing is stored, or
@@ -17,39 +17,39 @@
 #include <vector>
 
 #include "core/core.h"
-#include "loop/alive.h"
 #include "loop/clock.h"
 #include "loop/executor.h"
-#include "recovery/belief.h"
+#include "loop/lifetime_guard.h"
 #include "recovery/recorder.h"
+#include "recovery/restored_state.h"
 #include "settings/values.h"
 #include "store/store.h"
 
 namespace flaxdoor::engine {
 
-class Keeper {
+class WarmRestart {
 public:
     struct Options {
         std::string folder;
         store::Options store;
-        Micros open_within{}, remember_every{}, half_life{};
+        Micros open_within{}, snapshot_interval{}, half_life{};
         store::Store::OpenFolder open_folder = store::open_folder;
     };
     // Reads the operator's file, which must have the table [store].
     [[nodiscard]] static Options options_of(const settings::Values& operators);
 
-    Keeper(const loop::Executor& executor, core::Log& log, const loop::Clock& clock, Options options,
-           recovery::History history);
-    ~Keeper();
+    WarmRestart(const loop::Executor& executor, core::Log& log, const loop::Clock& clock, Options options,
+                recovery::ListOrigin history);
+    ~WarmRestart();
 
     // Returns the list with which the pool starts: `known` or the stored one, with the restored state of its upstreams. Waits
     // for the store for at most Options::open_within.
-    [[nodiscard]] core::MemberList begin(core::MemberList known, const Settings& settings);
+    [[nodiscard]] core::MemberList restore(core::MemberList known, const Settings& settings);
     // Starts to write the learned state that `learned` returns, periodically. Call it once the pool exists.
-    void remember(recovery::Recorder::Learned learned);
+    void start_recording(recovery::Recorder::Learned learned);
     void on_list(const core::MemberList& list);
-    void move_to(std::string discovery);
-    std::size_t under_way() const { return under_way_; }  // number of writes in progress
+    void set_discovery(std::string discovery);
+    std::size_t pending_writes() const { return under_way_; }  // number of writes in progress
     // Writes what is not stored yet, waits a limited time for that, and calls `finished` from the loop.
     void finish(std::function<void()> finished);
 
@@ -59,7 +59,7 @@
     void open();
     void on_opened(const store::Result& result, const store::Opening& opening);
     void on_loaded(const std::shared_ptr<Load>& load);
-    void log_restored(const recovery::Belief& belief, bool stored_list);
+    void log_restored(const recovery::RestoredState& belief, bool stored_list);
     void reopen_later(const store::Result& why);
     void write_periodically();
     bool may_write() const;
@@ -76,9 +76,9 @@
     core::Log& log_;
     const loop::Clock& clock_;
     const Options options_;
-    recovery::History history_;
+    recovery::ListOrigin history_;
     std::unique_ptr<store::Store> store_;
-    std::shared_ptr<Load> load_;           // of the first opening, until begin() takes it
+    std::shared_ptr<Load> load_;           // of the first opening, until restore() takes it
     std::optional<store::SpaceId> space_;  // set while the store can be written to
     std::optional<recovery::Recorder> recorder_;
     recovery::Recorder::Learned learned_;
@@ -93,7 +93,7 @@
     bool ending_ = false;
     std::vector<recovery::Change> last_changes_;  // of the learned state, written at the end
     std::function<void()> finished_;
-    loop::Alive alive_;
+    loop::LifetimeGuard alive_;
 };
 
 }  // namespace flaxdoor::engine
--- a/src/sides/gateway.cpp
+++ b/src/extensions/gateway.cpp
@@ -1,4 +1,4 @@
-#include "sides/gateway.h"
+#include "extensions/gateway.h"
 
 #include <unistd.h>
 
@@ -10,11 +10,11 @@
 #include <random>
 #include <set>
 
+#include "extensions/rows.h"
 #include "log/events.h"
 #include "settings/tables/gateway.h"
-#include "sides/rows.h"
 
-namespace flaxdoor::sides {
+namespace flaxdoor::extensions {
 
 namespace {
 
@@ -92,9 +92,10 @@
         ingress::RuntimeOptions& options = options_.runtime;
         options.seed = seed_;
         options.zone = gateway_row_.get(keys::zone).value_or("");
-        options.clients.most = options.clients.asked = count_of(gateway_row_, keys::max_clients);
-        options.clients.request = gateway_row_.get(keys::request_timeout);
-        options.clients.idle = gateway_row_.get(keys::idle_timeout);
+        options.clients.max_connections = options.clients.max_keepalive_connections =
+            count_of(gateway_row_, keys::max_clients);
+        options.clients.request_timeout = gateway_row_.get(keys::request_timeout);
+        options.clients.idle_timeout = gateway_row_.get(keys::idle_timeout);
         options.servers_most = count_of(gateway_row_, keys::max_server_connections);
         options.body = static_cast<std::size_t>(gateway_row_.get(keys::max_body).count);
         Settings& pool = options.settings;
@@ -104,7 +105,7 @@
         pool.retry_after = true;
         pool.max_retry_after = gateway_row_.get(keys::max_retry_after);
         pool.may_cancel = true;
-        pool.fair_share = gateway_row_.get(keys::in_flight);
+        pool.min_in_flight_per_upstream = gateway_row_.get(keys::in_flight);
         pool.ramp_time = gateway_row_.get(keys::slow_start);
         pool.cold_share = pool.ramp_time > Micros{0} ? gateway_row_.get(keys::cold_share) : 1;
     }
@@ -382,10 +383,10 @@
     settings::Faults faults_;
 };
 
-class Gateway final : public engine::Side {
+class Gateway final : public engine::Extension {
 public:
-    explicit Gateway(const engine::SideWorld& world) : log_(world.log), seed_(world.seed) {
-        auto options_or_faults = gateway_options(world.operators, seed_);
+    explicit Gateway(const engine::ExtensionContext& world) : log_(world.log), seed_(world.seed) {
+        auto options_or_faults = gateway_options(world.operator_settings, seed_);
         if (const auto* faults = std::get_if<settings::Faults>(&options_or_faults))
             throw std::invalid_argument(faults->text("operator's file"));
         auto& options = std::get<GatewayOptions>(options_or_faults);
@@ -402,11 +403,11 @@
                          [this](ingress::Change change) { runtime_->apply(std::move(change)); });
     }
 
-    bool change(const settings::Values& operators) override {
+    bool apply_settings(const settings::Values& operators) override {
         auto options_or_faults = gateway_options(operators, seed_);
         if (const auto* faults = std::get_if<settings::Faults>(&options_or_faults)) {
             const auto& first = faults->first().front();
-            log_.tell(log::events::gateway_kept, settings::line_of("operator's file", first));
+            log_.write(log::events::gateway_kept, settings::line_of("operator's file", first));
             return false;
         }
         auto& options = std::get<GatewayOptions>(options_or_faults);
@@ -423,12 +424,12 @@
     }
 
     void begin_drain() override { runtime_->begin_drain(); }
-    bool wind_down() override { return runtime_->wind_down(); }
+    bool finish_drain() override { return runtime_->wind_down(); }
     void stop() override {
         cluster_.reset();
         const auto figures = runtime_->figures();
         runtime_->stop();
-        log_.tell(log::events::gateway_ended, figures.routed, figures.told);
+        log_.write(log::events::gateway_ended, figures.routed, figures.told);
     }
     Micros longest_deadline() const override { return runtime_->longest_deadline(); }
 
@@ -452,8 +453,9 @@
     return OptionsBuilder(values, seed).build();
 }
 
-engine::SideMaker gateway() {
-    return {"gateway", [](const engine::SideWorld& world) { return std::make_unique<Gateway>(world); }};
+engine::ExtensionFactory gateway() {
+    return {"gateway",
+            [](const engine::ExtensionContext& world) { return std::make_unique<Gateway>(world); }};
 }
 
-}  // namespace flaxdoor::sides
+}  // namespace flaxdoor::extensions
--- a/src/sides/gateway.h
+++ b/src/extensions/gateway.h
@@ -7,13 +7,13 @@
 #include <optional>
 #include <variant>
 
-#include "engine/side.h"
+#include "engine/extension.h"
 #include "ingress/cluster.h"
 #include "ingress/runtime.h"
 #include "settings/faults.h"
 #include "settings/values.h"
 
-namespace flaxdoor::sides {
+namespace flaxdoor::extensions {
 
 struct GatewayOptions {
     ingress::RuntimeOptions runtime;
@@ -27,6 +27,6 @@
 
 // Returns the factory that adds the gateway to an engine. The factory throws std::invalid_argument if there
 // are faults.
-[[nodiscard]] engine::SideMaker gateway();
+[[nodiscard]] engine::ExtensionFactory gateway();
 
-}  // namespace flaxdoor::sides
+}  // namespace flaxdoor::extensions
--- a/src/sides/postgres.cpp
+++ b/src/extensions/postgres.cpp
@@ -1,13 +1,13 @@
-#include "sides/postgres.h"
+#include "extensions/postgres.h"
 
 #include <fstream>
 #include <random>
 
+#include "extensions/rows.h"
 #include "log/events.h"
 #include "settings/tables/postgres.h"
-#include "sides/rows.h"
 
-namespace flaxdoor::sides {
+namespace flaxdoor::extensions {
 
 namespace {
 
@@ -56,7 +56,7 @@
     }
 
     void build_front(const Row& postgres_row) {
-        pg::FrontOptions& front = options_.front;
+        pg::ListenerOptions& front = options_.front;
         front.limits.clients = count_of(postgres_row, keys::max_clients);
         front.limits.strangers = count_of(postgres_row, keys::max_strangers);
         front.limits.login = postgres_row.get(keys::login_timeout);
@@ -85,7 +85,7 @@
     }
 
     void add_user(const Row& row) {
-        pg::FrontUser user;
+        pg::ListenerUser user;
         user.clients_most = count_of(row, keys::user_clients);
         user.safe = row.get(keys::user_effect) == keys::Effect::safe;
         user.kind = row.get(keys::auth) == keys::Auth::trust ? pg::Authentication::Kind::trust
@@ -116,7 +116,7 @@
         database.name = row.label();
         database.settings = pool_settings(postgres_row, row);
         database.back = back_options(postgres_row, row);
-        pg::FrontDatabase& front = database.front;
+        pg::ListenerDatabase& front = database.front;
         front.session.mode =
             row.get(keys::mode) == keys::Mode::session ? pg::Mode::session : pg::Mode::transaction;
         front.session.unreported = row.get(keys::unreported) == keys::Unreported::refuse
@@ -141,7 +141,7 @@
             member.address = loop::text_of(endpoint);
             member.entry.id = id_of(name);
             member.entry.zone = static_cast<int>(server.get(keys::server_zone));
-            member.entry.memory.emplace().limit = database.settings.fair_share;
+            member.entry.restored.emplace().concurrency_limit = database.settings.min_in_flight_per_upstream;
             const bool drains = server.get(keys::server_drain);
             member.entry.state = drains ? UpstreamState::draining : UpstreamState::ready;
             if (const auto tls_name = server.get(keys::server_tls_name))
@@ -162,7 +162,7 @@
         settings.max_retry_after = std::chrono::minutes(1);
         settings.may_cancel = true;
         // The operator states how many connections a server accepts at once.
-        settings.fair_share = static_cast<double>(row.get(keys::pool_size));
+        settings.min_in_flight_per_upstream = static_cast<double>(row.get(keys::pool_size));
         ClassSettings unit;
         unit.name = "unsafe";
         unit.aim = row.get(keys::aim);
@@ -179,8 +179,8 @@
         return settings;
     }
 
-    pg::BackOptions back_options(const Row& postgres_row, const Row& row) {
-        pg::BackOptions back;
+    pg::ServerConnectionPoolOptions back_options(const Row& postgres_row, const Row& row) {
+        pg::ServerConnectionPoolOptions back;
         back.database = row.get(keys::server_side_database).value_or(row.label());
         switch (row.get(keys::role)) {
             case keys::Role::any: back.role = pg::Role::any; break;
@@ -225,22 +225,22 @@
 
 namespace {
 
-class Postgres final : public engine::Side {
+class Postgres final : public engine::Extension {
 public:
-    explicit Postgres(const engine::SideWorld& world) : log_(world.log), seed_(world.seed) {
-        auto options = postgres_options(world.operators, seed_);
+    explicit Postgres(const engine::ExtensionContext& world) : log_(world.log), seed_(world.seed) {
+        auto options = postgres_options(world.operator_settings, seed_);
         if (const auto* faults = std::get_if<settings::Faults>(&options))
             throw std::invalid_argument(faults->text("operator's file"));
         service_.emplace(world.executor, world.core, world.clock,
                          std::move(std::get<pg::ServiceOptions>(options)));
-        log_.tell(log::events::postgres_listening, loop::text_of(service_->address()));
+        log_.write(log::events::postgres_listening, loop::text_of(service_->address()));
     }
 
-    bool change(const settings::Values& operators) override {
+    bool apply_settings(const settings::Values& operators) override {
         auto options = postgres_options(operators, seed_);
         if (const auto* faults = std::get_if<settings::Faults>(&options)) {
             const auto& first = faults->first().front();
-            log_.tell(log::events::postgres_kept, settings::line_of("operator's file", first));
+            log_.write(log::events::postgres_kept, settings::line_of("operator's file", first));
             return false;
         }
         service_->change(std::move(std::get<pg::ServiceOptions>(options)));
@@ -250,7 +250,7 @@
     void begin_drain() override { service_->begin_drain(); }
     void stop() override {
         service_->stop();
-        log_.tell(log::events::postgres_ended, service_->figures().units);
+        log_.write(log::events::postgres_ended, service_->figures().units);
     }
     Micros longest_deadline() const override { return service_->longest_deadline(); }
 
@@ -262,8 +262,9 @@
 
 }  // namespace
 
-engine::SideMaker postgres() {
-    return {"postgres", [](const engine::SideWorld& world) { return std::make_unique<Postgres>(world); }};
+engine::ExtensionFactory postgres() {
+    return {"postgres",
+            [](const engine::ExtensionContext& world) { return std::make_unique<Postgres>(world); }};
 }
 
-}  // namespace flaxdoor::sides
+}  // namespace flaxdoor::extensions
--- a/src/sides/postgres.h
+++ b/src/extensions/postgres.h
@@ -6,12 +6,12 @@
 #include <cstdint>
 #include <variant>
 
-#include "engine/side.h"
+#include "engine/extension.h"
 #include "pg/service.h"
 #include "settings/faults.h"
 #include "settings/values.h"
 
-namespace flaxdoor::sides {
+namespace flaxdoor::extensions {
 
 // Requires that the file has [postgres]. Reads the files named there.
 [[nodiscard]] std::variant<pg::ServiceOptions, settings::Faults> postgres_options(
@@ -19,6 +19,6 @@
 
 // Returns the factory that adds PostgreSQL to an engine. The factory throws std::invalid_argument if there
 // are faults.
-[[nodiscard]] engine::SideMaker postgres();
+[[nodiscard]] engine::ExtensionFactory postgres();
 
-}  // namespace flaxdoor::sides
+}  // namespace flaxdoor::extensions
--- a/src/sides/rows.h
+++ b/src/extensions/rows.h
@@ -8,7 +8,7 @@
 #include "settings/faults.h"
 #include "settings/values.h"
 
-namespace flaxdoor::sides {
+namespace flaxdoor::extensions {
 
 // Adds a fault at the position of the key, or of the row if the file does not set the key.
 inline void add_fault(settings::Faults& faults, const settings::Row& row, std::string_view key,
@@ -35,4 +35,4 @@
     return static_cast<std::size_t>(row.get(key));
 }
 
-}  // namespace flaxdoor::sides
+}  // namespace flaxdoor::extensions
--- a/src/gateway/resources.cpp
+++ b/src/gateway/resources.cpp
@@ -713,8 +713,8 @@
     out.meta = read_meta(object);
     out.type = text_in(object, "type");
     if (const auto data = object.find("data"); data != object.end() && data->is_object()) {
-        out.certificate = text::from_base64(text_in(*data, "tls.crt"));
-        out.key = text::from_base64(text_in(*data, "tls.key"));
+        out.certificate = text::decode_base64(text_in(*data, "tls.crt"));
+        out.key = text::decode_base64(text_in(*data, "tls.key"));
     }
     return out;
 }
--- a/src/http/calls.h
+++ b/src/http/calls.h
@@ -11,18 +11,19 @@
 
 // A client measures its deadline from its send to its receipt of the response. The balancer cannot observe the transit
 // times in both directions, so this allowance covers them.
-inline constexpr Micros client_ways = std::chrono::milliseconds(4);
+inline constexpr Micros client_network_allowance = std::chrono::milliseconds(4);
 
 // `unseen`: allowance for the transit times between the client and the balancer, both directions together.
-[[nodiscard]] core::Call call_of(ClientRequest request, core::PoolId pool, Micros unseen);
+[[nodiscard]] core::Call make_call(ClientRequest request, core::PoolId pool, Micros unseen);
 
-[[nodiscard]] Response answer_of(core::Final final);
+[[nodiscard]] Response make_response(core::FinalAnswer final);
 
 // The response to a request that the core did not accept.
-struct NotTaken {
+struct CallRejection {
     Response answer;
-    bool last = false;  // the connection closes after it; false for a rejection that the client may retry
+    // The connection closes after it; false for a rejection that the client may retry.
+    bool close_connection = false;
 };
-[[nodiscard]] NotTaken answer_of(core::Taken taken);
+[[nodiscard]] CallRejection make_response(core::AcceptResult taken);
 
 }  // namespace flaxdoor::http
--- a/src/http/client_machine.h
+++ b/src/http/client_machine.h
@@ -56,7 +56,7 @@
     static constexpr int max_interim_responses = 8;  // 1xx responses before the final one
 
     // `body`: longest response body, in bytes.
-    explicit ClientMachine(std::size_t body = body_most) : max_body_bytes_(body) {}
+    explicit ClientMachine(std::size_t body = default_max_body_bytes) : max_body_bytes_(body) {}
     ClientMachine(const ClientMachine&) = delete;
     ClientMachine& operator=(const ClientMachine&) = delete;
 
--- a/src/http/handler.h
+++ b/src/http/handler.h
@@ -17,15 +17,15 @@
 namespace flaxdoor::http {
 
 // Base class of a handler's state for one request; the listener keeps it until the request ends.
-class Asked {
+class RequestContext {
 public:
-    virtual ~Asked() = default;
+    virtual ~RequestContext() = default;
 };
 
 class Handler {
 public:
     // The connection on which a request was received.
-    struct From {
+    struct ConnectionInfo {
         bool draining = false;         // readiness checks are to fail
         std::string_view server_name;  // the TLS server name that the client sent; empty: none, or no TLS
         bool tls = false;
@@ -38,22 +38,23 @@
         }
     };
     // A response of the balancer's own.
-    struct Answer {
+    struct LocalResponse {
         Response message;
-        bool last = false;  // closes the connection
+        bool close_connection = false;  // closes the connection
     };
     // A call to pass to the core.
-    struct Ask {
+    struct Forward {
         core::Call call;
-        std::unique_ptr<Asked> asked;  // passed back with the call's end; may be null
+        std::unique_ptr<RequestContext> context;  // passed back with the call's end; may be null
     };
 
     virtual ~Handler() = default;
-    [[nodiscard]] virtual std::variant<Answer, Ask> on_request(Request message, const From& from) = 0;
+    [[nodiscard]] virtual std::variant<LocalResponse, Forward> on_request(Request message,
+                                                                          const ConnectionInfo& from) = 0;
     // One of these two is called, once, for each Ask whose client has not disconnected: on_final() with the core's
-    // final answer, or on_not_taken() when the core did not accept the call.
-    [[nodiscard]] virtual Response on_final(core::Final final, Asked* asked) = 0;
-    [[nodiscard]] virtual Answer on_not_taken(core::Taken taken, Asked* asked) = 0;
+    // final answer, or on_call_rejected() when the core did not accept the call.
+    [[nodiscard]] virtual Response on_final(core::FinalAnswer final, RequestContext* asked) = 0;
+    [[nodiscard]] virtual LocalResponse on_call_rejected(core::AcceptResult taken, RequestContext* asked) = 0;
 };
 
 // The transport layer of a connection between its socket and its plain text; implemented by TLS.
--- a/src/http/front.cpp
+++ b/src/http/listener.cpp
@@ -1,4 +1,4 @@
-#include "http/front.h"
+#include "http/listener.h"
 
 #include <array>
 #include <boost/asio/post.hpp>
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "http/server_machine.h"
-#include "loop/alive.h"
+#include "loop/lifetime_guard.h"
 #include "loop/sockets.h"
 
 namespace flaxdoor::http {
@@ -22,7 +22,7 @@
 
 // Delay after an accept that failed for lack of a descriptor.
 constexpr auto accept_retry_delay = std::chrono::milliseconds(20);
-constexpr int sweeps_per_timeout = 8;  // time-out sweeps within FrontLimits::request
+constexpr int sweeps_per_timeout = 8;  // time-out sweeps within ListenerLimits::request_timeout
 // Least time in a phase before a connection may be evicted: at the connection limit, a new connection replaces one that
 // has sent nothing, or has lingered, for this long. While connections drain, a new connection has this long to send its
 // request. A connection idle for less time may have its next request in transit.
@@ -35,10 +35,10 @@
 
 }  // namespace
 
-class Front::Impl final : public core::Front, public std::enable_shared_from_this<Impl> {
+class Listener::Impl final : public core::Downstream, public std::enable_shared_from_this<Impl> {
 public:
     Impl(const loop::Executor& loop, core::Core& core, Handler& handler, const core::Clock& clock,
-         FrontLimits limits, MakeChannel tls, core::Intake* intake)
+         ListenerLimits limits, MakeChannel tls, core::CallAcceptor* intake)
         : loop_(loop),
           core_(core),
           handler_(handler),
@@ -64,10 +64,10 @@
     }
 
     tcp::endpoint address() const { return acceptor_.local_endpoint(); }
-    void set_limits(const FrontLimits& limits) { limits_ = limits; }
+    void set_limits(const ListenerLimits& limits) { limits_ = limits; }
     void begin_drain() { draining_ = true; }
 
-    bool wind_down() {
+    bool drain_connections() {
         draining_ = draining_connections_ = true;
         accept_backlog();
         const Time now = clock_.now();
@@ -91,8 +91,8 @@
         for (const auto& [connection, owned] : held) connection->close();
     }
 
-    FrontFigures figures() const {
-        FrontFigures figures = figures_;
+    ListenerStats figures() const {
+        ListenerStats figures = figures_;
         figures.connections = connections_.size();
         figures.idle = lists_[idle_after_call].size() + lists_[idle_without_call].size();
         return figures;
@@ -101,7 +101,7 @@
     // Never called: HTTP responses are not streamed.
     void on_started(std::uint64_t, std::unique_ptr<core::Payload>) override {}
 
-    void on_final(std::uint64_t token, core::Final answer) override {
+    void on_final(std::uint64_t token, core::FinalAnswer answer) override {
         connection_of(token)->shared_from_this()->on_final(std::move(answer));
     }
 
@@ -132,7 +132,7 @@
         Connection(Impl& owner, tcp::socket socket)
             : owner_(owner),
               socket_(std::move(socket)),
-              machine_(owner.limits_.linger_bytes, owner.limits_.body) {}
+              machine_(owner.limits_.linger_bytes, owner.limits_.max_body_bytes) {}
 
         void start() {
             error_code ignored;
@@ -148,9 +148,9 @@
 
         Time since() const { return since_; }
         // Whether the connection is between requests and its socket holds no unread data.
-        bool idle() { return machine_.between_requests() && loop::quiet(socket_); }
+        bool idle() { return machine_.between_requests() && loop::has_no_input(socket_); }
 
-        void on_final(core::Final final) {
+        void on_final(core::FinalAnswer final) {
             call_.reset();
             const bool last = owner_.draining_connections_ || !owner_.enforce_call_slots();
             const auto context = std::move(context_);
@@ -164,26 +164,27 @@
         // then does not show the client's end.
         bool reading_suspended() const { return !machine_.wants_read() && !probe_sent_; }
         void check_half_close() {
-            if (!closed_ && call_ && loop::ended_behind(socket_)) probe_client();
+            if (!closed_ && call_ && loop::peer_has_closed(socket_)) probe_client();
         }
 
         // Reads data that has arrived. Called before a connection is closed: a complete request may be unread because
         // this process was delayed, and must not be lost.
         void read_arrived_data() {
-            if (!closed_ && machine_.wants_read() && !loop::quiet(socket_)) read();
+            if (!closed_ && machine_.wants_read() && !loop::has_no_input(socket_)) read();
         }
 
         bool is_in_phase(Phase phase) const { return list_position_ && phase_ == phase; }
         bool timed_out(Time now) {
-            const FrontLimits& limits = owner_.limits_;
+            const ListenerLimits& limits = owner_.limits_;
             const Micros age = now - since_;
             switch (phase_) {
                 case fresh:
-                case receiving: return age > limits.request;
+                case receiving: return age > limits.request_timeout;
                 case idle_after_call:
-                case idle_without_call: return age > (owner_.crowded() ? limits.idle_crowded : limits.idle);
-                case writing: return age > limits.answer;
-                case lingering: return age > limits.linger;
+                case idle_without_call:
+                    return age > (owner_.crowded() ? limits.crowded_idle_timeout : limits.idle_timeout);
+                case writing: return age > limits.response_write_timeout;
+                case lingering: return age > limits.linger_timeout;
                 default: return false;
             }
         }
@@ -377,42 +378,43 @@
 
         void on_request(Request message) {
             probe_sent_ = false;
-            Handler::From from;
+            Handler::ConnectionInfo from;
             from.draining = owner_.draining_;
             from.socket = &socket_;
             from.tls = channel_ != nullptr;
             const std::string server_name = channel_ ? channel_->server_name() : std::string();
             from.server_name = server_name;
             auto interpretation = owner_.handler_.on_request(std::move(message), from);
-            if (const auto* response = std::get_if<Handler::Answer>(&interpretation))
+            if (const auto* response = std::get_if<Handler::LocalResponse>(&interpretation))
                 return answer(*response);
-            forward(std::get<Handler::Ask>(std::move(interpretation)));
+            forward(std::get<Handler::Forward>(std::move(interpretation)));
         }
 
-        void forward(Handler::Ask ask) {
+        void forward(Handler::Forward ask) {
             if (!has_call_slot_) ++owner_.call_slots_in_use_;
             has_call_slot_ = true;
             enter(waiting);
             (void)owner_.enforce_call_slots();
-            context_ = std::move(ask.asked);
+            context_ = std::move(ask.context);
             core::CallId id = 0;
             call_ = id;
             const auto token = static_cast<std::uint64_t>(reinterpret_cast<std::uintptr_t>(this));
-            const core::Taken taken = owner_.submit(std::move(ask.call), token, &id);
-            if (taken == core::Taken::yes) {
+            const core::AcceptResult taken = owner_.submit(std::move(ask.call), token, &id);
+            if (taken == core::AcceptResult::accepted) {
                 if (call_) call_ = id;  // otherwise the core has already answered
                 return;
             }
             call_.reset();
             const auto context = std::move(context_);
-            answer(owner_.handler_.on_not_taken(taken, context.get()));
+            answer(owner_.handler_.on_call_rejected(taken, context.get()));
         }
 
         // Enters the phase `writing` even when everything is written at once: the connection was used, so it must
         // move to the end of its idle list.
-        void answer(const Handler::Answer& response) {
+        void answer(const Handler::LocalResponse& response) {
             enter(writing);
-            (void)machine_.answer(response.message, response.last || owner_.draining_connections_);
+            (void)machine_.answer(response.message,
+                                  response.close_connection || owner_.draining_connections_);
         }
 
         // Probes a client that has ended its sending while its request waits, by writing a 100 Continue. A client that
@@ -435,11 +437,11 @@
         Impl& owner_;
         tcp::socket socket_;
         ServerMachine machine_;
-        std::unique_ptr<Channel> channel_;  // null without TLS
-        std::size_t channel_bytes_ = 0;     // bytes of the machine's output passed to the channel
-        std::unique_ptr<Asked> context_;    // the handler's state of the call that waits
-        std::optional<core::CallId> call_;  // call that waits; 0 while the core accepts it
-        Time since_{};                      // entry into the phase
+        std::unique_ptr<Channel> channel_;         // null without TLS
+        std::size_t channel_bytes_ = 0;            // bytes of the machine's output passed to the channel
+        std::unique_ptr<RequestContext> context_;  // the handler's state of the call that waits
+        std::optional<core::CallId> call_;         // call that waits; 0 while the core accepts it
+        Time since_{};                             // entry into the phase
         std::optional<List::iterator> list_position_;
         Phase phase_ = fresh;
         bool has_call_slot_ = false;  // counted in Impl::call_slots_in_use_
@@ -453,16 +455,16 @@
         bool closed_ = false;
     };
 
-    core::Taken submit(core::Call call, std::uint64_t token, core::CallId* id) {
-        return intake_ ? intake_->take(std::move(call), *this, token, id)
-                       : core_.take(std::move(call), *this, token, id);
+    core::AcceptResult submit(core::Call call, std::uint64_t token, core::CallId* id) {
+        return intake_ ? intake_->accept_call(std::move(call), *this, token, id)
+                       : core_.accept_call(std::move(call), *this, token, id);
     }
     void abandon(core::CallId call) {
-        if (intake_) return intake_->leave(call);
-        (void)core_.leave(call);
+        if (intake_) return intake_->abandon_call(call);
+        (void)core_.abandon_call(call);
     }
 
-    bool crowded() const { return 2 * connections_.size() > limits_.most; }
+    bool crowded() const { return 2 * connections_.size() > limits_.max_connections; }
 
     template <typename Predicate>
     void close_all(const List& list, Predicate predicate) {
@@ -477,7 +479,7 @@
         if (draining_connections_) return accept_backlog();
         if (accept_pending_ || !acceptor_.is_open()) return;
         accept_pending_ = true;
-        acceptor_.async_wait(tcp::acceptor::wait_read, alive_.guard([this](error_code error) {
+        acceptor_.async_wait(tcp::acceptor::wait_read, alive_.wrap([this](error_code error) {
             if (error) return;
             accept_pending_ = false;
             if (accept_one()) accept();
@@ -487,7 +489,7 @@
     // Stops the kernel from completing further connections, and accepts those in the backlog before the listener
     // closes: closing it first would reset them, and a request already sent would be lost.
     void accept_backlog() {
-        if (acceptor_.is_open()) loop::take_no_more(acceptor_);
+        if (acceptor_.is_open()) loop::stop_accepting(acceptor_);
         while (acceptor_.is_open()) {
             if (!accept_one()) return;
         }
@@ -497,7 +499,7 @@
     // connection closed in advance may have a request in transit. Returns false when accepting cannot continue now;
     // it resumes when a connection closes or is answered, or after a delay.
     bool accept_one() {
-        if (connections_.size() >= limits_.most && !evict_for_new_connection()) {
+        if (connections_.size() >= limits_.max_connections && !evict_for_new_connection()) {
             // Lingering and new connections can be evicted after a while.
             if (!lists_[lingering].empty() || !lists_[fresh].empty()) accept_after_delay();
             return false;
@@ -530,7 +532,7 @@
     // immediate retry would spin.
     void accept_after_delay() {
         accept_retry_timer_.expires_after(accept_retry_delay);
-        accept_retry_timer_.async_wait(alive_.guard([this](error_code error) {
+        accept_retry_timer_.async_wait(alive_.wrap([this](error_code error) {
             if (!error) accept();
         }));
     }
@@ -538,7 +540,7 @@
     void schedule_accept() {
         if (accept_pending_ || accept_posted_ || !acceptor_.is_open()) return;
         accept_posted_ = true;
-        asio::post(loop_, alive_.guard([this] {
+        asio::post(loop_, alive_.wrap([this] {
             accept_posted_ = false;
             accept();
         }));
@@ -567,8 +569,8 @@
         };
         return evict(lingering, eviction_grace, false) || evict(fresh, eviction_grace, true) ||
                evict(phase_of_longest_idle(), Micros{-1}, true) ||
-               evict(receiving, limits_.request / 4, false) || evict(fresh, limits_.request / 4, false) ||
-               evict(fresh, Micros{-1}, true);
+               evict(receiving, limits_.request_timeout / 4, false) ||
+               evict(fresh, limits_.request_timeout / 4, false) || evict(fresh, Micros{-1}, true);
     }
 
     Phase phase_of_longest_idle() const {
@@ -580,16 +582,16 @@
                                                                             : idle_without_call;
     }
 
-    // Evicts the connection idle longest while more than FrontLimits::asked connections hold a call slot. Clients that
-    // send one request and keep their connection would otherwise exhaust the connections that a load balancer in front
-    // allows to this process, and keep other clients from sending. One eviction a call is enough, because this runs for
-    // each request received and each response given. A recently used connection may have its next request in transit
-    // and is not evicted; then this returns false, and the response being given must close its own connection, on which
-    // no request can be in transit.
+    // Evicts the connection idle longest while more than ListenerLimits::max_keepalive_connections connections hold a
+    // call slot. Clients that send one request and keep their connection would otherwise exhaust the connections that a
+    // load balancer in front allows to this process, and keep other clients from sending. One eviction a call is
+    // enough, because this runs for each request received and each response given. A recently used connection may have
+    // its next request in transit and is not evicted; then this returns false, and the response being given must close
+    // its own connection, on which no request can be in transit.
     bool enforce_call_slots() {
         List& idle = lists_[idle_after_call];
         const Time now = clock_.now();
-        for (std::size_t i = 0; call_slots_in_use_ > limits_.asked; ++i) {
+        for (std::size_t i = 0; call_slots_in_use_ > limits_.max_keepalive_connections; ++i) {
             if (i == max_eviction_candidates || idle.empty()) return false;
             const auto oldest = idle.front()->shared_from_this();
             if (now - oldest->since() <= eviction_grace) return false;
@@ -604,8 +606,8 @@
     }
 
     void sweep() {
-        sweep_timer_.expires_after(limits_.request / sweeps_per_timeout);
-        sweep_timer_.async_wait(alive_.guard([this](error_code error) {
+        sweep_timer_.expires_after(limits_.request_timeout / sweeps_per_timeout);
+        sweep_timer_.async_wait(alive_.wrap([this](error_code error) {
             if (error) return;
             const Time now = clock_.now();
             for (const Phase phase :
@@ -623,7 +625,7 @@
         if (half_close_timer_set_) return;
         half_close_timer_set_ = true;
         half_close_timer_.expires_after(half_close_check_interval);
-        half_close_timer_.async_wait(alive_.guard([this](error_code error) {
+        half_close_timer_.async_wait(alive_.wrap([this](error_code error) {
             half_close_timer_set_ = false;
             if (error) return;
             std::vector<std::shared_ptr<Connection>> suspended;
@@ -658,9 +660,9 @@
     core::Core& core_;
     Handler& handler_;
     const core::Clock& clock_;
-    FrontLimits limits_;
+    ListenerLimits limits_;
     const MakeChannel tls_;
-    core::Intake* const intake_;  // null: calls go to the core
+    core::CallAcceptor* const intake_;  // null: calls go to the core
     tcp::acceptor acceptor_;
     asio::steady_timer accept_retry_timer_;
     asio::steady_timer sweep_timer_;
@@ -668,27 +670,27 @@
     std::unordered_map<Connection*, std::shared_ptr<Connection>> connections_;
     std::array<List, phase_count> lists_;
     std::size_t call_slots_in_use_ = 0;  // connections that have sent a request for an upstream
-    FrontFigures figures_;
+    ListenerStats figures_;
     bool accept_pending_ = false;  // waiting for a connection
     bool accept_posted_ = false;
     bool half_close_timer_set_ = false;  // half_close_timer_ is set
     bool draining_ = false;
     bool draining_connections_ = false;
     bool stopped_ = false;
-    loop::Alive alive_;
+    loop::LifetimeGuard alive_;
 };
 
-Front::Front(const loop::Executor& loop, core::Core& core, Handler& handler, const core::Clock& clock,
-             FrontLimits limits, MakeChannel tls, core::Intake* intake)
+Listener::Listener(const loop::Executor& loop, core::Core& core, Handler& handler, const core::Clock& clock,
+                   ListenerLimits limits, MakeChannel tls, core::CallAcceptor* intake)
     : impl_(std::make_shared<Impl>(loop, core, handler, clock, limits, std::move(tls), intake)) {}
-Front::~Front() { impl_->stop(); }
-
-void Front::listen(const tcp::endpoint& address) { impl_->listen(address); }
-tcp::endpoint Front::address() const { return impl_->address(); }
-void Front::set_limits(const FrontLimits& limits) { impl_->set_limits(limits); }
-void Front::begin_drain() { impl_->begin_drain(); }
-bool Front::wind_down() { return impl_->wind_down(); }
-void Front::stop() { impl_->stop(); }
-FrontFigures Front::figures() const { return impl_->figures(); }
+Listener::~Listener() { impl_->stop(); }
+
+void Listener::listen(const tcp::endpoint& address) { impl_->listen(address); }
+tcp::endpoint Listener::address() const { return impl_->address(); }
+void Listener::set_limits(const ListenerLimits& limits) { impl_->set_limits(limits); }
+void Listener::begin_drain() { impl_->begin_drain(); }
+bool Listener::drain_connections() { return impl_->drain_connections(); }
+void Listener::stop() { impl_->stop(); }
+ListenerStats Listener::figures() const { return impl_->figures(); }
 
 }  // namespace flaxdoor::http
--- a/src/http/front.h
+++ b/src/http/listener.h
@@ -3,10 +3,10 @@
 // and Handler (handler.h) the meaning of a request; this class handles sockets and timers.
 //
 // Threading: only the event loop's thread may call it.
-// Ownership: borrows loop, core, clock, handler and intake, which must outlive it.
+// Ownership: borrows loop, core, clock, handler and call acceptor, which must outlive it.
 // Errors:    listen() throws boost::system::system_error. Network errors throw nothing elsewhere.
 // Lifetime:  may be destroyed at any time except from within a call that it makes into the core. Destruction abandons
-//            the open calls (Core::leave).
+//            the open calls (Core::abandon_call).
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -14,64 +14,66 @@
 #include <functional>
 #include <memory>
 
+#include "core/call_acceptor.h"
 #include "core/core.h"
-#include "core/intake.h"
 #include "http/handler.h"
 #include "loop/executor.h"
 
 namespace flaxdoor::http {
 
-struct FrontLimits {
-    std::size_t most = 512;  // open connections
+struct ListenerLimits {
+    std::size_t max_connections = 512;  // open connections
     // Open connections that have sent a request for an upstream; beyond this, the one idle longest is evicted.
-    std::size_t asked = 256;
+    std::size_t max_keepalive_connections = 256;
     // Time to receive a request: from the accept of a new connection, or from a later request's first byte, to the
     // request's last byte.
-    Micros request = std::chrono::seconds(2);
-    Micros idle = std::chrono::seconds(300);  // between requests
-    Micros idle_crowded =
-        std::chrono::seconds(2);               // between requests, while more than half of `most` are open
-    Micros answer = std::chrono::seconds(10);  // for the client to take a response
-    Micros linger = std::chrono::seconds(1);   // for the client to close after the connection's last response
-    std::size_t linger_bytes = 256 * 1024;     // bytes read and discarded while lingering
-    std::size_t body = body_most;              // longest request body, in bytes
+    Micros request_timeout = std::chrono::seconds(2);
+    Micros idle_timeout = std::chrono::seconds(300);  // between requests
+    // Between requests, while more than half of `max_connections` are open.
+    Micros crowded_idle_timeout = std::chrono::seconds(2);
+    Micros response_write_timeout = std::chrono::seconds(10);  // for the client to take a response
+    // For the client to close after the connection's last response.
+    Micros linger_timeout = std::chrono::seconds(1);
+    std::size_t linger_bytes = 256 * 1024;                // bytes read and discarded while lingering
+    std::size_t max_body_bytes = default_max_body_bytes;  // longest request body, in bytes
 };
 
-struct FrontFigures {
+struct ListenerStats {
     std::size_t connections = 0, idle = 0;
     std::uint64_t accepted = 0;
-    std::uint64_t evicted_idle = 0;  // idle connections evicted because FrontLimits::asked was exceeded
+    // Idle connections evicted because ListenerLimits::max_keepalive_connections was exceeded.
+    std::uint64_t evicted_idle = 0;
 };
 
-class Front {
+class Listener {
 public:
     // Makes the TLS channel of a new connection. A null channel closes the connection.
     using MakeChannel = std::function<std::unique_ptr<Channel>()>;
 
     // `intake`: receives the calls in place of the core; null: the core receives them.
     // `tls`: makes the channel of each connection; empty: connections are plain text.
-    Front(const loop::Executor& loop, core::Core& core, Handler& handler, const core::Clock& clock,
-          FrontLimits limits, MakeChannel tls = {}, core::Intake* intake = nullptr);
-    ~Front();
-    Front(const Front&) = delete;
-    Front& operator=(const Front&) = delete;
+    Listener(const loop::Executor& loop, core::Core& core, Handler& handler, const core::Clock& clock,
+             ListenerLimits limits, MakeChannel tls = {}, core::CallAcceptor* intake = nullptr);
+    ~Listener();
+    Listener(const Listener&) = delete;
+    Listener& operator=(const Listener&) = delete;
 
     void listen(const boost::asio::ip::tcp::endpoint& address);
     boost::asio::ip::tcp::endpoint address() const;
 
     // Applies the limits from now on, to open connections as well.
-    void set_limits(const FrontLimits& limits);
+    void set_limits(const ListenerLimits& limits);
     // Makes readiness checks fail from now on; everything else continues.
     void begin_drain();
     // Drains the connections: every response closes its connection from now on, connections between requests are
     // closed, and only clients that have already connected are accepted. Returns whether a connection is left, which
     // is receiving a request, waiting for a response, or may not have delivered one. The owner calls it again until
     // it returns false.
-    [[nodiscard]] bool wind_down();
+    [[nodiscard]] bool drain_connections();
     // Closes all connections and abandons their calls.
     void stop();
 
-    FrontFigures figures() const;
+    ListenerStats figures() const;
 
 private:
     class Impl;
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -21,7 +21,7 @@
 void for_each_option(const Fields& fields, Visit visit) {
     for (std::size_t i = 0; i < fields.size(); ++i) {
         const auto [name, value] = fields.at(i);
-        if (!same_word(name, "Connection")) continue;
+        if (!equals_ignoring_case(name, "Connection")) continue;
         for (auto rest = value; !rest.empty();) {
             const auto comma = std::min(rest.find(','), rest.size());
             if (const auto option = trimmed(rest.substr(0, comma)); !option.empty()) visit(option);
@@ -36,8 +36,8 @@
 
 // Whether the serializer generates the field itself.
 bool is_generated_field(std::string_view name) {
-    return same_word(name, "Content-Length") || same_word(name, "Transfer-Encoding") ||
-           same_word(name, "Connection");
+    return equals_ignoring_case(name, "Content-Length") || equals_ignoring_case(name, "Transfer-Encoding") ||
+           equals_ignoring_case(name, "Connection");
 }
 
 std::size_t size_of(const Fields& fields) {
@@ -59,21 +59,21 @@
 
 }  // namespace
 
-bool same_word(std::string_view a, std::string_view b) {
+bool equals_ignoring_case(std::string_view a, std::string_view b) {
     return a.size() == b.size() &&
            std::equal(a.begin(), a.end(), b.begin(), [](char x, char y) { return lower(x) == lower(y); });
 }
 
 std::string_view Fields::operator[](std::string_view name) const {
     for (const FieldSpan& field : spans_) {
-        if (same_word(view(field.name), name)) return view(field.value);
+        if (equals_ignoring_case(view(field.name), name)) return view(field.value);
     }
     return {};
 }
 
 std::size_t Fields::count(std::string_view name) const {
     return static_cast<std::size_t>(std::count_if(spans_.begin(), spans_.end(), [&](const FieldSpan& field) {
-        return same_word(view(field.name), name);
+        return equals_ignoring_case(view(field.name), name);
     }));
 }
 
@@ -118,7 +118,7 @@
 }
 
 void Fields::erase(std::string_view name) {
-    erase_if([&](std::string_view other) { return same_word(other, name); });
+    erase_if([&](std::string_view other) { return equals_ignoring_case(other, name); });
 }
 
 std::string_view reason_of(int status) {
@@ -201,15 +201,16 @@
 void strip_hop_by_hop(Fields& fields, std::span<const std::string_view> kept) {
     std::vector<std::string> named;
     for_each_option(fields, [&](std::string_view option) {
-        const bool keep = std::any_of(kept.begin(), kept.end(),
-                                      [&](std::string_view name) { return same_word(name, option); });
+        const bool keep = std::any_of(kept.begin(), kept.end(), [&](std::string_view name) {
+            return equals_ignoring_case(name, option);
+        });
         if (!keep) named.emplace_back(option);
     });
     static constexpr std::array<std::string_view, 11> hop_by_hop = {
         "Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "TE",
         "Trailer",    "Upgrade",    "Expect",           "Transfer-Encoding",  "Content-Length"};
     fields.erase_if([&](std::string_view name) {
-        const auto matches = [&](std::string_view other) { return same_word(name, other); };
+        const auto matches = [&](std::string_view other) { return equals_ignoring_case(name, other); };
         return std::any_of(hop_by_hop.begin(), hop_by_hop.end(), matches) ||
                std::any_of(named.begin(), named.end(), matches);
     });
@@ -217,7 +218,8 @@
 
 bool has_connection_option(const Fields& fields, std::string_view option) {
     bool found = false;
-    for_each_option(fields, [&](std::string_view named) { found = found || same_word(named, option); });
+    for_each_option(fields,
+                    [&](std::string_view named) { found = found || equals_ignoring_case(named, option); });
     return found;
 }
 
--- a/src/http/message.h
+++ b/src/http/message.h
@@ -13,13 +13,14 @@
 
 namespace flaxdoor::http {
 
-inline constexpr std::size_t header_most = 16 * 1024;  // start line, fields and the empty line after them
-inline constexpr std::size_t body_most = 64 * 1024;
+// Start line, fields and the empty line after them.
+inline constexpr std::size_t max_header_bytes = 16 * 1024;
+inline constexpr std::size_t default_max_body_bytes = 64 * 1024;
 // Capacity that a buffer may keep while it is less than half full; above it, the buffer is shrunk.
 inline constexpr std::size_t retained_buffer_bytes = 16 * 1024;
 
 // Compares field names and tokens, ignoring the case of ASCII letters.
-[[nodiscard]] bool same_word(std::string_view a, std::string_view b);
+[[nodiscard]] bool equals_ignoring_case(std::string_view a, std::string_view b);
 
 // Header fields in the order received. All bytes are stored in one buffer, and the fields are offsets into it, so a
 // copy costs two allocations whatever the number of fields. Returned views are valid until the next change.
--- a/src/http/payload.h
+++ b/src/http/payload.h
@@ -12,8 +12,9 @@
     explicit RequestPayload(Request its) : message(std::move(its)) {}
     // The request to the upstream. Fields that differ between attempts hold the last attempt's values.
     Request message;
-    // With BackOptions::keep_errors: the response of the last attempt, when it was an error response.
-    std::optional<Response> error_answer;
+    // With ConnectionPoolOptions::keep_error_responses: the response of the last attempt, when it was an
+    // error response.
+    std::optional<Response> error_response;
 };
 
 struct ResponsePayload final : core::Payload {
--- a/src/http/platform.cpp
+++ b/src/http/platform.cpp
@@ -96,8 +96,8 @@
     return path == "/api" ? Route::api : Route::unknown;
 }
 
-std::variant<ClientRequest, NotUnderstood> understand(Request message, const Settings& settings) {
-    const auto wrong = [](std::string why) { return NotUnderstood{std::move(why)}; };
+std::variant<ClientRequest, InvalidRequest> parse_client_request(Request message, const Settings& settings) {
+    const auto wrong = [](std::string why) { return InvalidRequest{std::move(why)}; };
     const Fields& fields = message.fields;
     for (const auto once : {call_id_field, class_field, budget_field, key_field}) {
         if (fields.count(once) > 1) return wrong(std::string(once) + " is there more than once");
@@ -155,13 +155,14 @@
     static constexpr std::array<std::string_view, 9> names = {
         call_id_field, class_field, caller_field,     budget_field,       retry_field,
         cost_field,    key_field,   "Content-Length", "Transfer-Encoding"};
-    return std::any_of(names.begin(), names.end(), [&](std::string_view n) { return same_word(n, name); });
+    return std::any_of(names.begin(), names.end(),
+                       [&](std::string_view n) { return equals_ignoring_case(n, name); });
 }
 
 }  // namespace
 
-std::string unfit(std::string_view method, std::string_view target,
-                  const std::vector<std::pair<std::string, std::string>>& headers) {
+std::string validate_header_syntax(std::string_view method, std::string_view target,
+                                   const std::vector<std::pair<std::string, std::string>>& headers) {
     if (!is_token(method)) return "the method is not a token";
     if (target.empty() || target.front() != '/' || !is_plain(target, false)) {
         return "the target must begin with '/' and contain no spaces or control bytes";
@@ -172,30 +173,33 @@
         if (!is_plain(value, true)) return "header " + name + " contains a control byte";
         size += name.size() + value.size() + 4;
     }
-    if (size <= header_most) return {};
-    return "the headers have more than " + std::to_string(header_most) + " bytes";
+    if (size <= max_header_bytes) return {};
+    return "the headers have more than " + std::to_string(max_header_bytes) + " bytes";
 }
 
-std::string badly_framed(const std::vector<std::pair<std::string, std::string>>& headers) {
+std::string validate_framing(const std::vector<std::pair<std::string, std::string>>& headers) {
     std::size_t lengths = 0;
     for (const auto& [name, value] : headers) {
-        const bool encoding = same_word(name, "Transfer-Encoding");
-        lengths += encoding || same_word(name, "Content-Length") ? 1 : 0;
-        if (encoding && !same_word(value, "chunked")) return "a Transfer-Encoding other than chunked";
+        const bool encoding = equals_ignoring_case(name, "Transfer-Encoding");
+        lengths += encoding || equals_ignoring_case(name, "Content-Length") ? 1 : 0;
+        if (encoding && !equals_ignoring_case(value, "chunked"))
+            return "a Transfer-Encoding other than chunked";
     }
     return lengths > 1 ? "its end is told more than once, by Content-Length or Transfer-Encoding" : "";
 }
 
-std::variant<ClientRequest, NotUnderstood> understand(const OwnRequest& own, const Settings& settings) {
-    const auto wrong = [](std::string why) { return NotUnderstood{std::move(why)}; };
+std::variant<ClientRequest, InvalidRequest> parse_client_request(const LocalRequest& own,
+                                                                 const Settings& settings) {
+    const auto wrong = [](std::string why) { return InvalidRequest{std::move(why)}; };
     if (own.budget <= Micros{0}) return wrong("the budget must be greater than zero");
-    if (own.body.size() > body_most) {
+    if (own.body.size() > default_max_body_bytes) {
         return wrong("the body has " + std::to_string(own.body.size()) + " bytes, " +
-                     std::to_string(body_most) + " at most");
+                     std::to_string(default_max_body_bytes) + " at most");
     }
     static const std::vector<std::pair<std::string, std::string>> none;
     const auto& headers = own.headers ? *own.headers : none;
-    if (auto why = unfit(own.method, own.target, headers); !why.empty()) return wrong(std::move(why));
+    if (auto why = validate_header_syntax(own.method, own.target, headers); !why.empty())
+        return wrong(std::move(why));
     Request message;
     message.method = own.method;
     message.target = own.target;
@@ -210,7 +214,7 @@
     };
     bool has_host = false;
     for (const auto& [name, value] : headers) {
-        has_host = has_host || same_word(name, "Host");
+        has_host = has_host || equals_ignoring_case(name, "Host");
         if (!is_generated(name)) add(name, value);
     }
     if (!has_host) add("Host", "api.internal");
@@ -227,10 +231,10 @@
     if (!own.tenant.empty()) add(caller_field, own.tenant);
     if (own.client_retry) add(retry_field, "1");
     if (own.cost_hint) add(cost_field, std::to_string(std::max<std::int64_t>(0, own.cost_hint->count())));
-    if (size > header_most)
-        return wrong("the headers have more than " + std::to_string(header_most) + " bytes");
+    if (size > max_header_bytes)
+        return wrong("the headers have more than " + std::to_string(max_header_bytes) + " bytes");
     message.body = own.body;
-    auto understood = understand(std::move(message), settings);
+    auto understood = parse_client_request(std::move(message), settings);
     if (auto* request = std::get_if<ClientRequest>(&understood)) {
         request->budget = std::min(request->budget, own.budget);  // X-Budget-Ms is rounded up to milliseconds
         if (own.key != 0) request->facts.key = own.key;
@@ -238,12 +242,12 @@
     return understood;
 }
 
-void make_onward(Request& message) {
+void prepare_upstream_request(Request& message) {
     strip_hop_by_hop(message.fields, end_to_end_fields);
     message.version = 11;
 }
 
-void make_homeward(Response& message) {
+void prepare_client_response(Response& message) {
     strip_hop_by_hop(message.fields);
     message.fields.erase(report_field);
     message.version = 11;
@@ -291,7 +295,7 @@
     return all ? report : Report{};
 }
 
-Response refusal(Micros retry_after) {
+Response rejection_response(Micros retry_after) {
     Response response;
     response.status = 503;
     if (retry_after > Micros{0}) {
@@ -302,13 +306,13 @@
     return response;
 }
 
-Response failure(int status) {
+Response error_response(int status) {
     Response response;
     response.status = status;
     return response;
 }
 
-Response readiness(bool ready) {
+Response readiness_response(bool ready) {
     Response response;
     response.status = ready ? 200 : 503;
     response.fields.set("Content-Type", "text/plain");
--- a/src/http/platform.h
+++ b/src/http/platform.h
@@ -32,16 +32,16 @@
 };
 
 // The error in an invalid request, as text for the client.
-struct NotUnderstood {
+struct InvalidRequest {
     std::string why;
 };
 
 // Validates a client's request and parses its platform fields.
-[[nodiscard]] std::variant<ClientRequest, NotUnderstood> understand(Request message,
-                                                                    const Settings& settings);
+[[nodiscard]] std::variant<ClientRequest, InvalidRequest> parse_client_request(Request message,
+                                                                               const Settings& settings);
 
 // A request made by the embedding process rather than received from a client.
-struct OwnRequest {
+struct LocalRequest {
     std::string_view class_name, id, method, target, idempotency_key, tenant, body;
     std::uint64_t key = 0;
     Micros budget{};
@@ -51,21 +51,22 @@
     const std::vector<std::pair<std::string, std::string>>* headers = nullptr;
 };
 // Builds the request that a client would have sent, and validates it in the same way.
-[[nodiscard]] std::variant<ClientRequest, NotUnderstood> understand(const OwnRequest& request,
-                                                                    const Settings& settings);
+[[nodiscard]] std::variant<ClientRequest, InvalidRequest> parse_client_request(const LocalRequest& request,
+                                                                               const Settings& settings);
 
 // Returns the error in the method, target or headers of a message that ServerMachine did not parse; empty when they
 // are valid. Prevents request smuggling: a line end in a value would begin another message.
-[[nodiscard]] std::string unfit(std::string_view method, std::string_view target,
-                                const std::vector<std::pair<std::string, std::string>>& headers);
+[[nodiscard]] std::string validate_header_syntax(
+    std::string_view method, std::string_view target,
+    const std::vector<std::pair<std::string, std::string>>& headers);
 // Returns the error in the framing of a message that a web framework parsed; empty when it is valid. The framework may
 // be more lenient than ServerMachine: two lengths or an unknown transfer coding may hide another message.
-[[nodiscard]] std::string badly_framed(const std::vector<std::pair<std::string, std::string>>& headers);
+[[nodiscard]] std::string validate_framing(const std::vector<std::pair<std::string, std::string>>& headers);
 
 // Turns a client's request into the request to an upstream.
-void make_onward(Request& message);
+void prepare_upstream_request(Request& message);
 // Turns an upstream's response into the response to the client.
-void make_homeward(Response& message);
+void prepare_client_response(Response& message);
 // Sets X-Budget-Ms, the time that the balancer waits for the response, in whole milliseconds; at least 1.
 void set_budget(Request& message, Micros left);
 
@@ -76,10 +77,10 @@
 // Returns the values in the order of `fields`; empty when one of them is missing or invalid.
 [[nodiscard]] Report parse_report(std::string_view text, const std::vector<std::string>& fields);
 
-// Responses of the balancer's own. refusal() says that the request was rejected, not executed, so a retry is safe;
-// `retry_after` 0 omits Retry-After.
-[[nodiscard]] Response refusal(Micros retry_after);
-[[nodiscard]] Response failure(int status);
-[[nodiscard]] Response readiness(bool ready);
+// Responses of the balancer's own. rejection_response() says that the request was rejected, not executed, so a retry
+// is safe; `retry_after` 0 omits Retry-After.
+[[nodiscard]] Response rejection_response(Micros retry_after);
+[[nodiscard]] Response error_response(int status);
+[[nodiscard]] Response readiness_response(bool ready);
 
 }  // namespace flaxdoor::http
--- a/src/http/platform_handler.cpp
+++ b/src/http/platform_handler.cpp
@@ -4,25 +4,29 @@
 
 namespace flaxdoor::http {
 
-std::variant<Handler::Answer, Handler::Ask> PlatformHandler::on_request(Request message, const From& from) {
+std::variant<Handler::LocalResponse, Handler::Forward> PlatformHandler::on_request(
+    Request message, const ConnectionInfo& from) {
     switch (route_of(message)) {
-        case Route::ready: return Answer{readiness(!from.draining)};
-        case Route::unknown: return Answer{plain_answer(404), true};
+        case Route::ready: return LocalResponse{readiness_response(!from.draining)};
+        case Route::unknown: return LocalResponse{plain_answer(404), true};
         case Route::api: break;
     }
     const Settings* const settings = core_.settings(pool_);
-    if (!settings) return Answer{refusal({})};
-    auto understood = understand(std::move(message), *settings);
-    if (const auto* invalid = std::get_if<NotUnderstood>(&understood))
-        return Answer{plain_answer(400, invalid->why), true};
-    return Ask{call_of(std::get<ClientRequest>(std::move(understood)), pool_, client_ways), nullptr};
+    if (!settings) return LocalResponse{rejection_response({})};
+    auto understood = parse_client_request(std::move(message), *settings);
+    if (const auto* invalid = std::get_if<InvalidRequest>(&understood))
+        return LocalResponse{plain_answer(400, invalid->why), true};
+    return Forward{make_call(std::get<ClientRequest>(std::move(understood)), pool_, client_network_allowance),
+                   nullptr};
 }
 
-Response PlatformHandler::on_final(core::Final final, Asked*) { return answer_of(std::move(final)); }
+Response PlatformHandler::on_final(core::FinalAnswer final, RequestContext*) {
+    return make_response(std::move(final));
+}
 
-Handler::Answer PlatformHandler::on_not_taken(core::Taken taken, Asked*) {
-    NotTaken rejection = answer_of(taken);
-    return {std::move(rejection.answer), rejection.last};
+Handler::LocalResponse PlatformHandler::on_call_rejected(core::AcceptResult taken, RequestContext*) {
+    CallRejection rejection = make_response(taken);
+    return {std::move(rejection.answer), rejection.close_connection};
 }
 
 }  // namespace flaxdoor::http
--- a/src/http/platform_handler.h
+++ b/src/http/platform_handler.h
@@ -10,9 +10,9 @@
     // Borrows the core, which must outlive the handler.
     PlatformHandler(core::Core& core, core::PoolId pool) : core_(core), pool_(pool) {}
 
-    std::variant<Answer, Ask> on_request(Request message, const From& from) override;
-    Response on_final(core::Final final, Asked* asked) override;
-    Answer on_not_taken(core::Taken taken, Asked* asked) override;
+    std::variant<LocalResponse, Forward> on_request(Request message, const ConnectionInfo& from) override;
+    Response on_final(core::FinalAnswer final, RequestContext* asked) override;
+    LocalResponse on_call_rejected(core::AcceptResult taken, RequestContext* asked) override;
 
 private:
     core::Core& core_;
--- a/src/http/reader.cpp
+++ b/src/http/reader.cpp
@@ -58,7 +58,7 @@
 
 public:
     explicit HeaderParser(Message& message) : message_(message) {
-        Base::header_limit(2 * header_most);  // Reader enforces header_most before parsing
+        Base::header_limit(2 * max_header_bytes);  // Reader enforces max_header_bytes before parsing
         Base::body_limit(boost::none);
     }
 
@@ -245,14 +245,14 @@
 
 template <typename Message>
 Progress Reader<Message>::parse_header(ByteQueue& bytes) {
-    const std::string_view header = bytes.view().substr(0, header_most);
+    const std::string_view header = bytes.view().substr(0, max_header_bytes);
     if (!may_start_message(header, message_)) return reject(400, "not a start line of HTTP/1");
     std::string_view wrong;
     for (;;) {
         const auto end = header.find('\n', scanned_);
         if (end == std::string_view::npos) {
             scanned_ = header.size();
-            if (bytes.size() >= header_most) wrong = "header too long";
+            if (bytes.size() >= max_header_bytes) wrong = "header too long";
             break;
         }
         scanned_ = end + 1;
@@ -328,7 +328,7 @@
         return false;
     }
     if (encodings == 1) {
-        if (!same_word(message_.fields["Transfer-Encoding"], "chunked")) {
+        if (!equals_ignoring_case(message_.fields["Transfer-Encoding"], "chunked")) {
             reject(400, "a Transfer-Encoding other than chunked");
             return false;
         }
--- a/src/http/reader.h
+++ b/src/http/reader.h
@@ -41,10 +41,10 @@
 };
 
 // Parses a chunked body (RFC 9112, 7.1). Chunk extensions and trailers are validated and discarded; together they may
-// be as long as a header (header_most).
+// be as long as a header (max_header_bytes).
 class ChunkReader {
 public:
-    explicit ChunkReader(std::size_t body_limit = body_most) : max_body_bytes_(body_limit) {}
+    explicit ChunkReader(std::size_t body_limit = default_max_body_bytes) : max_body_bytes_(body_limit) {}
 
     // Consumes the bytes that belong to the body from the front of `bytes`.
     [[nodiscard]] Progress parse(std::string_view& bytes, std::string& body, ParseError& error);
@@ -67,7 +67,7 @@
     };
     // Handles one byte. Returns the error, or null when the byte is valid.
     [[nodiscard]] const char* step(char c, const std::string& body);
-    bool exceeds_overhead_limit() { return ++overhead_bytes_ > header_most; }
+    bool exceeds_overhead_limit() { return ++overhead_bytes_ > max_header_bytes; }
 
     std::size_t max_body_bytes_;
     std::uint64_t chunk_bytes_left_ = 0;
@@ -88,7 +88,7 @@
 class Reader {
 public:
     // `bodyless`: the message ends with its header whatever its fields say, as a response to HEAD does.
-    explicit Reader(std::size_t body_limit = body_most, bool bodyless = false)
+    explicit Reader(std::size_t body_limit = default_max_body_bytes, bool bodyless = false)
         : chunks_(body_limit), max_body_bytes_(body_limit), bodyless_(bodyless) {}
 
     // Consumes the bytes that belong to this message from the front of `bytes`. Must not be called again after it has
--- a/src/http/server_machine.cpp
+++ b/src/http/server_machine.cpp
@@ -109,9 +109,9 @@
     }
     ServerEvent event;
     if (progress == Progress::incomplete) {
-        const bool expects_continue = !continue_sent_ && reader_ && reader_->header_done() &&
-                                      reader_->message().version >= 11 &&
-                                      same_word(reader_->message().fields["Expect"], "100-continue");
+        const bool expects_continue =
+            !continue_sent_ && reader_ && reader_->header_done() && reader_->message().version >= 11 &&
+            equals_ignoring_case(reader_->message().fields["Expect"], "100-continue");
         if (client_ended_) {
             apply(ServerSignal::client_done);
         } else if (expects_continue) {
@@ -184,7 +184,7 @@
 bool ServerMachine::wants_read() const {
     if (state_ == ServerState::over || client_ended_) return false;
     if (state_ == ServerState::lingering) return true;
-    return input_.size() + discarded_bytes_ <= header_most + max_body_bytes_;
+    return input_.size() + discarded_bytes_ <= max_header_bytes + max_body_bytes_;
 }
 
 bool ServerMachine::between_requests() const {
--- a/src/http/server_machine.h
+++ b/src/http/server_machine.h
@@ -65,11 +65,11 @@
 class ServerMachine {
 public:
     // Bytes accepted beyond the request that waits, with the default limit of a body.
-    static constexpr std::size_t max_pipelined_bytes = header_most + body_most;
+    static constexpr std::size_t max_pipelined_bytes = max_header_bytes + default_max_body_bytes;
     static constexpr std::size_t max_linger_bytes = 256 * 1024;
 
     // `linger`: bytes discarded while lingering before the connection is over; `body`: longest request body, in bytes.
-    explicit ServerMachine(std::size_t linger = max_linger_bytes, std::size_t body = body_most)
+    explicit ServerMachine(std::size_t linger = max_linger_bytes, std::size_t body = default_max_body_bytes)
         : linger_limit_(linger), max_body_bytes_(body) {}
     ServerMachine(const ServerMachine&) = delete;
     ServerMachine& operator=(const ServerMachine&) = delete;
--- a/src/http/back.cpp
+++ b/src/http/upstream_connection_pool.cpp
@@ -1,4 +1,4 @@
-#include "http/back.h"
+#include "http/upstream_connection_pool.h"
 
 #include <algorithm>
 #include <array>
@@ -22,19 +22,19 @@
 
 namespace {
 
-// Fraction of the upstream's idle limit (BackOptions::idle) after which the pool closes an idle connection, so that the
-// upstream does not close it while a request is on its way.
+// Fraction of the upstream's idle limit (ConnectionPoolOptions::upstream_idle_timeout) after which the pool closes an
+// idle connection, so that the upstream does not close it while a request is on its way.
 constexpr double idle_limit_fraction = 0.9;
 constexpr std::size_t read_buffer_bytes = 64 * 1024;
-// Time for which an upstream is in doubt after it sent unsolicited bytes (BackOptions::rest).
+// Time for which an upstream is in doubt after it sent unsolicited bytes (ConnectionPoolOptions::reuse_delay).
 constexpr Micros in_doubt_duration = std::chrono::seconds(10);
 
 }  // namespace
 
-class Back::Impl : public std::enable_shared_from_this<Impl> {
+class UpstreamConnectionPool::Impl : public std::enable_shared_from_this<Impl> {
 public:
-    Impl(const loop::Executor& loop, core::Core& core, const loop::Clock& clock, ConnectionBudget& budget,
-         BackOptions options)
+    Impl(const loop::Executor& loop, core::Core& core, const loop::Clock& clock, ConnectionLimit& budget,
+         ConnectionPoolOptions options)
         : loop_(loop),
           core_(core),
           clock_(clock),
@@ -87,7 +87,7 @@
         if (const ConnectionPtr connection = find_attempt(key)) connection->expire();
     }
 
-    void set_options(BackOptions options) { options_ = std::move(options); }
+    void set_options(ConnectionPoolOptions options) { options_ = std::move(options); }
     std::size_t idle() const {
         std::size_t n = 0;
         for (const auto& [id, upstream] : upstreams_) n += upstream.idle.size();
@@ -126,14 +126,14 @@
               upstream_(upstream),
               address_(std::move(address)),
               socket_(owner.loop_),
-              machine_(owner.options_.body) {
+              machine_(owner.options_.max_body_bytes) {
             ++owner_.budget_.open;
         }
 
         UpstreamId upstream() const { return upstream_; }
         const tcp::endpoint& address() const { return address_; }
         Time since() const { return since_; }
-        bool has_no_unread_data() { return loop::quiet(socket_); }
+        bool has_no_unread_data() { return loop::has_no_input(socket_); }
 
         void connect(const core::Attempt& attempt) {
             begin(attempt);
@@ -141,10 +141,10 @@
             loop::open(socket_, error);
             if (error && owner_.evict_oldest_idle()) loop::open(socket_, error);
             if (!error) socket_.non_blocking(true, error);
-            if (error) return end_attempt(Outcome::connect_failed, loop::own_want(error));
+            if (error) return end_attempt(Outcome::connect_failed, loop::is_local_resource_error(error));
             error_code ignored;
             socket_.set_option(tcp::no_delay(true), ignored);
-            if (owner_.options_.connect > Micros{0}) arm(since_ + owner_.options_.connect);
+            if (owner_.options_.connect_timeout > Micros{0}) arm(since_ + owner_.options_.connect_timeout);
             socket_.async_connect(address_, [self = shared_from_this()](error_code failed) {
                 if (self->closed_ || !self->key_) return;
                 self->connected(failed);
@@ -171,7 +171,7 @@
         void expire() {
             if (connected_) read();
             if (!key_) return;
-            end_attempt(connected_ && machine_.request_written() ? Outcome::timeout : Outcome::moot);
+            end_attempt(connected_ && machine_.request_written() ? Outcome::timeout : Outcome::inconclusive);
         }
 
         // The connection's timer: the connect time-out, or the idle time-out of an idle connection.
@@ -186,8 +186,9 @@
 
         void become_idle() {
             since_ = owner_.clock_.now();
-            if (owner_.options_.idle <= Micros{0}) return;
-            const auto idle_limit = static_cast<double>(owner_.options_.idle.count()) * idle_limit_fraction;
+            if (owner_.options_.upstream_idle_timeout <= Micros{0}) return;
+            const auto idle_limit =
+                static_cast<double>(owner_.options_.upstream_idle_timeout.count()) * idle_limit_fraction;
             arm(since_ + Micros(std::llround(idle_limit)));
         }
 
@@ -215,17 +216,17 @@
             Request& message = payload_->message;
             set_budget(message, expires_ - owner_.clock_.now());
             (void)machine_.begin(to_bytes(message), message.method == "HEAD");
-            if (!owner_.options_.keep_errors) payload_.reset();
+            if (!owner_.options_.keep_error_responses) payload_.reset();
             write();
         }
 
         void connected(const error_code& failed) {
             disarm();
-            if (failed) return end_attempt(Outcome::connect_failed, loop::own_want(failed));
+            if (failed) return end_attempt(Outcome::connect_failed, loop::is_local_resource_error(failed));
             // The upstream may have begun to drain while the connection was being established; it must get no new work.
-            owner_.core_.heed_lists();
+            owner_.core_.apply_pending_lists();
             if (closed_ || !key_) return;
-            if (!owner_.takes_work(upstream_, address_)) return end_attempt(Outcome::moot);
+            if (!owner_.takes_work(upstream_, address_)) return end_attempt(Outcome::inconclusive);
             connected_ = true;
             await_read();
             send_request();
@@ -234,7 +235,7 @@
         void write() {
             const std::string_view output = machine_.output();
             if (output.empty() || write_blocked_) return;
-            if (!owner_.core_.on_attempt_sending(*key_)) return end_attempt(Outcome::moot);
+            if (!owner_.core_.on_attempt_sending(*key_)) return end_attempt(Outcome::inconclusive);
             const loop::Written written = loop::write_some(socket_, output);
             machine_.wrote(written.bytes);
             if (written.broken) return handle_result(machine_.reset());
@@ -290,9 +291,10 @@
             const auto self = shared_from_this();
             core::AttemptResult attempt_result;
             attempt_result.key = *key_;
-            attempt_result.outcome =
-                owner_.options_.meaning ? owner_.options_.meaning(result.answer) : outcome_of(result.answer);
-            attempt_result.whole = machine_.request_written();
+            attempt_result.outcome = owner_.options_.classify_response
+                                         ? owner_.options_.classify_response(result.answer)
+                                         : outcome_of(result.answer);
+            attempt_result.fully_sent = machine_.request_written();
             attempt_result.latency = owner_.clock_.now() - since_;
             if (attempt_result.outcome == Outcome::ok)
                 attempt_result.latency = std::max(attempt_result.latency, owner_.options_.latency_floor);
@@ -300,7 +302,7 @@
             if (attempt_result.outcome == Outcome::ok) {
                 attempt_result.answer = std::make_unique<ResponsePayload>(std::move(result.answer));
             } else if (payload_) {
-                payload_->error_answer = std::move(result.answer);
+                payload_->error_response = std::move(result.answer);
             }
             payload_.reset();
             key_.reset();
@@ -318,11 +320,11 @@
             core::AttemptResult result;
             result.key = *key_;
             result.outcome = outcome;
-            result.own_fault = own_fault;
-            result.whole = connected_ && machine_.request_written();
+            result.local_failure = own_fault;
+            result.fully_sent = connected_ && machine_.request_written();
             result.latency = owner_.clock_.now() - since_;
-            if (payload_ && owner_.options_.keep_errors)
-                payload_->error_answer.reset();  // of an earlier attempt
+            if (payload_ && owner_.options_.keep_error_responses)
+                payload_->error_response.reset();  // of an earlier attempt
             payload_.reset();
             owner_.attempts_.erase(result.key);
             close();
@@ -343,9 +345,10 @@
         const tcp::endpoint address_;
         tcp::socket socket_;
         ClientMachine machine_;
-        std::shared_ptr<RequestPayload> payload_;  // until sent; with keep_errors until the attempt ends
-        Time expires_{};                           // deadline of the attempt
-        std::optional<core::AttemptKey> key_;      // of the attempt in progress; empty while idle
+        // Until sent; with keep_error_responses until the attempt ends.
+        std::shared_ptr<RequestPayload> payload_;
+        Time expires_{};                       // deadline of the attempt
+        std::optional<core::AttemptKey> key_;  // of the attempt in progress; empty while idle
         std::optional<Timers::Handle> timer_;
         Time since_{};  // start of the attempt, or of the idle time
         bool connected_ = false;
@@ -362,7 +365,7 @@
     void report_unsent(core::AttemptKey key, bool own_fault) {
         core::AttemptResult result;
         result.key = key;
-        result.own_fault = own_fault;
+        result.local_failure = own_fault;
         core_.on_attempt_end(std::move(result));
     }
 
@@ -377,11 +380,11 @@
         const Time now = clock_.now();
         while (!upstream.idle.empty()) {
             const auto recently_used = [&](const ConnectionPtr& connection) {
-                return now - connection->since() < options_.rest;
+                return now - connection->since() < options_.reuse_delay;
             };
             auto chosen = std::find_if(upstream.idle.begin(), upstream.idle.end(), recently_used);
             if (chosen != upstream.idle.begin()) {
-                --chosen;  // the most recently used of those idle for `rest`
+                --chosen;  // the most recently used of those idle for `reuse_delay`
             } else if (now < upstream.in_doubt_until) {
                 return nullptr;
             }
@@ -399,7 +402,7 @@
     }
 
     // Ensures that another connection may be opened; at the limit, evicts the connection idle longest.
-    bool ensure_capacity() { return budget_.open < budget_.most || evict_oldest_idle(); }
+    bool ensure_capacity() { return budget_.open < budget_.max_open || evict_oldest_idle(); }
 
     bool evict_oldest_idle() {
         ConnectionPtr oldest;
@@ -447,29 +450,32 @@
     loop::Executor loop_;
     core::Core& core_;
     const loop::Clock& clock_;
-    ConnectionBudget& budget_;
-    BackOptions options_;
+    ConnectionLimit& budget_;
+    ConnectionPoolOptions options_;
     std::unordered_map<UpstreamId, Upstream> upstreams_;
     std::map<core::AttemptKey, ConnectionPtr> attempts_;
     Timers timers_;
     loop::Alarm alarm_;
 };
 
-Back::Back(const loop::Executor& loop, core::Core& core, const loop::Clock& clock, ConnectionBudget& budget,
-           BackOptions options)
+UpstreamConnectionPool::UpstreamConnectionPool(const loop::Executor& loop, core::Core& core,
+                                               const loop::Clock& clock, ConnectionLimit& budget,
+                                               ConnectionPoolOptions options)
     : impl_(std::make_shared<Impl>(loop, core, clock, budget, std::move(options))) {}
-Back::~Back() { impl_->stop(); }
+UpstreamConnectionPool::~UpstreamConnectionPool() { impl_->stop(); }
 
-void Back::set_upstream(UpstreamId upstream, const std::string& address, bool takes_work) {
+void UpstreamConnectionPool::set_upstream(UpstreamId upstream, const std::string& address, bool takes_work) {
     impl_->set_upstream(upstream, address, takes_work);
 }
-void Back::remove_upstream(UpstreamId upstream) { impl_->remove_upstream(upstream); }
-void Back::send(core::Attempt attempt) { impl_->send(std::move(attempt)); }
-void Back::cancel(core::AttemptKey attempt) { impl_->cancel(attempt); }
-void Back::expire(core::AttemptKey attempt) { impl_->expire(attempt); }
-void Back::close_idle(UpstreamId upstream) { impl_->close_idle(upstream); }
-void Back::set_options(BackOptions options) { impl_->set_options(std::move(options)); }
-std::size_t Back::idle() const { return impl_->idle(); }
-std::size_t Back::known() const { return impl_->known(); }
+void UpstreamConnectionPool::remove_upstream(UpstreamId upstream) { impl_->remove_upstream(upstream); }
+void UpstreamConnectionPool::send(core::Attempt attempt) { impl_->send(std::move(attempt)); }
+void UpstreamConnectionPool::cancel(core::AttemptKey attempt) { impl_->cancel(attempt); }
+void UpstreamConnectionPool::expire(core::AttemptKey attempt) { impl_->expire(attempt); }
+void UpstreamConnectionPool::close_idle(UpstreamId upstream) { impl_->close_idle(upstream); }
+void UpstreamConnectionPool::set_options(ConnectionPoolOptions options) {
+    impl_->set_options(std::move(options));
+}
+std::size_t UpstreamConnectionPool::idle() const { return impl_->idle(); }
+std::size_t UpstreamConnectionPool::known() const { return impl_->known(); }
 
 }  // namespace flaxdoor::http
--- a/src/http/back.h
+++ b/src/http/upstream_connection_pool.h
@@ -6,8 +6,8 @@
 // Ownership: borrows loop, core, clock and budget, which must outlive it.
 // Lifetime:  must outlive its pool in the core; may be destroyed at any time after that.
 // Attempts:  an attempt carries one request on one connection; a connection carries one request at a time. An attempt
-//            that fails for lack of a local resource (descriptor, port, connection limit) ends as Outcome::moot, which
-//            says nothing about the upstream.
+//            that fails for lack of a local resource (descriptor, port, connection limit) ends as
+//            Outcome::inconclusive, which says nothing about the upstream.
 #pragma once
 
 #include <chrono>
@@ -24,33 +24,33 @@
 namespace flaxdoor::http {
 
 // The limit on open upstream connections, with their current number, over all connection pools that share it.
-struct ConnectionBudget {
-    std::size_t most = 512;
+struct ConnectionLimit {
+    std::size_t max_open = 512;
     std::size_t open = 0;
 };
 
-struct BackOptions {
-    Micros connect{};  // connect time-out; 0: none beyond the system's
-    Micros idle{};     // time after which the upstream closes an idle connection; 0: unknown
+struct ConnectionPoolOptions {
+    Micros connect_timeout{};        // connect time-out; 0: none beyond the system's
+    Micros upstream_idle_timeout{};  // time after which the upstream closes an idle connection; 0: unknown
     // Fields to read from load reports, in the order of Settings::report_fields.
     std::vector<std::string> report_fields;
     // Maps a complete response to an outcome. Null: the platform's mapping, outcome_of() of platform.h.
-    Outcome (*meaning)(const Response& answer) = nullptr;
-    bool keep_errors = false;      // keeps the last error response in RequestPayload::error_answer
-    Micros latency_floor{};        // lower bound of the reported latency of successes: core::latency_floor()
-    std::size_t body = body_most;  // longest response body, in bytes
+    Outcome (*classify_response)(const Response& answer) = nullptr;
+    bool keep_error_responses = false;  // keeps the last error response in RequestPayload::error_response
+    Micros latency_floor{};  // lower bound of the reported latency of successes: core::latency_floor()
+    std::size_t max_body_bytes = default_max_body_bytes;  // longest response body, in bytes
     // Least idle time before a connection is preferred for reuse. HTTP/1.1 cannot tell a late duplicate response from
     // the response to the next request, so a connection that has been idle this long is chosen before one that has
     // not. While an upstream that recently sent unsolicited bytes is in doubt, only connections idle this long are
     // reused.
-    Micros rest = std::chrono::milliseconds(10);
+    Micros reuse_delay = std::chrono::milliseconds(10);
 };
 
-class Back final : public core::Back {
+class UpstreamConnectionPool final : public core::UpstreamConnectionPool {
 public:
-    Back(const loop::Executor& loop, core::Core& core, const loop::Clock& clock, ConnectionBudget& budget,
-         BackOptions options);
-    ~Back() override;
+    UpstreamConnectionPool(const loop::Executor& loop, core::Core& core, const loop::Clock& clock,
+                           ConnectionLimit& budget, ConnectionPoolOptions options);
+    ~UpstreamConnectionPool() override;
 
     void set_upstream(UpstreamId upstream, const std::string& address, bool takes_work) override;
     void remove_upstream(UpstreamId upstream) override;
@@ -60,7 +60,7 @@
     void close_idle(UpstreamId upstream) override;
 
     // Applies to connections made or returned to the pool from now on.
-    void set_options(BackOptions options);
+    void set_options(ConnectionPoolOptions options);
     // Number of idle connections.
     std::size_t idle() const;
     // Number of upstreams that were set and not removed.
--- a/src/ingress/cluster.cpp
+++ b/src/ingress/cluster.cpp
@@ -179,7 +179,7 @@
     // Logs on the loop's thread. Values are copied to it, so that texts have to be passed as std::string.
     template <std::size_t N, class... Values>
     void log_event(const core::EventOf<N>& event, Values... values) {
-        on_loop([this, &event, ... values = std::move(values)] { log_.tell(event, values...); });
+        on_loop([this, &event, ... values = std::move(values)] { log_.write(event, values...); });
     }
 
     double chance() { return std::uniform_real_distribution<double>(0, 1)(random_); }
--- a/src/ingress/follow.cpp
+++ b/src/ingress/follow.cpp
@@ -19,7 +19,7 @@
     if (!call) {
         if (const auto due = reflector_.due()) {
             timer_.expires_at(clock_.steady(*due));
-            timer_.async_wait(alive_.guard([this](const boost::system::error_code& error) {
+            timer_.async_wait(alive_.wrap([this](const boost::system::error_code& error) {
                 if (!error) start_next_call();
             }));
         }
@@ -30,11 +30,11 @@
     client_call.accept = std::move(call->accept);
     client_call.limit = call->limit;
     call_number_ = client_.start(std::move(client_call),
-                                 {alive_.guard([this](int status, Micros retry_after) {
+                                 {alive_.wrap([this](int status, Micros retry_after) {
                                       reflector_.on_status(status, retry_after);
                                       notify();
                                   }),
-                                  alive_.guard([this](std::string_view bytes) {
+                                  alive_.wrap([this](std::string_view bytes) {
                                       reflector_.on_body(bytes);
                                       notify();
                                       if (!reflector_.response_unusable()) return;
@@ -43,7 +43,7 @@
                                       notify();
                                       start_next_call();
                                   }),
-                                  alive_.guard([this](bool complete, const std::string& error) {
+                                  alive_.wrap([this](bool complete, const std::string& error) {
                                       reflector_.call_ended(clock_.now(), complete, error, chance());
                                       notify();
                                       start_next_call();
--- a/src/ingress/follow.h
+++ b/src/ingress/follow.h
@@ -9,8 +9,8 @@
 
 #include "kube/client.h"
 #include "kube/reflector.h"
-#include "loop/alive.h"
 #include "loop/clock.h"
+#include "loop/lifetime_guard.h"
 
 namespace flaxdoor::ingress {
 
@@ -40,7 +40,7 @@
     boost::asio::steady_timer timer_;
     std::uint64_t call_number_ = 0;  // number of the call in flight
     std::string last_error_;
-    loop::Alive alive_;
+    loop::LifetimeGuard alive_;
 };
 
 }  // namespace flaxdoor::ingress
--- a/src/ingress/router.cpp
+++ b/src/ingress/router.cpp
@@ -55,7 +55,8 @@
         std::string all;
         for (std::size_t i = 0; i < message.fields.size(); ++i) {
             const auto field = message.fields.at(i);
-            if (http::same_word(field.name, "X-Forwarded-For")) all.append(field.value).append(", ");
+            if (http::equals_ignoring_case(field.name, "X-Forwarded-For"))
+                all.append(field.value).append(", ");
         }
         message.fields.set("X-Forwarded-For", all + client.peer);
     }
@@ -131,7 +132,7 @@
     return out;
 }
 
-Response client_response(core::Final final, const Routed& routed) {
+Response client_response(core::FinalAnswer final, const Routed& routed) {
     const auto prepare_response = [&](Response message) {
         if (routed.head) message.head_content_length = message.fields["Content-Length"];
         http::strip_hop_by_hop(message.fields);
@@ -146,9 +147,9 @@
         case core::Verdict::refused: return unavailable_response(final.retry_after);
         case core::Verdict::failed: break;
     }
-    if (final.cause == core::Cause::overdue || final.cause == core::Cause::timed_out)
+    if (final.cause == core::Cause::watchdog || final.cause == core::Cause::timed_out)
         return plain_answer(504);
-    auto& error = routed.payload->error_answer;
+    auto& error = routed.payload->error_response;
     if (final.cause != core::Cause::error || !error) return plain_answer(502);
     Response message = prepare_response(std::move(*error));
     // A 503 of the balancer promises that the request was not executed. An upstream's 503 may follow an
--- a/src/ingress/router.h
+++ b/src/ingress/router.h
@@ -44,7 +44,7 @@
                                                          const ClientConnection& client, double chance);
 
 // Returns the client's response for the result of a call.
-[[nodiscard]] http::Response client_response(core::Final final, const Routed& routed);
+[[nodiscard]] http::Response client_response(core::FinalAnswer final, const Routed& routed);
 // Returns a 503 response. Nothing was sent to an upstream, so that a retry is safe.
 [[nodiscard]] http::Response unavailable_response(Micros retry_after);
 
--- a/src/ingress/runtime.cpp
+++ b/src/ingress/runtime.cpp
@@ -9,7 +9,7 @@
 #include "http/calls.h"
 #include "ingress/router.h"
 #include "log/events.h"
-#include "loop/alive.h"
+#include "loop/lifetime_guard.h"
 #include "loop/sockets.h"
 
 namespace flaxdoor::ingress {
@@ -61,7 +61,7 @@
 }
 
 // Applies the retry limits of a route to one request.
-class RouteRetryGate final : public core::RetryGate {
+class RouteRetryGate final : public core::RetryAdmission {
 public:
     RouteRetryGate(routes::RetryLimit limit, std::shared_ptr<routes::RetryBudget> budget)
         : limit_(limit), left_(limit.attempts.value_or(0)), budget_(std::move(budget)) {}
@@ -109,7 +109,7 @@
         options_.clients = options.clients;
         options_.servers_most = options.servers_most;
         options_.settings = options.settings;
-        connection_budget_.most = options_.servers_most;
+        connection_budget_.max_open = options_.servers_most;
         for (const auto& [port, listener] : listeners_) {
             if (listener->http_listener) listener->http_listener->set_limits(limits());
         }
@@ -130,7 +130,7 @@
         draining_ = true;
         bool others = !closing_listeners_.empty();
         for (const auto& [port, listener] : listeners_) {
-            if (listener->http_listener) others = listener->http_listener->wind_down() || others;
+            if (listener->http_listener) others = listener->http_listener->drain_connections() || others;
         }
         return others;
     }
@@ -187,7 +187,7 @@
     struct Pool {
         std::string key;
         core::PoolId id = 0;
-        std::unique_ptr<http::Back> upstream_connections;
+        std::unique_ptr<http::UpstreamConnectionPool> upstream_connections;
         std::vector<routes::CallClass> classes;
         std::map<UpstreamId, Server> servers;
         std::size_t ready = 0;  // number of servers that are not draining
@@ -199,7 +199,7 @@
     using PoolRef = std::shared_ptr<Pool>;
 
     // State of a forwarded request until its response.
-    struct RoutedRequest final : http::Asked {
+    struct RoutedRequest final : http::RequestContext {
         RoutedRequest(std::shared_ptr<Impl> runtime, Routed destination, PoolRef target_pool)
             : owner(std::move(runtime)), routed(std::move(destination)), pool(std::move(target_pool)) {
             ++pool->open;
@@ -217,13 +217,16 @@
     struct Listener final : http::Handler {
         Listener(Impl& runtime, std::uint16_t port_number) : owner(runtime), port(port_number) {}
 
-        std::variant<Answer, Ask> on_request(http::Request message, const From& from) override {
+        std::variant<LocalResponse, Forward> on_request(http::Request message,
+                                                        const ConnectionInfo& from) override {
             return owner.on_request(*this, std::move(message), from);
         }
-        http::Response on_final(core::Final final, http::Asked* asked) override {
+        http::Response on_final(core::FinalAnswer final, http::RequestContext* asked) override {
             return client_response(std::move(final), static_cast<RoutedRequest*>(asked)->routed);
         }
-        Answer on_not_taken(core::Taken, http::Asked*) override { return {unavailable_response({}), false}; }
+        LocalResponse on_call_rejected(core::AcceptResult, http::RequestContext*) override {
+            return {unavailable_response({}), false};
+        }
 
         Impl& owner;
         const std::uint16_t port;
@@ -231,24 +234,25 @@
         bool has_tls = false;
         std::shared_ptr<const routes::Table> table;
         std::string fault;  // why the port is not open; empty: it is open
-        std::unique_ptr<http::Front> http_listener;
+        std::unique_ptr<http::Listener> http_listener;
     };
 
-    http::FrontLimits limits() const {
-        http::FrontLimits out = options_.clients;
-        out.body = options_.body;
+    http::ListenerLimits limits() const {
+        http::ListenerLimits out = options_.clients;
+        out.max_body_bytes = options_.body;
         return out;
     }
-    http::BackOptions connection_options(const std::vector<routes::CallClass>& classes) const {
-        http::BackOptions out;
+    http::ConnectionPoolOptions connection_options(const std::vector<routes::CallClass>& classes) const {
+        http::ConnectionPoolOptions out;
         Micros aim = std::chrono::seconds(1);
         for (const auto& each : classes) aim = std::min(aim, each.aim);
-        out.latency_floor = core::latency_floor(aim, static_cast<std::size_t>(options_.settings.fair_share));
-        out.connect = options_.settings.connect_timeout;
-        out.idle = options_.settings.idle_close;
-        out.meaning = classify_response;
-        out.keep_errors = true;
-        out.body = options_.body;
+        out.latency_floor =
+            core::latency_floor(aim, static_cast<std::size_t>(options_.settings.min_in_flight_per_upstream));
+        out.connect_timeout = options_.settings.connect_timeout;
+        out.upstream_idle_timeout = options_.settings.idle_close;
+        out.classify_response = classify_response;
+        out.keep_error_responses = true;
+        out.max_body_bytes = options_.body;
         return out;
     }
 
@@ -262,9 +266,8 @@
 
     // ------------------------------------------------------------------------------------------- Requests
 
-    std::variant<http::Handler::Answer, http::Handler::Ask> on_request(Listener& listener,
-                                                                       http::Request message,
-                                                                       const http::Handler::From& from) {
+    std::variant<http::Handler::LocalResponse, http::Handler::Forward> on_request(
+        Listener& listener, http::Request message, const http::Handler::ConnectionInfo& from) {
         ClientConnection client;
         client.scheme = from.tls ? "https" : "http";
         client.server_name = from.server_name;
@@ -273,32 +276,33 @@
         auto destination = route(listener.table, std::move(message), client, chance());
         if (auto* const local_response = std::get_if<http::Response>(&destination)) {
             ++figures_.told;
-            return http::Handler::Answer{std::move(*local_response), false};
+            return http::Handler::LocalResponse{std::move(*local_response), false};
         }
         Routed routed = std::get<Routed>(std::move(destination));
         const auto found = pools_.find(routed.backend->pool);
         if (found == pools_.end() || found->second->ready == 0) {
             ++figures_.told;
             ++figures_.unready;
-            return http::Handler::Answer{unavailable_response({}), false};
+            return http::Handler::LocalResponse{unavailable_response({}), false};
         }
         const PoolRef& pool = found->second;
         const auto class_entry = std::find(pool->classes.begin(), pool->classes.end(), routed.call);
-        if (class_entry == pool->classes.end()) return http::Handler::Answer{unavailable_response({}), false};
+        if (class_entry == pool->classes.end())
+            return http::Handler::LocalResponse{unavailable_response({}), false};
         core::Call call;
         call.pool = pool->id;
         call.class_index = static_cast<int>(class_entry - pool->classes.begin());
         call.budget = routed.budget;
-        call.unseen = http::client_ways;
+        call.network_allowance = http::client_network_allowance;
         call.attempt_limit = routed.rule->backend_timeout;
         call.retries = retry_gate(routed);
         call.payload = routed.payload;
         ++figures_.routed;
-        return http::Handler::Ask{
+        return http::Handler::Forward{
             std::move(call), std::make_unique<RoutedRequest>(shared_from_this(), std::move(routed), pool)};
     }
 
-    std::shared_ptr<core::RetryGate> retry_gate(const Routed& routed) {
+    std::shared_ptr<core::RetryAdmission> retry_gate(const Routed& routed) {
         const routes::RetryLimit& limit = routed.rule->retries;
         std::shared_ptr<routes::RetryBudget> budget;
         if (limit.share) {
@@ -338,7 +342,7 @@
             pool = std::make_shared<Pool>();
             pool->key = change.key;
             pool->zones.push_back(options_.zone);
-            pool->upstream_connections = std::make_unique<http::Back>(
+            pool->upstream_connections = std::make_unique<http::UpstreamConnectionPool>(
                 executor_, core_, clock_, connection_budget_, connection_options(change.classes));
         }
         const std::size_t zones = pool->zones.size();
@@ -386,7 +390,8 @@
             if (member.entry.started_at > Time{}) started_[started_key] = member.entry.started_at;
             // Initial concurrency limit, until the limit is learned from traffic.
             if (before == pool.servers.end())
-                member.entry.memory.emplace().limit = options_.settings.fair_share;
+                member.entry.restored.emplace().concurrency_limit =
+                    options_.settings.min_in_flight_per_upstream;
             list.members.push_back(std::move(member));
         }
         for (const auto& [id, server] : pool.servers) {
@@ -466,7 +471,7 @@
         }
         if (any_closed) {
             reopen_timer_.expires_after(options_.port_retry_interval);
-            reopen_timer_.async_wait(alive_.guard([this](error_code error) {
+            reopen_timer_.async_wait(alive_.wrap([this](error_code error) {
                 if (!error && !stopped_) open_listeners(false);
             }));
         }
@@ -479,7 +484,7 @@
     void open(Listener& listener) {
         const auto mapping = options_.moved.find(listener.port);
         const std::uint16_t at = mapping == options_.moved.end() ? listener.port : mapping->second;
-        http::Front::MakeChannel channel;
+        http::Listener::MakeChannel channel;
         if (listener.has_tls) {
             channel = [listener_ref = &listener]() -> std::unique_ptr<http::Channel> {
                 return std::make_unique<TlsChannel>(listener_ref->tls);
@@ -487,15 +492,15 @@
         }
         try {
             auto http_listener =
-                std::make_unique<http::Front>(executor_, core_, listener, clock_, limits(), channel);
+                std::make_unique<http::Listener>(executor_, core_, listener, clock_, limits(), channel);
             http_listener->listen(loop::parse_endpoint(options_.address + ":" + std::to_string(at)));
             listener.http_listener = std::move(http_listener);
             listener.fault.clear();
-            log_.tell(log::events::gateway_listening, loop::text_of(listener.http_listener->address()),
-                      listener.port);
+            log_.write(log::events::gateway_listening, loop::text_of(listener.http_listener->address()),
+                       listener.port);
         } catch (const std::exception& error) {
             if (listener.fault.empty())
-                log_.tell(log::events::gateway_port_failed, listener.port, error.what());
+                log_.write(log::events::gateway_port_failed, listener.port, error.what());
             listener.fault = error.what();
         }
     }
@@ -507,8 +512,8 @@
         auto listener = std::move(found->second);
         listeners_.erase(found);
         if (!listener->http_listener) return;
-        log_.tell(log::events::gateway_port_closed, port);
-        (void)listener->http_listener->wind_down();
+        log_.write(log::events::gateway_port_closed, port);
+        (void)listener->http_listener->drain_connections();
         closing_listeners_.push_back(std::move(listener));
         schedule_sweep();
     }
@@ -516,7 +521,7 @@
     void sweep() {
         destroy_idle_pools();
         std::erase_if(closing_listeners_, [](const auto& listener) {
-            if (listener->http_listener->wind_down()) return false;
+            if (listener->http_listener->drain_connections()) return false;
             listener->http_listener->stop();
             return true;
         });
@@ -527,7 +532,7 @@
         if (sweep_scheduled_ || stopped_) return;
         sweep_scheduled_ = true;
         sweep_timer_.expires_after(sweep_interval);
-        sweep_timer_.async_wait(alive_.guard([this](error_code error) {
+        sweep_timer_.async_wait(alive_.wrap([this](error_code error) {
             sweep_scheduled_ = false;
             if (!error && !stopped_) sweep();
         }));
@@ -539,7 +544,7 @@
     core::Log& log_;
     RuntimeOptions options_;
     const OnPorts on_ports_;
-    http::ConnectionBudget connection_budget_;
+    http::ConnectionLimit connection_budget_;
     std::unordered_map<std::string, PoolRef> pools_;
     std::vector<PoolRef> removed_pools_;
     std::map<std::pair<std::string, UpstreamId>, Time> started_;  // start times of servers that joined later
@@ -551,7 +556,7 @@
     std::uint64_t random_;
     RuntimeFigures figures_;
     bool sweep_scheduled_ = false, draining_ = false, stopped_ = false;
-    loop::Alive alive_;
+    loop::LifetimeGuard alive_;
 };
 
 Runtime::Runtime(const loop::Executor& executor, core::Core& core, const loop::Clock& clock, core::Log& log,
--- a/src/ingress/runtime.h
+++ b/src/ingress/runtime.h
@@ -14,8 +14,8 @@
 #include <string>
 
 #include "core/core.h"
-#include "http/back.h"
-#include "http/front.h"
+#include "http/listener.h"
+#include "http/upstream_connection_pool.h"
 #include "ingress/change.h"
 #include "loop/clock.h"
 #include "loop/executor.h"
@@ -24,11 +24,11 @@
 namespace flaxdoor::ingress {
 
 struct RuntimeOptions {
-    std::string address = "0.0.0.0";               // on which ports are opened
-    std::map<std::uint16_t, std::uint16_t> moved;  // port number to open instead; 0: any free port
-    http::FrontLimits clients;                     // limits of each listener
-    std::size_t servers_most = 1000;               // maximum number of connections to upstreams
-    std::size_t body = http::body_most;            // maximum body size of a request or response, bytes
+    std::string address = "0.0.0.0";                  // on which ports are opened
+    std::map<std::uint16_t, std::uint16_t> moved;     // port number to open instead; 0: any free port
+    http::ListenerLimits clients;                     // limits of each listener
+    std::size_t servers_most = 1000;                  // maximum number of connections to upstreams
+    std::size_t body = http::default_max_body_bytes;  // maximum body size of a request or response, bytes
     // Settings of every pool:
     Settings settings;  // the Runtime sets classes and zones
     std::string zone;   // zone of this balancer; empty: unknown
--- a/src/kube/client.cpp
+++ b/src/kube/client.cpp
@@ -91,7 +91,7 @@
             while (!owner_->idle_.empty()) {
                 connection_ = std::move(owner_->idle_.back());
                 owner_->idle_.pop_back();
-                if (!loop::quiet(connection_->socket)) continue;
+                if (!loop::has_no_input(connection_->socket)) continue;
                 reused_ = true;
                 return start_exchange();
             }
--- a/src/kube/config.cpp
+++ b/src/kube/config.cpp
@@ -109,7 +109,7 @@
     // Returns PEM from the inline `NAME-data` field, or else from the file that `NAME` names.
     std::string pem(const Json& object, const std::string& name) const {
         const std::string data = text(object, (name + "-data").c_str(), name + "-data");
-        if (!data.empty()) return flaxdoor::text::from_base64(data);
+        if (!data.empty()) return flaxdoor::text::decode_base64(data);
         const std::string path = text(object, name.c_str(), name);
         return path.empty() ? std::string() : text_of_file(resolved(path));
     }
--- a/src/library/instance.cpp
+++ b/src/library/instance.cpp
@@ -21,15 +21,15 @@
 CallCause cause_of(core::Cause cause) {
     switch (cause) {
         case core::Cause::none: return CallCause::none;
-        case core::Cause::no_room: return CallCause::no_room;
+        case core::Cause::no_capacity: return CallCause::no_room;
         case core::Cause::over_budget: return CallCause::over_budget;
-        case core::Cause::turned_away: return CallCause::turned_away;
+        case core::Cause::rejected_by_upstreams: return CallCause::turned_away;
         case core::Cause::timed_out: return CallCause::timed_out;
         case core::Cause::broken: return CallCause::broken;
         case core::Cause::error:
-        case core::Cause::broken_off: return CallCause::error;
-        case core::Cause::overdue: return CallCause::overdue;
-        case core::Cause::own_shortage: return CallCause::own_shortage;
+        case core::Cause::answer_truncated: return CallCause::error;
+        case core::Cause::watchdog: return CallCause::overdue;
+        case core::Cause::local_resources: return CallCause::own_shortage;
         case core::Cause::pool_removed:
         case core::Cause::shutting_down: return CallCause::closed;
         case core::Cause::fault: return CallCause::fault;
@@ -69,7 +69,7 @@
 
 // The answer to a call that ends without a final answer of the core.
 HttpAnswer local_answer(CallCause cause, bool may_have_run, std::string why = {},
-                        http::NotTaken rejection = {http::failure(502)}) {
+                        http::CallRejection rejection = {http::error_response(502)}) {
     CallResult result;
     result.cause = cause;
     result.may_have_run = may_have_run;
@@ -77,37 +77,37 @@
     if (cause == CallCause::cancelled) result.error = asio::error::operation_aborted;
     // A client repeats a refused request, so a call that may have been executed must not be refused: it could
     // be executed twice.
-    if (cause == CallCause::closed && !may_have_run) rejection = {http::refusal({})};
-    return http_answer(std::move(rejection.answer), std::move(result), rejection.last);
+    if (cause == CallCause::closed && !may_have_run) rejection = {http::rejection_response({})};
+    return http_answer(std::move(rejection.answer), std::move(result), rejection.close_connection);
 }
 
 HttpAnswer bad_request_answer(std::string why) {
-    http::NotTaken rejection{http::plain_answer(400, why), true};
+    http::CallRejection rejection{http::plain_answer(400, why), true};
     return local_answer(CallCause::bad_request, false, std::move(why), std::move(rejection));
 }
 
-HttpAnswer rejected_answer(core::Taken taken) {
-    http::NotTaken rejection = http::answer_of(taken);
+HttpAnswer rejected_answer(core::AcceptResult taken) {
+    http::CallRejection rejection = http::make_response(taken);
     switch (taken) {
-        case core::Taken::name_open:
+        case core::AcceptResult::name_in_use:
             return local_answer(CallCause::name_open, true,
                                 "a call with this id is open, or may still be executing",
                                 std::move(rejection));
-        case core::Taken::unknown_tenant:
+        case core::AcceptResult::unknown_tenant:
             return local_answer(CallCause::bad_request, false, "the settings have no such tenant",
                                 std::move(rejection));
-        case core::Taken::bad_class:
+        case core::AcceptResult::bad_class:
             return local_answer(CallCause::bad_request, false, "the settings have no such class",
                                 std::move(rejection));
-        case core::Taken::too_many: {
+        case core::AcceptResult::too_many: {
             HttpAnswer answer = local_answer(CallCause::own_shortage, false,
                                              "the limit of open calls is reached", std::move(rejection));
             answer.result.verdict = CallVerdict::refused;
             return answer;
         }
-        case core::Taken::yes:
-        case core::Taken::no_pool:
-        case core::Taken::shutting_down: break;
+        case core::AcceptResult::accepted:
+        case core::AcceptResult::no_pool:
+        case core::AcceptResult::shutting_down: break;
     }
     return local_answer(CallCause::closed, false, "the instance accepts no further calls");
 }
@@ -136,7 +136,7 @@
         throw std::invalid_argument(server.name + ": address must have the form 127.0.0.1:5000, not \"" +
                                     server.address + '"');
     }
-    member.entry.id = membership::id_of(server.name);
+    member.entry.id = membership::upstream_id_of(server.name);
     member.entry.zone = index_of(names.zones, server.zone);
     // The zone must be known, because keyed calls are repeated only within their zone.
     if (member.entry.zone == static_cast<int>(names.zones.size())) {
@@ -167,7 +167,7 @@
         add_name(name);
         core::Member member;
         member.name = name;
-        member.entry.id = membership::id_of(name);
+        member.entry.id = membership::upstream_id_of(name);
         member.entry.state = UpstreamState::gone;
         list.members.push_back(std::move(member));
     }
@@ -195,7 +195,8 @@
         throw std::invalid_argument("options: " + text);
     }
     // The library does not use [log]. Rejects the table, since ignoring it would mislead the host.
-    if (std::get<settings::Values>(reading).given("log") && !(options.sides && options.sides->on_operators))
+    if (std::get<settings::Values>(reading).given("log") &&
+        !(options.internal && options.internal->on_operator_settings))
         throw std::invalid_argument(
             "options: [log] applies to the daemon only; a host sets BalancerOptions::log");
     return std::get<settings::Values>(std::move(reading));
@@ -272,10 +273,10 @@
         config_of(options), operator_config_of(options), !options.listen.empty(), !options.discovery.empty(),
         open_calls_,        options.keep_taking};
     engine_options.config.seed = seed_;
-    if (options.sides) {
-        engine_options.sides = options.sides->makers;
-        engine_options.on_operators = options.sides->on_operators;
-        events_ = options.sides->log;
+    if (options.internal) {
+        engine_options.extensions = options.internal->extensions;
+        engine_options.on_operator_settings = options.internal->on_operator_settings;
+        events_ = options.internal->log;
     }
     engine_ = std::make_unique<engine::Engine>(executor_, *this, std::move(engine_options));
     if (const auto listen_address = engine_->address()) address_ = loop::text_of(*listen_address);
@@ -312,7 +313,7 @@
             pending_.emplace(number, std::move(pending));
             return true;
         }
-        answer = rejected_answer(closed_ ? core::Taken::shutting_down : core::Taken::too_many);
+        answer = rejected_answer(closed_ ? core::AcceptResult::shutting_down : core::AcceptResult::too_many);
     }
     answer.result.id = id;
     answer.close = true;
@@ -401,10 +402,10 @@
                    if (!self->engine_) return;
                    try {
                        self->engine_->reconfigure(config);
-                       self->engine_->set_operators(operators);
+                       self->engine_->apply_operator_settings(operators);
                    } catch (const std::exception& error) {
-                       self->tell(core::events::fault,
-                                  "could not apply the configuration: " + std::string(error.what()));
+                       self->write(core::events::fault,
+                                   "could not apply the configuration: " + std::string(error.what()));
                    }
                });
 }
@@ -412,7 +413,7 @@
 void Instance::set_servers(ServerList servers) {
     auto list = option("servers", [&] { return list_of(servers, names_); });
     asio::post(executor_, [self = shared_from_this(), list = std::move(list)] {
-        if (self->engine_) self->engine_->take_list(list);
+        if (self->engine_) self->engine_->apply_list(list);
     });
 }
 
@@ -448,7 +449,7 @@
     try {
         work();
     } catch (const std::exception& error) {
-        tell(core::events::fault, error.what());
+        write(core::events::fault, error.what());
         bool sending = false;
         {
             const std::lock_guard lock(mutex_);
@@ -467,7 +468,7 @@
     if (!engine_) return finish(number, local_answer(CallCause::closed, false));
     const Settings* const settings = engine_->core().settings(engine_->pool());
     if (!settings) return finish(number, local_answer(CallCause::closed, false));
-    http::OwnRequest own;
+    http::LocalRequest own;
     own.class_name = request.class_name;
     own.id = request.id;
     const auto request_class = std::find_if(
@@ -484,20 +485,21 @@
     own.cost_hint = request.cost_hint;
     own.client_retry = request.client_retry;
     own.headers = &request.headers;
-    auto parsed = http::understand(own, *settings);
-    if (auto* error = std::get_if<http::NotUnderstood>(&parsed)) {
+    auto parsed = http::parse_client_request(own, *settings);
+    if (auto* error = std::get_if<http::InvalidRequest>(&parsed)) {
         return finish(number, bad_request_answer(std::move(error->why)));
     }
     std::optional<UpstreamId> pinned;
-    if (!request.pinned.empty()) pinned = membership::id_of(request.pinned);
+    if (!request.pinned.empty()) pinned = membership::upstream_id_of(request.pinned);
     submit_to_core(number, std::get<http::ClientRequest>(std::move(parsed)), pinned, Micros{0});
 }
 
 void Instance::start_http(std::uint64_t number, HttpRequest& request) {
-    if (const auto error = http::unfit(request.method, request.target, request.headers); !error.empty()) {
+    if (const auto error = http::validate_header_syntax(request.method, request.target, request.headers);
+        !error.empty()) {
         return finish(number, bad_request_answer(error));
     }
-    if (const auto error = http::badly_framed(request.headers); !error.empty()) {
+    if (const auto error = http::validate_framing(request.headers); !error.empty()) {
         return finish(number, bad_request_answer(error));
     }
     http::Request message;
@@ -510,24 +512,25 @@
     for (const auto& [name, value] : request.headers) message.fields.add(name, value);
     message.body = std::move(request.body);
     const auto reject = [&](int status, std::string why) {
-        http::NotTaken rejection{http::plain_answer(status, why), true};
+        http::CallRejection rejection{http::plain_answer(status, why), true};
         finish(number, local_answer(CallCause::bad_request, false, std::move(why), std::move(rejection)));
     };
-    if (message.body.size() > http::body_most) return reject(413, "body too large");
+    if (message.body.size() > http::default_max_body_bytes) return reject(413, "body too large");
     switch (http::route_of(message)) {
         case http::Route::ready: {
             CallResult result;
             result.verdict = CallVerdict::served;
             result.cause = CallCause::none;
-            return finish(number, http_answer(http::readiness(!draining_), std::move(result), false));
+            return finish(number,
+                          http_answer(http::readiness_response(!draining_), std::move(result), false));
         }
         case http::Route::unknown: return reject(404, "no such path");
         case http::Route::api: break;
     }
     const Settings* const settings = engine_ ? engine_->core().settings(engine_->pool()) : nullptr;
-    if (!settings) return finish(number, rejected_answer(core::Taken::no_pool));
-    auto parsed = http::understand(std::move(message), *settings);
-    if (auto* error = std::get_if<http::NotUnderstood>(&parsed)) {
+    if (!settings) return finish(number, rejected_answer(core::AcceptResult::no_pool));
+    auto parsed = http::parse_client_request(std::move(message), *settings);
+    if (auto* error = std::get_if<http::InvalidRequest>(&parsed)) {
         return finish(number, bad_request_answer(std::move(error->why)));
     }
     auto& client_request = std::get<http::ClientRequest>(parsed);
@@ -537,16 +540,16 @@
         if (found == pending_.end()) return;
         found->second.id = client_request.call_id;
     }
-    submit_to_core(number, std::move(client_request), std::nullopt, http::client_ways);
+    submit_to_core(number, std::move(client_request), std::nullopt, http::client_network_allowance);
 }
 
 void Instance::submit_to_core(std::uint64_t number, http::ClientRequest request,
                               std::optional<UpstreamId> pinned, Micros unseen) {
-    core::Call call = http::call_of(std::move(request), engine_->pool(), unseen);
+    core::Call call = http::make_call(std::move(request), engine_->pool(), unseen);
     call.pinned = pinned;
     core::CallId id = 0;
-    const core::Taken taken = engine_->core().take(std::move(call), *this, number, &id);
-    if (taken != core::Taken::yes) return finish(number, rejected_answer(taken));
+    const core::AcceptResult taken = engine_->core().accept_call(std::move(call), *this, number, &id);
+    if (taken != core::AcceptResult::accepted) return finish(number, rejected_answer(taken));
     const std::lock_guard lock(mutex_);
     const auto found = pending_.find(number);
     if (found != pending_.end()) found->second.call = id;
@@ -561,7 +564,7 @@
     return true;
 }
 
-void Instance::on_final(std::uint64_t token, core::Final final) {
+void Instance::on_final(std::uint64_t token, core::FinalAnswer final) {
     const bool may_have_run = final.may_have_run;
     try {
         complete_final(token, std::move(final));
@@ -572,7 +575,7 @@
     }
 }
 
-void Instance::complete_final(std::uint64_t token, core::Final final) {
+void Instance::complete_final(std::uint64_t token, core::FinalAnswer final) {
     CallResult result;
     result.verdict = verdict_of(final.verdict);
     result.cause = cause_of(final.cause);
@@ -585,9 +588,10 @@
         if (found == pending_.end()) return;  // already completed
         web = found->second.web;
     }
-    if (web) return finish(token, http_answer(http::answer_of(std::move(final)), std::move(result), false));
+    if (web)
+        return finish(token, http_answer(http::make_response(std::move(final)), std::move(result), false));
     if (final.verdict == core::Verdict::served) {
-        http::Response message = http::answer_of(std::move(final));
+        http::Response message = http::make_response(std::move(final));
         result.status = message.status;
         result.headers = headers_of(message.fields);
         result.body = std::move(message.body);
@@ -612,7 +616,7 @@
         (type & (asio::cancellation_type::terminal | asio::cancellation_type::partial)) !=
         asio::cancellation_type::none;
     if (type == asio::cancellation_type::none || (!unconditional && sending)) return;
-    const bool may_have_run = call != 0 && engine_ && engine_->core().leave(call);
+    const bool may_have_run = call != 0 && engine_ && engine_->core().abandon_call(call);
     finish(number, local_answer(CallCause::cancelled, may_have_run));
 }
 
@@ -638,7 +642,7 @@
     try {
         operation.complete(std::move(answer));
     } catch (const std::exception& error) {
-        tell(core::events::fault, "a handler could not be posted: " + std::string(error.what()));
+        write(core::events::fault, "a handler could not be posted: " + std::string(error.what()));
     }
 }
 
@@ -690,7 +694,7 @@
         }
     }
     for (const auto& [number, call] : calls) {
-        const bool may_have_run = engine_->core().leave(call);
+        const bool may_have_run = engine_->core().abandon_call(call);
         const std::lock_guard lock(mutex_);
         const auto found = pending_.find(number);
         if (found != pending_.end()) found->second.may_have_run = may_have_run;
@@ -715,18 +719,18 @@
 
 void Instance::update_figures() {
     if (!engine_) return;
-    const core::Figures core_figures = engine_->figures();
+    const core::Stats core_figures = engine_->figures();
     const std::lock_guard lock(mutex_);
-    figures_.taken = core_figures.taken;
+    figures_.taken = core_figures.accepted;
     figures_.served = core_figures.served;
     figures_.refused = core_figures.refused;
     figures_.failed = core_figures.failed;
-    figures_.left = core_figures.left;
+    figures_.left = core_figures.abandoned;
     figures_.attempts = core_figures.attempts;
-    figures_.overdue = core_figures.overdue;
+    figures_.overdue = core_figures.watchdog_answers;
     figures_.faults = core_figures.faults;
     figures_.open = core_figures.open;
-    figures_.servers = engine_->servers();
+    figures_.servers = engine_->upstreams();
     figures_.connections = engine_->connections();
 }
 
@@ -742,7 +746,7 @@
     try {
         figures_sink_(name_, figures());
     } catch (...) {
-        tell(core::events::fault, "the figures sink threw an exception");
+        write(core::events::fault, "the figures sink threw an exception");
     }
 }
 
--- a/src/library/instance.h
+++ b/src/library/instance.h
@@ -24,7 +24,9 @@
 // Returns whether the server has a valid name, address, zone and weight.
 bool usable(const Server& server, const membership::ListNames& names);
 
-class Instance final : public core::Front, public core::Log, public std::enable_shared_from_this<Instance> {
+class Instance final : public core::Downstream,
+                       public core::Log,
+                       public std::enable_shared_from_this<Instance> {
 public:
     // Throws as Balancer's constructor does. Must be called on the executor's thread, or before it runs.
     Instance(boost::asio::any_io_executor executor, const BalancerOptions& options);
@@ -50,7 +52,7 @@
     // ------------------------------------------------------------------ must be called on the executor
     bool on_sending(std::uint64_t token) override;
     void on_started(std::uint64_t, std::unique_ptr<core::Payload>) override {}
-    void on_final(std::uint64_t token, core::Final answer) override;
+    void on_final(std::uint64_t token, core::FinalAnswer answer) override;
     void event(const core::Event& event, std::span<const core::Value> values) noexcept override;
 
 private:
@@ -78,10 +80,10 @@
     void run_guarded(std::uint64_t number, Work work);
     void start_call(std::uint64_t number, const CallRequest& request);
     void start_http(std::uint64_t number, HttpRequest& request);
-    // `unseen` is the client's transit time: see http::call_of().
+    // `unseen` is the client's transit time: see http::make_call().
     void submit_to_core(std::uint64_t number, http::ClientRequest request, std::optional<UpstreamId> pinned,
                         Micros unseen);
-    void complete_final(std::uint64_t token, core::Final final);
+    void complete_final(std::uint64_t token, core::FinalAnswer final);
     void cancel_on_executor(std::uint64_t number, boost::asio::cancellation_type type);
     void finish(std::uint64_t number, HttpAnswer answer);
     // Logs an exception of the handler's executor, so that other operations are still completed.
--- a/src/loop/alarm.h
+++ b/src/loop/alarm.h
@@ -9,9 +9,9 @@
 #include <functional>
 
 #include "core/ports.h"
-#include "loop/alive.h"
 #include "loop/clock.h"
 #include "loop/executor.h"
+#include "loop/lifetime_guard.h"
 
 namespace flaxdoor::loop {
 
@@ -25,7 +25,7 @@
 
     void set(Time at) override {
         timer_.expires_at(std::max(clock_.steady(at), last_fired_ + min_interval));
-        timer_.async_wait(alive_.guard([this](const boost::system::error_code& error) {
+        timer_.async_wait(alive_.wrap([this](const boost::system::error_code& error) {
             // The handler of an earlier set() may have been queued already when the timer was set again.
             const auto now = Clock::Steady::now();
             if (error || timer_.expiry() > now) return;
@@ -43,7 +43,7 @@
     boost::asio::steady_timer timer_;
     Clock::Steady::time_point last_fired_{};
     std::function<void()> call_;
-    Alive alive_;  // declared last: handlers that are due after the destruction do nothing
+    LifetimeGuard alive_;  // declared last: handlers that are due after the destruction do nothing
 };
 
 }  // namespace flaxdoor::loop
--- a/src/loop/alive.h
+++ b/src/loop/lifetime_guard.h
@@ -7,10 +7,10 @@
 
 namespace flaxdoor::loop {
 
-class Alive {
+class LifetimeGuard {
 public:
     template <typename Handler>
-    auto guard(Handler handler) const {
+    auto wrap(Handler handler) const {
         return
             [alive = std::weak_ptr<void>(token_), handler = std::move(handler)](auto&&... arguments) mutable {
                 if (!alive.expired()) handler(std::forward<decltype(arguments)>(arguments)...);
--- a/src/loop/sockets.cpp
+++ b/src/loop/sockets.cpp
@@ -40,7 +40,7 @@
     assign_descriptor(::accept4(acceptor.native_handle(), nullptr, nullptr, SOCK_CLOEXEC), socket, error);
 }
 
-void take_no_more(tcp::acceptor& acceptor) {
+void stop_accepting(tcp::acceptor& acceptor) {
     // Drops incoming segments that ask for a connection (SYN). Byte 13 of a TCP header holds the flags.
     sock_filter filter[] = {BPF_STMT(BPF_LD | BPF_B | BPF_ABS, 13),
                             BPF_JUMP(BPF_JMP | BPF_JSET | BPF_K, 0x02, 0, 1), BPF_STMT(BPF_RET | BPF_K, 0),
@@ -49,13 +49,13 @@
     (void)::setsockopt(acceptor.native_handle(), SOL_SOCKET, SO_ATTACH_FILTER, &program, sizeof program);
 }
 
-bool quiet(tcp::socket& socket) {
+bool has_no_input(tcp::socket& socket) {
     char byte = 0;
     const auto received = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
     return received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
-bool ended_behind(tcp::socket& socket) {
+bool peer_has_closed(tcp::socket& socket) {
     pollfd poll_request{socket.native_handle(), POLLRDHUP, 0};
     return ::poll(&poll_request, 1, 0) > 0 && (poll_request.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
@@ -92,7 +92,7 @@
     return written;
 }
 
-bool own_want(const error_code& error) {
+bool is_local_resource_error(const error_code& error) {
     switch (error.value()) {
         case EMFILE:
         case ENFILE:
--- a/src/loop/sockets.h
+++ b/src/loop/sockets.h
@@ -25,14 +25,14 @@
 // established can still be accepted. To be called before the acceptor is closed: a client that connects
 // between the last accept and the close would be reset with a request in flight. Has no effect where the
 // system does not support it.
-void take_no_more(tcp::acceptor& acceptor);
+void stop_accepting(tcp::acceptor& acceptor);
 
 // Returns whether neither bytes nor the end of the stream can be read: then it is safe to write a request to
 // the socket, or to close it between two requests.
-[[nodiscard]] bool quiet(tcp::socket& socket);
+[[nodiscard]] bool has_no_input(tcp::socket& socket);
 
 // Returns whether the peer has ended its sending, also when bytes that it sent before have not been read.
-[[nodiscard]] bool ended_behind(tcp::socket& socket);
+[[nodiscard]] bool peer_has_closed(tcp::socket& socket);
 
 // Returns whether the socket accepts bytes or has a connection event to report.
 [[nodiscard]] bool writable(tcp::socket& socket);
@@ -52,7 +52,7 @@
 
 // Returns whether the error means that this process lacks descriptors, ports, memory or permissions. Such an
 // error says nothing about the peer.
-[[nodiscard]] bool own_want(const error_code& error);
+[[nodiscard]] bool is_local_resource_error(const error_code& error);
 
 // Parses an endpoint such as "127.0.0.1:5000". Throws std::invalid_argument if the text is not an IPv4
 // address with a port.
--- a/src/membership/roster.cpp
+++ b/src/membership/discovery_client.cpp
@@ -1,4 +1,4 @@
-#include "membership/roster.h"
+#include "membership/discovery_client.h"
 
 #include <algorithm>
 #include <array>
@@ -111,7 +111,7 @@
     }
 
     // Only waits; on_readable() reads. Bytes that an asynchronous read had already taken from the socket would be overtaken
-    // by those that catch_up() reads.
+    // by those that deliver_pending() reads.
     void wait_readable() {
         socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code error) {
             if (!self->ended_) self->on_readable(error);
@@ -190,7 +190,7 @@
     fetch_->start();
 }
 
-void DiscoveryClient::catch_up() {
+void DiscoveryClient::deliver_pending() {
     // The copies keep each call alive: a call may end while it reports its updates.
     for (const std::shared_ptr<Call>& call : {former_watch_, watch_, fetch_}) {
         if (call) call->catch_up();
@@ -235,7 +235,7 @@
         if (received_list_ && (!call.watching() || former) && update.list.version < version_) return;
         version_ = update.list.version;
         received_list_ = true;
-        if (!update.why.empty()) log_.tell(log::events::discovery_left_out, update.why);
+        if (!update.why.empty()) log_.write(log::events::discovery_left_out, update.why);
     }
     if (&call == watch_.get() && former_watch_) {
         former_watch_->drop();
@@ -253,7 +253,7 @@
     const std::shared_ptr<Call> ended = std::move(watching ? watch_ : fetch_);
     (watching ? watch_ : fetch_).reset();
     if (!failed) return;  // a snapshot call that has completed
-    log_.tell(watching ? log::events::discovery_watch_failed : log::events::discovery_call_failed, why);
+    log_.write(watching ? log::events::discovery_watch_failed : log::events::discovery_call_failed, why);
     core::MemberList none;
     none.kind = ListKind::failed;
     sink_(std::move(none));
@@ -261,7 +261,7 @@
     backoff_ = ended->has_delivered() ? min_backoff : std::clamp(2 * backoff_, min_backoff, max_backoff);
     const auto jitter = static_cast<std::uint64_t>(backoff_.count() / 2);
     retry_timer_.expires_at(ended->started_at() + backoff_ - Micros(next_random(random_) % jitter));
-    retry_timer_.async_wait(alive_.guard([this](error_code error) {
+    retry_timer_.async_wait(alive_.wrap([this](error_code error) {
         if (!error && watching_) watch();
     }));
 }
--- a/src/membership/roster.h
+++ b/src/membership/discovery_client.h
@@ -13,9 +13,9 @@
 #include <memory>
 
 #include "core/ports.h"
-#include "loop/alive.h"
 #include "loop/executor.h"
-#include "membership/roster_machine.h"
+#include "loop/lifetime_guard.h"
+#include "membership/discovery_parser.h"
 
 namespace flaxdoor::membership {
 
@@ -46,7 +46,7 @@
     void watch() override;  // resumes after the last version received; does nothing while a watch is open
     void unwatch() override;
     void fetch() override;  // requests the snapshot once
-    void catch_up() override;
+    void deliver_pending() override;
     // Changes the address of the service. An open watch or call is repeated at the new address at once. Updates of the old
     // watch are still used until the new watch delivers its first; the end of the old watch is not a failure.
     void move_to(const boost::asio::ip::tcp::endpoint& address);
@@ -74,7 +74,7 @@
     std::shared_ptr<Call> fetch_;
     Micros backoff_{};  // between the starts of a failed watch and of the next one, where lists are pushed
     boost::asio::steady_timer retry_timer_;
-    loop::Alive alive_;
+    loop::LifetimeGuard alive_;
 };
 
 }  // namespace flaxdoor::membership
--- a/src/membership/roster_machine.cpp
+++ b/src/membership/discovery_parser.cpp
@@ -1,4 +1,4 @@
-#include "membership/roster_machine.h"
+#include "membership/discovery_parser.h"
 
 #include <boost/asio/buffer.hpp>
 #include <boost/beast/core/flat_buffer.hpp>
--- a/src/membership/list.cpp
+++ b/src/membership/list.cpp
@@ -42,7 +42,7 @@
 
 }  // namespace
 
-UpstreamId id_of(std::string_view name) {
+UpstreamId upstream_id_of(std::string_view name) {
     std::uint64_t hash = 0xcbf29ce484222325ULL;
     for (const char c : name) hash = (hash ^ static_cast<unsigned char>(c)) * 0x100000001b3ULL;
     return hash;
@@ -60,7 +60,7 @@
         if (left_out) *left_out = name + ": " + error.what();
     }
     member.name = name;
-    member.entry.id = id_of(name);
+    member.entry.id = upstream_id_of(name);
     return member;
 }
 
--- a/src/membership/list.h
+++ b/src/membership/list.h
@@ -21,7 +21,7 @@
 
 // Returns the id of an upstream: a hash of its name (FNV-1a, 64 bits), so that every balancer computes the same id. The
 // module orders upstreams by id and relies on all balancers having the same order.
-[[nodiscard]] UpstreamId id_of(std::string_view name);
+[[nodiscard]] UpstreamId upstream_id_of(std::string_view name);
 
 // Parses a list. A snapshot (`whole`) has kind `full`, changes have kind `delta`. Throws if the text is not a list. An
 // entry that cannot be used (a zone that the settings do not name, an unknown health) counts as gone, so that the other
