--- a/src/pg/front.cpp
+++ b/src/pg/listener.cpp
@@ -1,4 +1,4 @@
-#include "pg/front.h"
+#include "pg/listener.h"
 
 #include <openssl/rand.h>
 
@@ -76,7 +76,7 @@
 
 }  // namespace
 
-class Front::Impl : public std::enable_shared_from_this<Impl> {
+class Listener::Impl : public std::enable_shared_from_this<Impl> {
     struct QueueState {
         QueueState(TimerSet& timers, std::size_t max_length, Micros timeout)
             : queue(max_length, timeout), timer(timers) {}
@@ -86,8 +86,8 @@
     };
 
 public:
-    Impl(const loop::Executor& executor, core::Core& core, core::Front& handler, const loop::Clock& clock,
-         FrontOptions options)
+    Impl(const loop::Executor& executor, core::Core& core, core::Downstream& handler,
+         const loop::Clock& clock, ListenerOptions options)
         : executor_(executor),
           core_(core),
           handler_(handler),
@@ -110,7 +110,7 @@
         await_client();
     }
     tcp::endpoint address() const { return acceptor_.local_endpoint(); }
-    void set_options(FrontOptions options) {
+    void set_options(ListenerOptions options) {
         options_ = std::move(options);
         for (const auto& [name, state] : queues_) {
             const auto known = options_.databases.find(name);
@@ -136,15 +136,15 @@
         for (const auto& client : all_clients()) client->close();
     }
 
-    void on_final(std::uint64_t token, core::Final answer) {
+    void on_final(std::uint64_t token, core::FinalAnswer answer) {
         const auto found = clients_.find(token >> 32);
         if (found == clients_.end()) return;
         const auto client = found->second;
         client->on_final(static_cast<std::uint32_t>(token), answer);
     }
 
-    FrontFigures figures() const {
-        FrontFigures figures;
+    ListenerStats figures() const {
+        ListenerStats figures;
         figures.connections = clients_.size();
         figures.sessions = clients_.size() - unauthenticated_count_;
         figures.units = unit_count_;
@@ -205,7 +205,7 @@
             pump();
         }
 
-        void on_final(std::uint32_t unit_number, const core::Final& answer) {
+        void on_final(std::uint32_t unit_number, const core::FinalAnswer& answer) {
             if (unit_number != unit_number_) return;  // an earlier unit, which the session has already ended
             const auto self = shared_from_this();
             call_id_ = 0;
@@ -238,7 +238,7 @@
                 session_->on_rejected(rejection);
             } else {
                 const bool late =
-                    answer.cause == core::Cause::timed_out || answer.cause == core::Cause::overdue;
+                    answer.cause == core::Cause::timed_out || answer.cause == core::Cause::watchdog;
                 session_->on_failed(late ? Failure::timed_out : Failure::lost);
             }
             pump();
@@ -259,7 +259,7 @@
         }
 
     private:
-        static ClientOptions machine_options(const FrontOptions& options) {
+        static ClientOptions machine_options(const ListenerOptions& options) {
             ClientOptions client_options;
             client_options.tls_offered = options.context != nullptr;
             client_options.tls_required = options.tls_required;
@@ -509,11 +509,12 @@
             in_policy_ = true;
             const std::uint32_t unit_number = unit_number_;
             const std::uint64_t token = std::uint64_t{number_} << 32 | unit_number;
-            const core::Taken taken = owner_.core_.take(std::move(call), owner_.handler_, token, &call_id_);
-            if (taken != core::Taken::yes) {
+            const core::AcceptResult taken =
+                owner_.core_.accept_call(std::move(call), owner_.handler_, token, &call_id_);
+            if (taken != core::AcceptResult::accepted) {
                 call_id_ = 0;
                 on_unit_left();
-                if (taken == core::Taken::shutting_down)
+                if (taken == core::AcceptResult::shutting_down)
                     return session_->terminate("the balancer is shutting down");
                 return session_->on_rejected({"too many units are open", Micros{0}, false});
             }
@@ -523,7 +524,7 @@
             if (placed_) return queue.on_placed();
             if (!queue.may_requeue()) return;
             // The unit can't be placed now: it returns to the queue before the policy module would reject it.
-            owner_.core_.leave(std::exchange(call_id_, 0));
+            owner_.core_.abandon_call(std::exchange(call_id_, 0));
             in_policy_ = false;
             queue.requeue(number_, pending_unit_.since + database_options_->line_wait);
             owner_.schedule_queue(owner_.queue_of(*this));
@@ -549,7 +550,7 @@
 
         void leave_unit(bool keep_link) override {
             ++unit_number_;
-            if (call_id_) owner_.core_.leave(std::exchange(call_id_, 0));
+            if (call_id_) owner_.core_.abandon_call(std::exchange(call_id_, 0));
             on_unit_left();
             if (server_link_ && !keep_link) std::exchange(server_link_, nullptr)->abandon(Outcome::cancelled);
         }
@@ -564,7 +565,7 @@
                 return;
             QueueState& state = owner_.queue_of(*this);
             if (state.offering || !state.queue.may_requeue()) return;
-            owner_.core_.leave(std::exchange(call_id_, 0));
+            owner_.core_.abandon_call(std::exchange(call_id_, 0));
             in_policy_ = false;
             state.queue.requeue(number_, pending_unit_.since + database_options_->line_wait);
             owner_.schedule_queue(state);
@@ -637,7 +638,7 @@
         TimerSet::Timer login_timer_, message_timer_, deadline_timer_, linger_timer_;
         std::optional<Session> session_;
         std::string user_, database_;
-        std::shared_ptr<const FrontDatabase> database_options_;
+        std::shared_ptr<const ListenerDatabase> database_options_;
         std::vector<StartupOption> start_up_settings_;
         int class_index_ = unsafe_class;
         struct PendingUnit {
@@ -706,7 +707,7 @@
     // --- Accepting connections ---
 
     void await_client() {
-        acceptor_.async_wait(tcp::acceptor::wait_read, alive_.guard([this](error_code error) {
+        acceptor_.async_wait(tcp::acceptor::wait_read, alive_.wrap([this](error_code error) {
             if (error || draining_) return;
             accept_some();
         }));
@@ -718,7 +719,7 @@
             error_code error;
             loop::accept(acceptor_, socket, error);
             if (error == boost::asio::error::would_block) return await_client();
-            if (error && loop::own_want(error))
+            if (error && loop::is_local_resource_error(error))
                 return accept_retry_timer_.after(accept_retry_delay, [this] { await_client(); });
             if (!error) add(std::move(socket));
         }
@@ -790,9 +791,9 @@
 
     const loop::Executor executor_;
     core::Core& core_;
-    core::Front& handler_;
+    core::Downstream& handler_;
     const loop::Clock& clock_;
-    FrontOptions options_;
+    ListenerOptions options_;
     TimerSet timers_;
     tcp::acceptor acceptor_;
     TimerSet::Timer accept_retry_timer_;
@@ -807,21 +808,24 @@
     std::uint32_t last_number_ = 0;
     std::uint64_t unit_count_ = 0;
     bool draining_ = false;
-    loop::Alive alive_;
+    loop::LifetimeGuard alive_;
 };
 
-Front::Front(const loop::Executor& executor, core::Core& core, const loop::Clock& clock, FrontOptions options)
+Listener::Listener(const loop::Executor& executor, core::Core& core, const loop::Clock& clock,
+                   ListenerOptions options)
     : impl_(std::make_shared<Impl>(executor, core, *this, clock, std::move(options))) {}
-Front::~Front() { impl_->stop(); }
-
-void Front::listen(const tcp::endpoint& address) { impl_->listen(address); }
-tcp::endpoint Front::address() const { return impl_->address(); }
-void Front::set_options(FrontOptions options) { impl_->set_options(std::move(options)); }
-void Front::begin_drain() { impl_->begin_drain(); }
-bool Front::busy() const { return impl_->busy(); }
-void Front::stop() { impl_->stop(); }
-void Front::on_started(std::uint64_t, std::unique_ptr<core::Payload>) {}
-void Front::on_final(std::uint64_t token, core::Final answer) { impl_->on_final(token, std::move(answer)); }
-FrontFigures Front::figures() const { return impl_->figures(); }
+Listener::~Listener() { impl_->stop(); }
+
+void Listener::listen(const tcp::endpoint& address) { impl_->listen(address); }
+tcp::endpoint Listener::address() const { return impl_->address(); }
+void Listener::set_options(ListenerOptions options) { impl_->set_options(std::move(options)); }
+void Listener::begin_drain() { impl_->begin_drain(); }
+bool Listener::busy() const { return impl_->busy(); }
+void Listener::stop() { impl_->stop(); }
+void Listener::on_started(std::uint64_t, std::unique_ptr<core::Payload>) {}
+void Listener::on_final(std::uint64_t token, core::FinalAnswer answer) {
+    impl_->on_final(token, std::move(answer));
+}
+ListenerStats Listener::figures() const { return impl_->figures(); }
 
 }  // namespace flaxdoor::pg
--- a/src/pg/front.h
+++ b/src/pg/listener.h
@@ -17,17 +17,17 @@
 #include "loop/clock.h"
 #include "loop/executor.h"
 #include "loop/sockets.h"
-#include "pg/back.h"
 #include "pg/client_machine.h"
+#include "pg/server_connection_pool.h"
 #include "pg/session.h"
 
 namespace flaxdoor::pg {
 
 constexpr int unsafe_class = 0, safe_class = 1;  // class indices of each pool's settings
 
-struct FrontDatabase {
+struct ListenerDatabase {
     core::PoolId pool = 0;
-    Back* back = nullptr;
+    ServerConnectionPool* back = nullptr;
     SessionOptions session;
     Micros deadline{};
     std::size_t line = 1000;  // maximum number of units that wait for the policy module to admit them
@@ -36,14 +36,14 @@
     bool safe = false;             // configured by the operator: units of this database may be retried
 };
 
-struct FrontUser {
+struct ListenerUser {
     Authentication::Kind kind = Authentication::Kind::scram;
     ScramVerifier verifier;
     std::size_t clients_most = 0;
     bool safe = false;
 };
 
-struct FrontLimits {
+struct ListenerLimits {
     std::size_t clients = 1000;
     // Maximum number of connections that have not logged in, in addition to `clients`.
     std::size_t strangers = 100;
@@ -53,31 +53,32 @@
     std::size_t message_most = 16 << 20;
 };
 
-struct FrontOptions {
-    FrontLimits limits;
+struct ListenerOptions {
+    ListenerLimits limits;
     std::shared_ptr<const tls::Context> context;  // null: no TLS
     bool tls_required = false;
-    std::map<std::string, std::shared_ptr<const FrontDatabase>> databases;
-    std::map<std::string, FrontUser> users;
+    std::map<std::string, std::shared_ptr<const ListenerDatabase>> databases;
+    std::map<std::string, ListenerUser> users;
     std::set<std::string> ignored_settings;   // names of start-up settings that are ignored, in lower case
     std::set<std::string> safe_applications;  // application names whose units may be retried
     bool client_says_safe = false;            // whether the start-up setting flaxdoor.effect is applied
 };
 
-struct FrontFigures {
+struct ListenerStats {
     std::size_t connections = 0, sessions = 0;
     std::uint64_t units = 0;  // units that were passed to the core
 };
 
-class Front final : public core::Front {
+class Listener final : public core::Downstream {
 public:
-    Front(const loop::Executor& executor, core::Core& core, const loop::Clock& clock, FrontOptions options);
-    ~Front() override;
+    Listener(const loop::Executor& executor, core::Core& core, const loop::Clock& clock,
+             ListenerOptions options);
+    ~Listener() override;
 
     // Throws boost::system::system_error if the address can't be listened on.
     void listen(const loop::tcp::endpoint& address);
     loop::tcp::endpoint address() const;
-    void set_options(FrontOptions options);
+    void set_options(ListenerOptions options);
 
     // Accepts no more connections and ends each client once it is idle.
     void begin_drain();
@@ -87,9 +88,9 @@
     void stop();
 
     void on_started(std::uint64_t token, std::unique_ptr<core::Payload> head) override;
-    void on_final(std::uint64_t token, core::Final answer) override;
+    void on_final(std::uint64_t token, core::FinalAnswer answer) override;
 
-    FrontFigures figures() const;
+    ListenerStats figures() const;
 
 private:
     class Impl;
--- a/src/pg/pool.cpp
+++ b/src/pg/pool.cpp
@@ -12,14 +12,14 @@
     if (moved || !takes_work) close_idle(upstream);
     if (takes_work) return;
     for (auto& [key, user_pool] : user_pools_) {
-        if (key.first == upstream) end_waiting(user_pool, Outcome::moot, user_pool.queue.size());
+        if (key.first == upstream) end_waiting(user_pool, Outcome::inconclusive, user_pool.queue.size());
     }
 }
 
 void Pool::remove_server(UpstreamId upstream) {
     close_idle(upstream);
     for (auto& [key, user_pool] : user_pools_) {
-        if (key.first == upstream) end_waiting(user_pool, Outcome::moot, user_pool.queue.size());
+        if (key.first == upstream) end_waiting(user_pool, Outcome::inconclusive, user_pool.queue.size());
     }
     servers_.erase(upstream);
 }
@@ -29,7 +29,7 @@
     now_ = now;
     const auto server = servers_.find(upstream);
     if (server == servers_.end() || !server->second.takes_work) {
-        actions_.push_back({PoolAction::Kind::end, 0, attempt, upstream, user, Outcome::moot});
+        actions_.push_back({PoolAction::Kind::end, 0, attempt, upstream, user, Outcome::inconclusive});
         return;
     }
     const UserPoolKey key{upstream, user};
@@ -104,7 +104,8 @@
         end_waiting(user_pool->second, Outcome::connect_failed, user_pool->second.queue.size());
     } else if (user_pool->second.total == 0) {
         // All server connections belong to other users, so no connection of this user will become free.
-        end_waiting(user_pool->second, result == LoginResult::local_failure ? Outcome::moot : Outcome::full,
+        end_waiting(user_pool->second,
+                    result == LoginResult::local_failure ? Outcome::inconclusive : Outcome::full,
                     user_pool->second.queue.size());
     }
     if (result != LoginResult::unreachable) user_pool->second.login_backoff_until = now + limits_.login_again;
--- a/src/pg/pool.h
+++ b/src/pg/pool.h
@@ -73,7 +73,7 @@
     core::AttemptKey attempt{};
     UpstreamId upstream = 0;
     std::string user{};
-    Outcome outcome = Outcome::moot;  // of kind `end`
+    Outcome outcome = Outcome::inconclusive;  // of kind `end`
 };
 
 class Pool {
--- a/src/pg/back.cpp
+++ b/src/pg/server_connection_pool.cpp
@@ -1,4 +1,4 @@
-#include "pg/back.h"
+#include "pg/server_connection_pool.h"
 
 #include <openssl/rand.h>
 
@@ -26,10 +26,10 @@
 
 }  // namespace
 
-class Back::Impl : public std::enable_shared_from_this<Impl> {
+class ServerConnectionPool::Impl : public std::enable_shared_from_this<Impl> {
 public:
     Impl(const loop::Executor& executor, core::Core& core, const loop::Clock& clock, LoginGate& gate,
-         ServerBudget& budget, Secrets& secrets, BackOptions options)
+         ServerBudget& budget, Secrets& secrets, ServerConnectionPoolOptions options)
         : executor_(executor),
           core_(core),
           clock_(clock),
@@ -63,11 +63,12 @@
 
     void send(const core::Attempt& attempt) {
         const auto client = static_cast<ClientPayload&>(*attempt.payload).client.lock();
-        if (!client) return end(attempt.key, Outcome::moot, false);
+        if (!client) return end(attempt.key, Outcome::inconclusive, false);
         client->on_placed();
         if (ServerLink* const required = client->required_link()) {
             Connection& connection = static_cast<Connection&>(*required);
-            if (connection.upstream() != attempt.upstream) return end(attempt.key, Outcome::moot, false);
+            if (connection.upstream() != attempt.upstream)
+                return end(attempt.key, Outcome::inconclusive, false);
             return connection.serve(attempt.key, client);
         }
         waiting_clients_[attempt.key] = client;
@@ -81,7 +82,7 @@
     }
 
     void expire(core::AttemptKey key) {
-        if (pool_.cancel_request(key)) return end(key, Outcome::moot, false);
+        if (pool_.cancel_request(key)) return end(key, Outcome::inconclusive, false);
         const auto connection = connection_for(key);
         if (!connection) return;
         connection->read_now();  // the answer may have arrived without having been read
@@ -93,7 +94,7 @@
         run();
     }
 
-    void set_options(BackOptions options) {
+    void set_options(ServerConnectionPoolOptions options) {
         options_ = std::move(options);
         pool_.set_limits(options_.pool);
     }
@@ -176,9 +177,9 @@
         void begin_unit() {
             const core::AttemptKey key = *attempt_;
             const auto client = client_.lock();
-            if (!client) return end_unsent(Outcome::moot);
-            if (!owner_.core_.on_attempt_sending(key)) return end_unsent(Outcome::moot);
-            if (!client->on_link(*this)) return end_unsent(Outcome::moot);
+            if (!client) return end_unsent(Outcome::inconclusive);
+            if (!owner_.core_.on_attempt_sending(key)) return end_unsent(Outcome::inconclusive);
+            if (!client->on_link(*this)) return end_unsent(Outcome::inconclusive);
             flush();
             client->after_server();
         }
@@ -230,9 +231,10 @@
             client_.reset();
             dirty_ = true;
             if (attempt_)
-                end_attempt(*attempt_,
-                            outcome == Outcome::timeout && !may_have_executed ? Outcome::moot : outcome,
-                            may_have_executed);
+                end_attempt(
+                    *attempt_,
+                    outcome == Outcome::timeout && !may_have_executed ? Outcome::inconclusive : outcome,
+                    may_have_executed);
             await_end();
         }
 
@@ -245,7 +247,8 @@
             dirty_ = true;
             const bool may_have_executed = loss.may_have_run || loss.answer_started;
             const core::AttemptKey key = *attempt_;
-            end_attempt(key, may_have_executed || outcome == Outcome::cancelled ? outcome : Outcome::moot,
+            end_attempt(key,
+                        may_have_executed || outcome == Outcome::cancelled ? outcome : Outcome::inconclusive,
                         may_have_executed);
             await_end();
             if (client) client->after_server();
@@ -291,7 +294,7 @@
         void on_connected(const error_code& error) override {
             const auto self = shared_from_this();
             if (closed_) return;
-            if (error && loop::own_want(error))
+            if (error && loop::is_local_resource_error(error))
                 return login_ended(LoginResult::local_failure, "own want: " + error.message());
             if (error) return login_failed("", "it can't be reached: " + error.message());
             stream_->begin();
@@ -344,14 +347,14 @@
             if (!attempt_) return;  // the attempt was withdrawn meanwhile
             // A server that has started to drain meanwhile gets no unit: the unit counts as new work although
             // it was placed before.
-            if (!wrong_role_ && !takes_work()) return end_unsent(Outcome::moot);
+            if (!wrong_role_ && !takes_work()) return end_unsent(Outcome::inconclusive);
             if (!wrong_role_) return begin_unit();
             const core::AttemptKey key = *attempt_;
             const auto client = client_.lock();
             client_.reset();
             role_watch_ = true;
             owner_.report_role(upstream_, false);
-            end_attempt(key, Outcome::moot, false, client);
+            end_attempt(key, Outcome::inconclusive, false, client);
         }
 
         void check_role_change() {
@@ -382,7 +385,7 @@
                         // Only now is the unit itself sent, so a server that has started to drain meanwhile
                         // does not get it.
                         if (attempt_ && !takes_work()) {
-                            withdraw(Outcome::moot);
+                            withdraw(Outcome::inconclusive);
                             break;
                         }
                         [[fallthrough]];
@@ -681,8 +684,8 @@
         core::AttemptResult result;
         result.key = key;
         result.outcome = outcome;
-        result.own_fault = own_fault;
-        result.whole = whole;
+        result.local_failure = own_fault;
+        result.fully_sent = whole;
         result.latency = latency;
         if (!client) return core_.on_attempt_end(std::move(result));
         client->ended_unsent([&] { core_.on_attempt_end(std::move(result)); });
@@ -752,7 +755,7 @@
                     const auto connection = found->second;
                     return connection->serve(action.attempt, client);
                 }
-                end(action.attempt, Outcome::moot, false);
+                end(action.attempt, Outcome::inconclusive, false);
                 if (found != connections_.end()) pool_.on_free(action.connection, clock_.now());
                 return;
             }
@@ -784,7 +787,7 @@
     const loop::Clock& clock_;
     ServerBudget& budget_;
     Secrets& secrets_;
-    BackOptions options_;
+    ServerConnectionPoolOptions options_;
     Pool pool_;
     TimerSet timers_;
     TimerSet::Timer pool_timer_;
@@ -803,26 +806,33 @@
     bool running_ = false, stopped_ = false;
 };
 
-Back::Back(const loop::Executor& executor, core::Core& core, const loop::Clock& clock, LoginGate& gate,
-           ServerBudget& budget, Secrets& secrets, BackOptions options)
+ServerConnectionPool::ServerConnectionPool(const loop::Executor& executor, core::Core& core,
+                                           const loop::Clock& clock, LoginGate& gate, ServerBudget& budget,
+                                           Secrets& secrets, ServerConnectionPoolOptions options)
     : impl_(std::make_shared<Impl>(executor, core, clock, gate, budget, secrets, std::move(options))) {}
-Back::~Back() { impl_->stop(); }
+ServerConnectionPool::~ServerConnectionPool() { impl_->stop(); }
 
-void Back::set_upstream(UpstreamId upstream, const std::string& address, bool takes_work) {
+void ServerConnectionPool::set_upstream(UpstreamId upstream, const std::string& address, bool takes_work) {
     impl_->set_upstream(upstream, address, takes_work);
 }
-void Back::remove_upstream(UpstreamId upstream) { impl_->remove_upstream(upstream); }
-void Back::send(core::Attempt attempt) { impl_->send(attempt); }
-void Back::cancel(core::AttemptKey attempt) { impl_->cancel(attempt); }
-void Back::expire(core::AttemptKey attempt) { impl_->expire(attempt); }
-void Back::close_idle(UpstreamId upstream) { impl_->close_idle(upstream); }
-void Back::set_options(BackOptions options) { impl_->set_options(std::move(options)); }
-void Back::on_gate() { impl_->on_gate(); }
-void Back::on_login_end(std::function<void()> call) { impl_->on_login_end(std::move(call)); }
-void Back::on_role(std::function<void(UpstreamId, bool)> call) { impl_->on_role(std::move(call)); }
-const std::map<std::string, ServerMachine::Reported>* Back::parameters() const { return impl_->parameters(); }
-const std::string& Back::login_error() const { return impl_->login_error(); }
-std::size_t Back::links() const { return impl_->links(); }
-std::size_t Back::waiting() const { return impl_->waiting(); }
+void ServerConnectionPool::remove_upstream(UpstreamId upstream) { impl_->remove_upstream(upstream); }
+void ServerConnectionPool::send(core::Attempt attempt) { impl_->send(attempt); }
+void ServerConnectionPool::cancel(core::AttemptKey attempt) { impl_->cancel(attempt); }
+void ServerConnectionPool::expire(core::AttemptKey attempt) { impl_->expire(attempt); }
+void ServerConnectionPool::close_idle(UpstreamId upstream) { impl_->close_idle(upstream); }
+void ServerConnectionPool::set_options(ServerConnectionPoolOptions options) {
+    impl_->set_options(std::move(options));
+}
+void ServerConnectionPool::on_gate() { impl_->on_gate(); }
+void ServerConnectionPool::on_login_end(std::function<void()> call) { impl_->on_login_end(std::move(call)); }
+void ServerConnectionPool::on_role(std::function<void(UpstreamId, bool)> call) {
+    impl_->on_role(std::move(call));
+}
+const std::map<std::string, ServerMachine::Reported>* ServerConnectionPool::parameters() const {
+    return impl_->parameters();
+}
+const std::string& ServerConnectionPool::login_error() const { return impl_->login_error(); }
+std::size_t ServerConnectionPool::links() const { return impl_->links(); }
+std::size_t ServerConnectionPool::waiting() const { return impl_->waiting(); }
 
 }  // namespace flaxdoor::pg
--- a/src/pg/back.h
+++ b/src/pg/server_connection_pool.h
@@ -33,7 +33,7 @@
     std::size_t open = 0;
 };
 
-struct BackOptions {
+struct ServerConnectionPoolOptions {
     std::string database;  // database name that is sent to the servers
     Role role = Role::any;
     PoolLimits pool;
@@ -54,11 +54,12 @@
 // Passwords by user name, shared by all databases.
 using Secrets = std::map<std::string, ScramSecret>;
 
-class Back final : public core::Back {
+class ServerConnectionPool final : public core::UpstreamConnectionPool {
 public:
-    Back(const loop::Executor& executor, core::Core& core, const loop::Clock& clock, LoginGate& gate,
-         ServerBudget& budget, Secrets& secrets, BackOptions options);
-    ~Back() override;
+    ServerConnectionPool(const loop::Executor& executor, core::Core& core, const loop::Clock& clock,
+                         LoginGate& gate, ServerBudget& budget, Secrets& secrets,
+                         ServerConnectionPoolOptions options);
+    ~ServerConnectionPool() override;
 
     void set_upstream(UpstreamId upstream, const std::string& address, bool takes_work) override;
     void remove_upstream(UpstreamId upstream) override;
@@ -67,7 +68,7 @@
     void expire(core::AttemptKey attempt) override;
     void close_idle(UpstreamId upstream) override;
 
-    void set_options(BackOptions options);
+    void set_options(ServerConnectionPoolOptions options);
     // A login of any database has ended, so that LoginGate may admit another one.
     void on_gate();
     // `call` runs whenever a login of this database has ended.
--- a/src/pg/service.cpp
+++ b/src/pg/service.cpp
@@ -15,8 +15,8 @@
     try {
         for (DatabaseOptions& database_options : options.databases) {
             Database& database = databases_[database_options.name];
-            database.back = std::make_unique<Back>(executor, core_, clock, gate_, budget_, secrets_,
-                                                   std::move(database_options.back));
+            database.back = std::make_unique<ServerConnectionPool>(
+                executor, core_, clock, gate_, budget_, secrets_, std::move(database_options.back));
             database.back->on_login_end([this] {
                 for (auto& [name, other] : databases_) other.back->on_gate();
             });
@@ -29,7 +29,7 @@
             publish_members(database);
             add_to_listener(options.front, database_options, database);
         }
-        front_ = std::make_unique<Front>(executor, core_, clock, std::move(options.front));
+        front_ = std::make_unique<Listener>(executor, core_, clock, std::move(options.front));
         front_->listen(options.listen);
     } catch (...) {
         for (auto& [name, database] : databases_) {
@@ -52,7 +52,7 @@
         ScramSecret& known = secrets_[user];
         if (known.password != secret.password) known = secret;
     }
-    FrontOptions front = std::move(options.front);
+    ListenerOptions front = std::move(options.front);
     for (DatabaseOptions& database_options : options.databases) {
         const auto found = databases_.find(database_options.name);
         if (found == databases_.end()) continue;
@@ -66,12 +66,12 @@
     front_->set_options(std::move(front));
 }
 
-void Service::add_to_listener(FrontOptions& front, DatabaseOptions& options, Database& database) {
-    FrontDatabase listener_database = options.front;
+void Service::add_to_listener(ListenerOptions& front, DatabaseOptions& options, Database& database) {
+    ListenerDatabase listener_database = options.front;
     longest_deadline_ = std::max(longest_deadline_, listener_database.deadline);
     listener_database.pool = database.pool;
     listener_database.back = database.back.get();
-    front.databases[options.name] = std::make_shared<const FrontDatabase>(std::move(listener_database));
+    front.databases[options.name] = std::make_shared<const ListenerDatabase>(std::move(listener_database));
 }
 
 // Leaves servers of the wrong role out of the list: listing them as draining would drain them in every pool.
--- a/src/pg/service.h
+++ b/src/pg/service.h
@@ -18,22 +18,22 @@
 #include "loop/executor.h"
 #include "loop/sockets.h"
 #include "pg/alarms.h"
-#include "pg/back.h"
-#include "pg/front.h"
+#include "pg/listener.h"
+#include "pg/server_connection_pool.h"
 
 namespace flaxdoor::pg {
 
 struct DatabaseOptions {
     std::string name;  // database name that clients request
     Settings settings;
-    BackOptions back;
-    FrontDatabase front;  // pool and back are set by Service
+    ServerConnectionPoolOptions back;
+    ListenerDatabase front;  // pool and back are set by Service
     std::vector<core::Member> members;
 };
 
 struct ServiceOptions {
     loop::tcp::endpoint listen;
-    FrontOptions front;  // databases are set by Service
+    ListenerOptions front;  // databases are set by Service
     std::vector<DatabaseOptions> databases;
     Secrets secrets;
     std::size_t logins_at_once = 4;   // maximum number of concurrent logins at one server, over all pools
@@ -57,21 +57,21 @@
     bool busy() const { return front_->busy(); }
     void stop() { front_->stop(); }
 
-    FrontFigures figures() const { return front_->figures(); }
+    ListenerStats figures() const { return front_->figures(); }
     std::size_t links() const { return budget_.open; }
     Micros longest_deadline() const { return longest_deadline_; }
 
 private:
     struct Database {
         core::PoolId pool = 0;
-        std::unique_ptr<Back> back;
+        std::unique_ptr<ServerConnectionPool> back;
         std::uint64_t version = 0;
         std::vector<core::Member> members;
         // Those of `members` that have reported another role; the timer lists each again.
         std::map<UpstreamId, std::unique_ptr<TimerSet::Timer>> wrong_role;
     };
 
-    void add_to_listener(FrontOptions& front, DatabaseOptions& options, Database& database);
+    void add_to_listener(ListenerOptions& front, DatabaseOptions& options, Database& database);
     void publish_members(Database& database);
     void on_role(Database& database, UpstreamId upstream, bool right);
     void relist(Database& database, UpstreamId upstream);
@@ -84,7 +84,7 @@
     Micros role_again_{};
     Secrets secrets_;
     std::map<std::string, Database> databases_;
-    std::unique_ptr<Front> front_;
+    std::unique_ptr<Listener> front_;
 };
 
 }  // namespace flaxdoor::pg
--- a/src/pg/unit.h
+++ b/src/pg/unit.h
@@ -1,5 +1,5 @@
-// Interfaces between client sessions (front.cpp) and server connections (back.cpp). Threading: the loop's
-// thread only. Life: no object outlives the loop.
+// Interfaces between client sessions (listener.cpp) and server connections (server_connection_pool.cpp).
+// Threading: the loop's thread only. Life: no object outlives the loop.
 #pragma once
 
 #include <functional>
--- a/src/policy/decide.cpp
+++ b/src/policy/decide.cpp
@@ -236,7 +236,7 @@
 };
 
 // What this Policy knows about one upstream.
-struct Upstream : UpstreamMemory {
+struct Upstream : LearnedState {
     UpstreamEntry entry;
     std::vector<ClassHealth> class_health;  // by class index
     // The ring of the home zone or of all other zones while the upstream is listed, else null.
@@ -255,7 +255,7 @@
     Time busy_since{};            // when in_flight last rose from zero
 
     // This Policy's own, unless an entry of the list brings a shared one.
-    std::shared_ptr<ColdAccount> slow_start = std::make_shared<ColdAccount>();
+    std::shared_ptr<SlowStartBucket> slow_start = std::make_shared<SlowStartBucket>();
     DecayingValue answer_rate;  // answers to this balancer per second
 };
 
@@ -367,7 +367,7 @@
         for (std::size_t class_index = 0; class_index < class_states_.size(); ++class_index)
             update_retry_timeout(class_index);
         if (stall_check_serial_ == 0) schedule_stall_check(now);
-        if (settings_.must_ask_list) {
+        if (settings_.must_request_list) {
             // Balancers that start together request the list one after another.
             const double spread =
                 list_request_share * us(settings_.ask_within) * settings_.rank / settings_.balancers;
@@ -380,7 +380,7 @@
 
     void on_list(Time now, ListKind kind, const std::vector<UpstreamEntry>& entries) {
         if (kind == ListKind::failed) {
-            if (!settings_.must_ask_list) return;
+            if (!settings_.must_request_list) return;
             // The request failed or the subscription ended: request the list again after a growing delay.
             subscribed_ = false;
             const double min_delay = list_request_share * us(settings_.ask_within);
@@ -434,10 +434,10 @@
         Upstream& upstream = upstreams_[index];
         const bool started = entry.started_at > upstream.entry.started_at;
         upstream.entry = entry;
-        if (entry.cold && entry.cold != upstream.slow_start) {
-            if (upstream.slow_start->since > entry.cold->since)
-                *entry.cold = *upstream.slow_start;  // a known cold start is kept
-            upstream.slow_start = entry.cold;
+        if (entry.slow_start && entry.slow_start != upstream.slow_start) {
+            if (upstream.slow_start->cold_start_at > entry.slow_start->cold_start_at)
+                *entry.slow_start = *upstream.slow_start;  // a known cold start is kept
+            upstream.slow_start = entry.slow_start;
         }
         update_ring(index);
         close_idle(upstream);
@@ -447,24 +447,25 @@
             upstream.class_health.assign(class_states_.size(), {});
             upstream.delay_us.value = 0;
         }
-        if (added && entry.memory) restore(upstream, *entry.memory, now);
+        if (added && entry.restored) restore(upstream, *entry.restored, now);
     }
 
     // Restores state learned before a restart of this program. The upstream may have restarted meanwhile, so
     // one whose connections failed is treated as restarted when it is reinstated.
-    void restore(Upstream& upstream, const UpstreamMemory& memory, Time now) {
-        static_cast<UpstreamMemory&>(upstream) = memory;
-        ejected_count_ += upstream.out;
-        if (upstream.died) upstream.strikes = failures_to_eject + connect_failure_weight;
-        if (memory.cold_since > upstream.slow_start->since)
-            begin_slow_start(upstream, memory.cold_since, now);
+    void restore(Upstream& upstream, const LearnedState& memory, Time now) {
+        static_cast<LearnedState&>(upstream) = memory;
+        ejected_count_ += upstream.ejected;
+        if (upstream.connect_failed)
+            upstream.consecutive_failures = failures_to_eject + connect_failure_weight;
+        if (memory.cold_start_at > upstream.slow_start->cold_start_at)
+            begin_slow_start(upstream, memory.cold_start_at, now);
     }
 
-    std::optional<UpstreamMemory> learned(UpstreamId id) const {
+    std::optional<LearnedState> learned_state(UpstreamId id) const {
         const auto found = index_by_id_.find(id);
         if (found == index_by_id_.end()) return std::nullopt;
-        UpstreamMemory memory = upstreams_[found->second];
-        memory.cold_since = upstreams_[found->second].slow_start->since;
+        LearnedState memory = upstreams_[found->second];
+        memory.cold_start_at = upstreams_[found->second].slow_start->cold_start_at;
         return memory;
     }
 
@@ -486,7 +487,7 @@
     }
 
     void request_list(Time now) {
-        if (subscribed_ || !settings_.must_ask_list) return;
+        if (subscribed_ || !settings_.must_request_list) return;
         list_requested_ = true;
         actions_.watch();
         set_list_timer(now + settings_.ask_within);  // in case no answer arrives
@@ -551,17 +552,18 @@
 
     // Learns an upstream's latency and concurrency limit from an answer.
     void update_capacity(Upstream& upstream, double latency_us, int own_in_flight, std::size_t class_index) {
-        const double weight = upstream.ours == 0 ? 1 : delay_weight;
+        const double weight = upstream.own_in_flight == 0 ? 1 : delay_weight;
         upstream.latency_us += weight * (latency_us - upstream.latency_us);
-        upstream.ours += weight * (own_in_flight - upstream.ours);
+        upstream.own_in_flight += weight * (own_in_flight - upstream.own_in_flight);
         if (own_in_flight == 1)
-            upstream.idle_us += (upstream.idle_us == 0 ? 1 : delay_weight) * (latency_us - upstream.idle_us);
+            upstream.unloaded_latency_us += (upstream.unloaded_latency_us == 0 ? 1 : delay_weight) *
+                                            (latency_us - upstream.unloaded_latency_us);
         if (latency_us > congested_latency * base_latency_us(class_index)) {
-            upstream.limit =
-                std::max(1.0, std::min(upstream.limit, own_in_flight + 1.0) - upstream_limit_step);
-            upstream.limited = true;
-        } else if (own_in_flight + 1 > upstream.limit) {
-            upstream.limit += upstream.limited ? upstream_limit_step : 1;
+            upstream.concurrency_limit = std::max(
+                1.0, std::min(upstream.concurrency_limit, own_in_flight + 1.0) - upstream_limit_step);
+            upstream.limit_was_reduced = true;
+        } else if (own_in_flight + 1 > upstream.concurrency_limit) {
+            upstream.concurrency_limit += upstream.limit_was_reduced ? upstream_limit_step : 1;
         }
     }
 
@@ -584,7 +586,7 @@
         const double threshold = by_balancer_count(max_congestion, max_congestion_single);
         if (congestion_ > threshold) {
             const double in_flight = std::max(smoothed_in_flight_.value, static_cast<double>(in_flight_));
-            concurrency_limit_ = std::max(share_of_fleet(settings_.fair_share),
+            concurrency_limit_ = std::max(share_of_fleet(settings_.min_in_flight_per_upstream),
                                           std::min(concurrency_limit_, in_flight) * concurrency_limit_cut);
             limit_cut_at_ = now;
             congestion_ = 1;
@@ -602,7 +604,8 @@
     // Returns the concurrency limit; before it is known, the least one. A start with a higher limit could
     // congest the upstreams, and the latencies of congestion would be learned as base latencies.
     double concurrency_limit() const {
-        return concurrency_limit_ > 0 ? concurrency_limit_ : share_of_fleet(settings_.fair_share);
+        return concurrency_limit_ > 0 ? concurrency_limit_
+                                      : share_of_fleet(settings_.min_in_flight_per_upstream);
     }
 
     // Returns whether the attempts in flight use up the given limit, which is the concurrency limit or a
@@ -631,8 +634,9 @@
     void update_rejections(Upstream& upstream, bool rejected, Time now) {
         upstream.rejection_rate.update(rejected, delay_weight, now, decay_time_us());
         if (!rejected) return;
-        upstream.limit = std::max(1.0, std::min<double>(upstream.limit, upstream.in_flight));
-        upstream.limited = true;
+        upstream.concurrency_limit =
+            std::max(1.0, std::min<double>(upstream.concurrency_limit, upstream.in_flight));
+        upstream.limit_was_reduced = true;
     }
 
     // Returns whether the upstream would answer one more request of the class within the latency budget. The
@@ -642,12 +646,14 @@
     // rejected attempt waits for a back-off. Part of the remaining time stays unused because latencies vary.
     bool answers_in_time(const Upstream& upstream, std::size_t class_index, double latency_budget,
                          Time now) const {
-        if (upstream.ours == 0) return true;
-        const double proportion = upstream.latency_us / upstream.ours;
-        const double unloaded =
-            upstream.idle_us == 0 ? proportion : std::min(upstream.idle_us, upstream.latency_us);
-        const double slope =
-            upstream.ours <= 1 ? proportion : (upstream.latency_us - unloaded) / (upstream.ours - 1);
+        if (upstream.own_in_flight == 0) return true;
+        const double proportion = upstream.latency_us / upstream.own_in_flight;
+        const double unloaded = upstream.unloaded_latency_us == 0
+                                    ? proportion
+                                    : std::min(upstream.unloaded_latency_us, upstream.latency_us);
+        const double slope = upstream.own_in_flight <= 1
+                                 ? proportion
+                                 : (upstream.latency_us - unloaded) / (upstream.own_in_flight - 1);
         const double queueing =
             upstream.in_flight * std::clamp(slope, min_latency_slope * proportion, proportion) +
             upstream.rejection_rate.decayed(now, decay_time_us()) *
@@ -800,7 +806,7 @@
             const bool serves = now >= upstream.class_health[class_index_of(open)].ejected_until;
             const bool eligible = is_healthy(upstream, now) && serves &&
                                   (has_open_connection(upstream, now) || !connections_fail || pinned);
-            if (!(eligible || (include_unhealthy && !upstream.died && !pinned)) ||
+            if (!(eligible || (include_unhealthy && !upstream.connect_failed && !pinned)) ||
                 !may_get_new_work(upstream, now))
                 continue;
             ++usable;
@@ -847,7 +853,7 @@
         const double latency_budget = latency_budget_us(open);
         const auto exhausted = [&](std::size_t index) {
             const Upstream& upstream = upstreams_[index];
-            return upstream.in_flight >= std::max(1.0, upstream.limit * allowed_share) ||
+            return upstream.in_flight >= std::max(1.0, upstream.concurrency_limit * allowed_share) ||
                    !answers_in_time(upstream, class_index, latency_budget, now);
         };
         std::erase_if(candidates_, exhausted);
@@ -998,9 +1004,9 @@
         return true;
     }
 
-    static bool in_same_group(Group group, const Attempt& attempt, const UpstreamEntry& target) {
-        if (group == Group::zone) return attempt.zone == target.zone;
-        return group == Group::all || attempt.cell == target.cell;
+    static bool in_same_group(DeduplicationScope group, const Attempt& attempt, const UpstreamEntry& target) {
+        if (group == DeduplicationScope::zone) return attempt.zone == target.zone;
+        return group == DeduplicationScope::all || attempt.cell == target.cell;
     }
 
     // Sends an attempt. Every attempt goes out here.
@@ -1100,13 +1106,13 @@
         if (!attempt.in_flight) return;
         attempt.in_flight = false;
         attempt.may_have_executed = end.outcome != Outcome::full && end.outcome != Outcome::connect_failed &&
-                                    end.outcome != Outcome::moot;
+                                    end.outcome != Outcome::inconclusive;
         --open.in_flight;
         Upstream& upstream = upstreams_[attempt.upstream];
         if (--upstream.in_flight == 0) std::erase(busy_upstreams_, attempt.upstream);
         // An attempt that was not executed for a reason on the balancer's side says nothing about the
         // upstream.
-        if (end.outcome != Outcome::moot) {
+        if (end.outcome != Outcome::inconclusive) {
             upstream.last_outcome_at = now;
             upstream.connected = true;
             upstream.last_connect_failed = end.outcome == Outcome::connect_failed;
@@ -1125,10 +1131,11 @@
         }
         update_class_health(upstream, end.outcome, class_index, now);
         update_concurrency_limit(end, class_index, attempt.sent_at, now);
-        if (end.outcome != Outcome::moot) update_rejections(upstream, end.outcome == Outcome::full, now);
+        if (end.outcome != Outcome::inconclusive)
+            update_rejections(upstream, end.outcome == Outcome::full, now);
         update_delay(upstream, end, class_index, now);
         update_health(upstream, end.outcome, class_index, now);
-        if (end.closed) open.finished = true;
+        if (end.request_answered) open.finished = true;
         if (open.finished) {
             if (end.outcome == Outcome::ok) cancel_in_flight(slot);
             release_if_finished(slot);
@@ -1210,7 +1217,7 @@
     // Returns whether the upstream may get ordinary traffic: it is not ejected, and not silent while attempts
     // wait there.
     bool is_healthy(const Upstream& upstream, Time now) const {
-        return !upstream.out && !is_silent(upstream, now);
+        return !upstream.ejected && !is_silent(upstream, now);
     }
 
     // Returns whether the upstream has more than one attempt of this balancer in flight but has answered
@@ -1225,7 +1232,7 @@
         // A time-out counts against the upstream only if it has answered nothing else for a retry timeout.
         const bool unanswered_since =
             upstream.answered_at + micros(class_states_[class_index].retry_timeout_us) < now;
-        if (outcome == Outcome::cancelled || outcome == Outcome::moot) return;
+        if (outcome == Outcome::cancelled || outcome == Outcome::inconclusive) return;
         if (outcome == Outcome::timeout && !unanswered_since) return;
         const bool connect_failed = outcome == Outcome::connect_failed;
         if (!connect_failed && outcome != Outcome::timeout && outcome != Outcome::reset)
@@ -1233,13 +1240,13 @@
         if (outcome == Outcome::ok) {
             upstream.answer_rate = {
                 upstream.answer_rate.decayed(now, rate_window_us()) + 1e6 / rate_window_us(), now};
-            if (upstream.out) reinstate(upstream, now);
-            upstream.strikes = 0;
+            if (upstream.ejected) reinstate(upstream, now);
+            upstream.consecutive_failures = 0;
             return;
         }
         // Rejections count as failures: an upstream that rejects everything answers at once and would attract
         // requests.
-        upstream.died = upstream.died || connect_failed;
+        upstream.connect_failed = upstream.connect_failed || connect_failed;
         record_failure(upstream, connect_failed ? connect_failure_weight : 1, now);
     }
 
@@ -1262,13 +1269,14 @@
     // Counts a failure and ejects the upstream after enough of them. A failed probe extends the ejection.
     void record_failure(Upstream& upstream, int weight, Time now) {
         upstream.probing = false;
-        upstream.strikes += weight;
-        if ((upstream.strikes < failures_to_eject && !upstream.out) || !upstream.ring) return;
-        if (!upstream.out) log_health(now, "upstream ejected", upstream);
-        if (upstream.out && now < upstream.out_until) return;
-        ejected_count_ += !upstream.out;
-        upstream.out = true;
-        upstream.out_until = now + upstream.next_ejection_time;
+        upstream.consecutive_failures += weight;
+        if ((upstream.consecutive_failures < failures_to_eject && !upstream.ejected) || !upstream.ring)
+            return;
+        if (!upstream.ejected) log_health(now, "upstream ejected", upstream);
+        if (upstream.ejected && now < upstream.ejected_until) return;
+        ejected_count_ += !upstream.ejected;
+        upstream.ejected = true;
+        upstream.ejected_until = now + upstream.next_ejection_time;
         upstream.next_ejection_time =
             std::min(micros(us(upstream.next_ejection_time) * ejection_growth), max_ejection_time());
     }
@@ -1283,17 +1291,18 @@
     void reinstate(Upstream& upstream, Time now) {
         log_health(now, "upstream reinstated", upstream);
         const bool probably_restarted =
-            upstream.died && upstream.strikes >= failures_to_eject + connect_failure_weight;
-        const bool already_cold =
-            upstream.slow_start->since > Time{} && now - upstream.slow_start->since < settings_.ramp_time;
+            upstream.connect_failed &&
+            upstream.consecutive_failures >= failures_to_eject + connect_failure_weight;
+        const bool already_cold = upstream.slow_start->cold_start_at > Time{} &&
+                                  now - upstream.slow_start->cold_start_at < settings_.ramp_time;
         if (probably_restarted && !already_cold) begin_slow_start(upstream, now, now);
         clear_ejection(upstream);
     }
 
     void clear_ejection(Upstream& upstream) {
-        ejected_count_ -= upstream.out;
-        upstream.out = upstream.died = upstream.probing = false;
-        upstream.strikes = 0;
+        ejected_count_ -= upstream.ejected;
+        upstream.ejected = upstream.connect_failed = upstream.probing = false;
+        upstream.consecutive_failures = 0;
         upstream.next_ejection_time = min_ejection_time();
     }
 
@@ -1304,14 +1313,15 @@
     std::size_t find_probe_target(const OpenRequest& open, Time now) {
         for (std::size_t index = 0; index < upstreams_.size(); ++index) {
             Upstream& upstream = upstreams_[index];
-            if (!upstream.out || upstream.probing || now < upstream.out_until) continue;
+            if (!upstream.ejected || upstream.probing || now < upstream.ejected_until) continue;
             if (!may_send(open, index, now) || !may_get_new_work(upstream, now)) continue;
             if (settings_.may_probe) {
                 upstream.probing = true;
                 upstream.slow_start->tokens -= 1;
                 actions_.probe(upstream.entry.id);
-            } else if (upstream.died || settings_.classes[class_index_of(open)].effect == Effect::safe) {
-                upstream.out_until = now + upstream.next_ejection_time;
+            } else if (upstream.connect_failed ||
+                       settings_.classes[class_index_of(open)].effect == Effect::safe) {
+                upstream.ejected_until = now + upstream.next_ejection_time;
                 return index;
             }
         }
@@ -1323,7 +1333,7 @@
         if (found == index_by_id_.end()) return;
         Upstream& upstream = upstreams_[found->second];
         upstream.probing = false;
-        if (!upstream.out) return;
+        if (!upstream.ejected) return;
         if (result.outcome == Outcome::ok) {
             upstream.answered_at = now;
             reinstate(upstream, now);
@@ -1336,7 +1346,7 @@
         if (last_logged_at_ && now - *last_logged_at_ < min_log_interval) return;
         last_logged_at_ = now;
         actions_.log(std::string(event) + ": zone " + std::to_string(upstream.entry.zone) +
-                     ", consecutive failures " + std::to_string(upstream.strikes));
+                     ", consecutive failures " + std::to_string(upstream.consecutive_failures));
     }
 
     // --- Slow start ---
@@ -1346,7 +1356,8 @@
     // the tokens can only decrease.
     void begin_slow_start(Upstream& upstream, Time started_at, Time now) {
         const double initial_tokens = random_.unit();
-        const bool known = upstream.slow_start.use_count() > 1 && started_at <= upstream.slow_start->since;
+        const bool known =
+            upstream.slow_start.use_count() > 1 && started_at <= upstream.slow_start->cold_start_at;
         if (!known) *upstream.slow_start = {{initial_tokens, now}, started_at};
         upstream.slow_start->tokens = std::min(upstream.slow_start->tokens, initial_tokens);
         upstream.answer_rate.value = 0;
@@ -1354,8 +1365,8 @@
 
     // Returns the least fraction of its capacity that an upstream has reached; 1 when it is warm.
     double warm_up_fraction(const Upstream& upstream, Time now) const {
-        if (upstream.slow_start->since <= Time{} || settings_.ramp_time <= Micros{0}) return 1;
-        const double age = us(now - upstream.slow_start->since) / us(settings_.ramp_time);
+        if (upstream.slow_start->cold_start_at <= Time{} || settings_.ramp_time <= Micros{0}) return 1;
+        const double age = us(now - upstream.slow_start->cold_start_at) / us(settings_.ramp_time);
         return age >= 1 ? 1 : settings_.cold_share + (1 - settings_.cold_share) * std::max(age, 0.0);
     }
 
@@ -1398,7 +1409,7 @@
         double sum[2] = {0, 0};
         int count[2] = {0, 0};
         for (const auto& upstream : upstreams_) {
-            if (upstream.entry.state != UpstreamState::ready || upstream.out ||
+            if (upstream.entry.state != UpstreamState::ready || upstream.ejected ||
                 warm_up_fraction(upstream, now) < 1)
                 continue;
             if (in_home_zone(upstream) != in_home_zone(reference)) continue;
@@ -1417,7 +1428,7 @@
     bool may_refuse(const OpenRequest& open) const {
         const ClassSettings& class_settings = settings_.classes[class_index_of(open)];
         if (class_settings.effect == Effect::safe ||
-            (class_settings.effect == Effect::keyed && class_settings.group == Group::all))
+            (class_settings.effect == Effect::keyed && class_settings.group == DeduplicationScope::all))
             return true;
         return std::none_of(open.attempts.begin(), open.attempts.end(),
                             [](const Attempt& attempt) { return attempt.may_have_executed; });
@@ -1513,7 +1524,7 @@
         if (may_refuse(open)) {
             const Micros retry_after =
                 std::min(micros(base_latency_us(class_index_of(open))), settings_.max_retry_after);
-            actions_.refuse(open.request.id, settings_.retry_after ? retry_after : Micros{0});
+            actions_.reject(open.request.id, settings_.retry_after ? retry_after : Micros{0});
         } else {
             actions_.fail(open.request.id);
         }
@@ -1540,7 +1551,8 @@
         require(settings.fall_span >= Micros{0}, "fall_span must not be negative");
         require(settings.fall_span == Micros{0} || settings.fall_multiple > 0,
                 "fall_multiple must be positive");
-        require(!settings.must_ask_list || settings.ask_within > Micros{0}, "ask_within must be positive");
+        require(!settings.must_request_list || settings.ask_within > Micros{0},
+                "ask_within must be positive");
         for (const auto& class_settings : settings.classes) {
             require(class_settings.aim > Micros{0}, class_settings.name + ": aim must be positive");
             require(class_settings.deadline >= class_settings.aim,
@@ -1610,6 +1622,8 @@
 void Policy::on_probe_result(Time now, const ProbeResult& result) { impl_->on_probe_result(now, result); }
 void Policy::on_timer(Time now, std::uint64_t token) { impl_->on_timer(now, token); }
 void Policy::on_message(Time, int, std::string_view) {}  // the module sends no messages to peers yet
-std::optional<UpstreamMemory> Policy::learned(UpstreamId upstream) const { return impl_->learned(upstream); }
+std::optional<LearnedState> Policy::learned_state(UpstreamId upstream) const {
+    return impl_->learned_state(upstream);
+}
 
 }  // namespace flaxdoor
--- a/src/recovery/record.cpp
+++ b/src/recovery/record.cpp
@@ -104,18 +104,18 @@
     record.address = value.at("address");
     record.started_at = to_time(value.at("started_at"));
     record.as_of = to_time(value.at("as_of"));
-    UpstreamMemory& memory = record.memory;
+    LearnedState& memory = record.memory;
     memory.latency_us = value.at("latency_us");
-    memory.ours = value.at("ours");
-    memory.idle_us = value.at("idle_us");
-    memory.limit = value.at("limit");
-    memory.limited = value.at("limited");
-    memory.strikes = value.at("strikes");
-    memory.out = value.at("out");
-    memory.died = value.at("died");
-    memory.out_until = to_time(value.at("out_until"));
+    memory.own_in_flight = value.at("ours");
+    memory.unloaded_latency_us = value.at("idle_us");
+    memory.concurrency_limit = value.at("limit");
+    memory.limit_was_reduced = value.at("limited");
+    memory.consecutive_failures = value.at("strikes");
+    memory.ejected = value.at("out");
+    memory.connect_failed = value.at("died");
+    memory.ejected_until = to_time(value.at("out_until"));
     memory.answered_at = to_time(value.at("answered_at"));
-    memory.cold_since = to_time(value.at("cold_since"));
+    memory.cold_start_at = to_time(value.at("cold_since"));
     return record;
 }
 
@@ -163,28 +163,28 @@
 std::string encode(std::string_view key, const std::vector<UpstreamRecord>& remembered) {
     json all = json::array();
     for (const UpstreamRecord& record : remembered) {
-        const UpstreamMemory& memory = record.memory;
+        const LearnedState& memory = record.memory;
         all.push_back({{"id", id_text(record.id)},
                        {"address", record.address},
                        {"started_at", to_us(record.started_at)},
                        {"as_of", to_us(record.as_of)},
                        {"latency_us", memory.latency_us},
-                       {"ours", memory.ours},
-                       {"idle_us", memory.idle_us},
-                       {"limit", memory.limit},
-                       {"limited", memory.limited},
-                       {"strikes", memory.strikes},
-                       {"out", memory.out},
-                       {"died", memory.died},
-                       {"out_until", to_us(memory.out_until)},
+                       {"ours", memory.own_in_flight},
+                       {"idle_us", memory.unloaded_latency_us},
+                       {"limit", memory.concurrency_limit},
+                       {"limited", memory.limit_was_reduced},
+                       {"strikes", memory.consecutive_failures},
+                       {"out", memory.ejected},
+                       {"died", memory.connect_failed},
+                       {"out_until", to_us(memory.ejected_until)},
                        {"answered_at", to_us(memory.answered_at)},
-                       {"cold_since", to_us(memory.cold_since)}});
+                       {"cold_since", to_us(memory.cold_start_at)}});
     }
     return encode_value(key, all);
 }
 
-std::optional<History> history_of(std::string_view pool,
-                                  const std::vector<std::pair<std::string, std::string>>& values) {
+std::optional<ListOrigin> origin_of(std::string_view pool,
+                                    const std::vector<std::pair<std::string, std::string>>& values) {
     const std::string header_key = head_key(pool);
     for (const auto& [key, value] : values) {
         if (key != header_key) continue;
--- a/src/recovery/record.h
+++ b/src/recovery/record.h
@@ -29,17 +29,17 @@
 
 // The origin of a list, which its version belongs to. Versions of lists from different origins can't be
 // compared.
-struct History {
+struct ListOrigin {
     std::string discovery;  // address of the discovery service
     std::string pool;
     std::string configuration;  // the configuration's name
 
-    bool operator==(const History&) const = default;
+    bool operator==(const ListOrigin&) const = default;
 };
 
 // The header of a stored list. Written atomically with the parts that changed.
 struct ListHeader {
-    History history;
+    ListOrigin history;
     std::uint64_t version = 0;
     Time told_at{};           // when the list was last known to be current
     std::size_t members = 0;  // number of members in all parts
@@ -51,7 +51,7 @@
     std::string address;
     Time started_at{};  // a process at the address with a later start time is another one
     Time as_of{};       // decaying values have decayed up to this time
-    UpstreamMemory memory;
+    LearnedState memory;
 };
 
 [[nodiscard]] std::string head_key(std::string_view pool);
@@ -80,7 +80,7 @@
                                     const std::vector<std::pair<std::string, std::string>>& values);
 
 // Returns the origin of the stored list, complete or not, or none if the list's header can't be read.
-[[nodiscard]] std::optional<History> history_of(
+[[nodiscard]] std::optional<ListOrigin> origin_of(
     std::string_view pool, const std::vector<std::pair<std::string, std::string>>& values);
 
 }  // namespace flaxdoor::recovery
--- a/src/recovery/recorder.cpp
+++ b/src/recovery/recorder.cpp
@@ -7,7 +7,7 @@
 
 namespace flaxdoor::recovery {
 
-Recorder::Recorder(History history, const core::MemberList& base, Time now)
+Recorder::Recorder(ListOrigin history, const core::MemberList& base, Time now)
     : history_(std::move(history)), restored_at_(now), version_(base.version) {
     for (const auto& member : base.members) {
         if (member.entry.state != UpstreamState::gone) update(member);
@@ -31,8 +31,8 @@
     if (known != part.end() && same_member(known->second, member)) return;
     erase(id);
     core::Member& stored = part[id] = member;
-    stored.entry.memory.reset();
-    stored.entry.cold.reset();
+    stored.entry.restored.reset();
+    stored.entry.slow_start.reset();
     const std::size_t bytes = member.name.size() + member.address.size();
     members_[id] = bytes;
     bytes_ += bytes;
@@ -77,7 +77,7 @@
     head_dirty_ = true;
 }
 
-void Recorder::move_to(std::string discovery) {
+void Recorder::set_discovery(std::string discovery) {
     if (discovery == history_.discovery) return;
     history_.discovery = std::move(discovery);
     list_received_ = false;  // the present members are not from that service
@@ -111,17 +111,20 @@
 }
 
 bool Recorder::insignificantly_changed(const UpstreamRecord& before, const UpstreamRecord& now) const {
-    const UpstreamMemory &a = before.memory, &b = now.memory;
+    const LearnedState &a = before.memory, &b = now.memory;
     const auto near = [](double x, double y) {
         return std::fabs(x - y) <= slight_change * std::max(std::fabs(x), std::fabs(y));
     };
     // The consecutive failures of an upstream that is not ejected change with single requests, and are not
     // compared.
-    return before.address == now.address && before.started_at == now.started_at && a.out == b.out &&
-           a.died == b.died && a.limited == b.limited && a.cold_since == b.cold_since &&
-           (!a.out || (a.out_until == b.out_until && a.strikes == b.strikes)) && near(a.limit, b.limit) &&
-           near(a.idle_us, b.idle_us) && near(a.latency_us, b.latency_us) && (a.ours > 0) == (b.ours > 0) &&
-           now.as_of - before.as_of < refresh;
+    return before.address == now.address && before.started_at == now.started_at && a.ejected == b.ejected &&
+           a.connect_failed == b.connect_failed && a.limit_was_reduced == b.limit_was_reduced &&
+           a.cold_start_at == b.cold_start_at &&
+           (!a.ejected ||
+            (a.ejected_until == b.ejected_until && a.consecutive_failures == b.consecutive_failures)) &&
+           near(a.concurrency_limit, b.concurrency_limit) &&
+           near(a.unloaded_latency_us, b.unloaded_latency_us) && near(a.latency_us, b.latency_us) &&
+           (a.own_in_flight > 0) == (b.own_in_flight > 0) && now.as_of - before.as_of < refresh;
 }
 
 std::vector<Change> Recorder::take_memory_changes(Time now, const Learned& learned) {
@@ -136,9 +139,9 @@
             if (!memory) continue;
             // Nothing was learned that differs from the state of a new upstream, with which the upstream
             // starts after a restart.
-            const UpstreamMemory initial;
-            if (memory->ours == 0 && !memory->out && memory->limit == initial.limit &&
-                memory->cold_since == Time{}) {
+            const LearnedState initial;
+            if (memory->own_in_flight == 0 && !memory->ejected &&
+                memory->concurrency_limit == initial.concurrency_limit && memory->cold_start_at == Time{}) {
                 continue;
             }
             const Time as_of = std::clamp(memory->answered_at, restored_at_, std::max(restored_at_, now));
@@ -161,7 +164,7 @@
     return changes;
 }
 
-void Recorder::on_lost() {
+void Recorder::on_write_lost() {
     dirty_.fill(true);
     any_dirty_ = head_dirty_ = true;
     memory_unwritten_.fill(true);
--- a/src/recovery/recorder.h
+++ b/src/recovery/recorder.h
@@ -39,26 +39,26 @@
 
     // `base` is the list that the pool starts with. It is not written until a current list is received:
     // otherwise an outdated list would look newer than it is.
-    Recorder(History history, const core::MemberList& base, Time now);
+    Recorder(ListOrigin history, const core::MemberList& base, Time now);
 
     void on_list(Time now, const core::MemberList& list);
     // Sets the address of the discovery service: further lists have another origin.
-    void move_to(std::string discovery);
+    void set_discovery(std::string discovery);
     // Returns whether take_list_changes() would return any changes.
     [[nodiscard]] bool has_list_changes() const { return list_received_ && (head_dirty_ || any_dirty_); }
     [[nodiscard]] std::vector<Change> take_list_changes();
 
     // Returns what was learned about an upstream.
-    using Learned = std::function<std::optional<UpstreamMemory>(UpstreamId)>;
+    using Learned = std::function<std::optional<LearnedState>(UpstreamId)>;
     // Returns the changes of learned state in the next slice of the parts. `slices` calls cover all parts.
     [[nodiscard]] std::vector<Change> take_memory_changes(Time now, const Learned& learned);
 
     // Marks the stored learned state as belonging to another origin: it is deleted with the first list of
     // this origin.
-    void forget_stored() { discards_stored_ = true; }
+    void discard_stored_state() { discards_stored_ = true; }
 
     // Called when changes that were returned may not have been written: all state is returned again.
-    void on_lost();
+    void on_write_lost();
 
     std::size_t members() const { return members_.size(); }
     // Whether the list of the last take_list_changes() exceeded the bounds.
@@ -71,7 +71,7 @@
     void erase(UpstreamId id);
     void mark_dirty(UpstreamId id);
 
-    History history_;
+    ListOrigin history_;
     const Time restored_at_;  // restored state had decayed up to this time
     std::uint64_t version_ = 0;
     Time told_at_{};
--- a/src/recovery/belief.cpp
+++ b/src/recovery/restored_state.cpp
@@ -1,4 +1,4 @@
-#include "recovery/belief.h"
+#include "recovery/restored_state.h"
 
 #include <algorithm>
 #include <cmath>
@@ -30,33 +30,38 @@
         return stored == Time{} ? stored : std::max(stored - clock_set_back_, Time{1});
     }
 
-    std::optional<UpstreamMemory> restore(const core::Member& member, UpstreamRecord stored) const {
+    std::optional<LearnedState> restore(const core::Member& member, UpstreamRecord stored) const {
         if (stored.address != member.address || member.entry.started_at > stored.started_at) {
             return std::nullopt;
         }
-        UpstreamMemory memory = stored.memory;
-        const UpstreamMemory initial;
+        LearnedState memory = stored.memory;
+        const LearnedState initial;
         const double decay = decay_factor(local_time(stored.as_of));
-        memory.cold_since = std::max(local_time(memory.cold_since),
-                                     local_time(stored.started_at));  // the member's start time is no later
+        memory.cold_start_at =
+            std::max(local_time(memory.cold_start_at),
+                     local_time(stored.started_at));  // the member's start time is no later
         memory.answered_at = std::min(local_time(memory.answered_at), now_);
         if (decay < min_decay_factor) {
-            memory.latency_us = memory.ours = memory.idle_us = 0;
-            memory.limit = initial.limit;
-            memory.limited = false;
+            memory.latency_us = memory.own_in_flight = memory.unloaded_latency_us = 0;
+            memory.concurrency_limit = initial.concurrency_limit;
+            memory.limit_was_reduced = false;
         } else {
             memory.latency_us *= decay;
-            memory.idle_us *= decay;
-            memory.limit = initial.limit + decay * (memory.limit - initial.limit);
+            memory.unloaded_latency_us *= decay;
+            memory.concurrency_limit =
+                initial.concurrency_limit + decay * (memory.concurrency_limit - initial.concurrency_limit);
         }
         // Corrects values that are impossible, whatever wrote them.
-        if (!(memory.limit >= 1)) memory.limit = 1;
-        memory.limit = std::min(memory.limit, max_limit);
-        memory.strikes = std::clamp(memory.strikes, 0, max_strikes);
-        if (!(memory.latency_us > 0 && memory.ours > 0)) memory.latency_us = memory.ours = memory.idle_us = 0;
-        if (!(memory.idle_us >= 0)) memory.idle_us = 0;
-        const bool may_be_cold = memory.cold_since > Time{} && now_ - memory.cold_since < settings_.ramp_time;
-        if (may_be_cold) memory.limit = std::min(memory.limit, initial.limit);
+        if (!(memory.concurrency_limit >= 1)) memory.concurrency_limit = 1;
+        memory.concurrency_limit = std::min(memory.concurrency_limit, max_limit);
+        memory.consecutive_failures = std::clamp(memory.consecutive_failures, 0, max_strikes);
+        if (!(memory.latency_us > 0 && memory.own_in_flight > 0))
+            memory.latency_us = memory.own_in_flight = memory.unloaded_latency_us = 0;
+        if (!(memory.unloaded_latency_us >= 0)) memory.unloaded_latency_us = 0;
+        const bool may_be_cold =
+            memory.cold_start_at > Time{} && now_ - memory.cold_start_at < settings_.ramp_time;
+        if (may_be_cold)
+            memory.concurrency_limit = std::min(memory.concurrency_limit, initial.concurrency_limit);
         restore_ejection(memory, stored);
         return memory;
     }
@@ -70,20 +75,20 @@
         return std::exp2(-age / static_cast<double>(std::max(half_life_, Micros{1}).count()));
     }
 
-    void restore_ejection(UpstreamMemory& memory, const UpstreamRecord& stored) const {
-        memory.died = memory.died && memory.out;
-        const Time latest = std::max(local_time(stored.as_of), local_time(memory.out_until));
-        if (!memory.out ||
-            (!memory.died && clock_set_back_ == Micros{0} && decay_factor(latest) < min_decay_factor)) {
-            memory.out = false;
-            memory.strikes = 0;
-            memory.out_until = Time{};
+    void restore_ejection(LearnedState& memory, const UpstreamRecord& stored) const {
+        memory.connect_failed = memory.connect_failed && memory.ejected;
+        const Time latest = std::max(local_time(stored.as_of), local_time(memory.ejected_until));
+        if (!memory.ejected || (!memory.connect_failed && clock_set_back_ == Micros{0} &&
+                                decay_factor(latest) < min_decay_factor)) {
+            memory.ejected = false;
+            memory.consecutive_failures = 0;
+            memory.ejected_until = Time{};
             return;
         }
         const Micros probe_spread = std::clamp(settings_.ramp_time / 2, min_probe_spread, max_probe_spread);
         const Micros max_ejection = std::max(settings_.ramp_time, probe_spread);
-        memory.out_until = std::clamp(local_time(memory.out_until), now_, now_ + max_ejection);
-        memory.out_until += probe_spread * settings_.rank / std::max(1, settings_.balancers);
+        memory.ejected_until = std::clamp(local_time(memory.ejected_until), now_, now_ + max_ejection);
+        memory.ejected_until += probe_spread * settings_.rank / std::max(1, settings_.balancers);
     }
 
     const Settings& settings_;
@@ -100,8 +105,8 @@
         for (auto& member : stored.list->members) clamp_time(member.entry.started_at);
     }
     for (auto& [id, record] : stored.remembered) {
-        for (Time* const time : {&record.started_at, &record.as_of, &record.memory.out_until,
-                                 &record.memory.answered_at, &record.memory.cold_since})
+        for (Time* const time : {&record.started_at, &record.as_of, &record.memory.ejected_until,
+                                 &record.memory.answered_at, &record.memory.cold_start_at})
             clamp_time(*time);
     }
 }
@@ -116,13 +121,13 @@
 
 }  // namespace
 
-Belief believe(core::MemberList configured, StoredSnapshot stored, const History& history,
-               const Settings& settings, Time now, Micros half_life) {
-    Belief result;
+RestoredState restore(core::MemberList configured, StoredSnapshot stored, const ListOrigin& history,
+                      const Settings& settings, Time now, Micros half_life) {
+    RestoredState result;
     result.list = std::move(configured);
     core::MemberList& list = result.list;
     if (!stored.list || stored.list->head.history != history) {
-        result.other_history = stored.list.has_value();
+        result.different_origin = stored.list.has_value();
         return result;
     }
     clamp_times(stored);
@@ -154,8 +159,8 @@
     for (auto& member : list.members) {
         const auto found = stored.remembered.find(member.entry.id);
         if (found == stored.remembered.end()) continue;
-        member.entry.memory = restorer.restore(member, found->second);
-        result.remembered += member.entry.memory.has_value();
+        member.entry.restored = restorer.restore(member, found->second);
+        result.remembered += member.entry.restored.has_value();
     }
     return result;
 }
--- a/src/recovery/belief.h
+++ b/src/recovery/restored_state.h
@@ -2,7 +2,7 @@
 // restores that part of the learned state of each upstream which is still valid. A pure function; does no
 // I/O and reads no clock.
 //
-// The rules, each with its own test (tests/recovery/belief_test.cpp):
+// The rules, each with its own test (tests/recovery/restored_state_test.cpp):
 //   1  A stored list from another origin (History) is not used, nor is any state that was learned with it.
 //   2  A configured list that is complete (kind `full`) is used.
 //   3  Of two lists from one origin the one with the higher version is used. If the versions are equal, the
@@ -29,16 +29,17 @@
 namespace flaxdoor::recovery {
 
 // The restored state of a pool.
-struct Belief {
-    core::MemberList list;       // its entries carry the restored state in UpstreamEntry::memory
+struct RestoredState {
+    core::MemberList list;       // its entries carry the restored state in UpstreamEntry::restored
     bool stored = false;         // `list` is the stored one
     std::size_t remembered = 0;  // number of upstreams with restored state
     bool clock_went_back = false;
-    bool other_history = false;  // the stored list was from another origin, and was not used
+    bool different_origin = false;  // the stored list was from another origin, and was not used
 };
 
 // Restores from the configured list and the store. `half_life` is that of the decay.
-[[nodiscard]] Belief believe(core::MemberList configured, StoredSnapshot stored, const History& history,
-                             const Settings& settings, Time now, Micros half_life);
+[[nodiscard]] RestoredState restore(core::MemberList configured, StoredSnapshot stored,
+                                    const ListOrigin& history, const Settings& settings, Time now,
+                                    Micros half_life);
 
 }  // namespace flaxdoor::recovery
--- a/src/routes/table.cpp
+++ b/src/routes/table.cpp
@@ -74,7 +74,7 @@
     std::optional<std::string> all;
     for (std::size_t i = 0; i < fields.size(); ++i) {
         const auto field = fields.at(i);
-        if (!http::same_word(field.name, name)) continue;
+        if (!http::equals_ignoring_case(field.name, name)) continue;
         if (all) {
             all->append(", ").append(field.value);
         } else {
@@ -253,7 +253,8 @@
         for (const FieldMatch& each : matches) {
             // Of several conditions on the same name only the first one applies.
             const bool duplicate = std::any_of(out.begin(), out.end(), [&](const FieldTest& t) {
-                return headers ? http::same_word(t.match->name, each.name) : t.match->name == each.name;
+                return headers ? http::equals_ignoring_case(t.match->name, each.name)
+                               : t.match->name == each.name;
             });
             if (!duplicate) out.push_back({&each, each.regex ? regex(each.value) : nullptr});
         }
--- a/src/settings/faults.cpp
+++ b/src/settings/faults.cpp
@@ -11,7 +11,7 @@
     }
     line += ": " + fault.what;
     if (!fault.key.empty()) line += " (" + fault.key + ")";
-    if (!fault.mend.empty()) line += "; " + fault.mend;
+    if (!fault.remedy.empty()) line += "; " + fault.remedy;
     return line;
 }
 
--- a/src/settings/faults.h
+++ b/src/settings/faults.h
@@ -11,10 +11,10 @@
 namespace flaxdoor::settings {
 
 struct Fault {
-    Position at;       // line 0 stands for the file as a whole
-    std::string what;  // describes the fault
-    std::string key;   // "table.key" or "table"; empty if the fault concerns neither
-    std::string mend;  // a likely remedy; empty if none is known
+    Position at;         // line 0 stands for the file as a whole
+    std::string what;    // describes the fault
+    std::string key;     // "table.key" or "table"; empty if the fault concerns neither
+    std::string remedy;  // a likely remedy; empty if none is known
 };
 
 // Formats a fault as "FILE:LINE:COLUMN: description (table.key); likely remedy".
--- a/src/simwire/wire.cpp
+++ b/src/simwire/wire.cpp
@@ -68,7 +68,7 @@
         case 252: return Outcome::connect_failed;
         case 251: return Outcome::reset;
         case 250: return Outcome::cancelled;
-        case 249: return Outcome::moot;
+        case 249: return Outcome::inconclusive;
         default: return std::nullopt;
     }
 }
@@ -177,7 +177,7 @@
                 end.request = load<std::uint32_t>(record, 6);
                 end.attempt = load<std::uint8_t>(record, 10);
                 end.outcome = outcome_at(11);
-                end.closed = load<std::uint8_t>(record, 12) != 0;
+                end.request_answered = load<std::uint8_t>(record, 12) != 0;
                 end.latency = span_at(13);
                 end.upstream = load_upstream(record, 21);
                 read_report(27, end.report);
@@ -425,11 +425,11 @@
     SettingsReader::unreadable(name, "idempotent, deduplicated or at_most_once");
 }
 
-Group group_of(const SettingsReader& reader, const std::string& name) {
+DeduplicationScope group_of(const SettingsReader& reader, const std::string& name) {
     const auto word = reader.text(name);
-    if (word == "all") return Group::all;
-    if (word == "zone") return Group::zone;
-    if (word == "cell") return Group::cell;
+    if (word == "all") return DeduplicationScope::all;
+    if (word == "zone") return DeduplicationScope::zone;
+    if (word == "cell") return DeduplicationScope::cell;
     SettingsReader::unreadable(name, "all, zone or cell");
 }
 
@@ -451,12 +451,12 @@
     SettingsReader::unreadable(name, "off, inline or on_probe");
 }
 
-Weights weights_of(const SettingsReader& reader, const std::string& name) {
+WeightMeaning weights_of(const SettingsReader& reader, const std::string& name) {
     const auto word = reader.find(name).value_or("off");
-    if (word == "off") return Weights::none;
-    if (word == "nominal") return Weights::nominal;
-    if (word == "rough") return Weights::rough;
-    if (word == "live") return Weights::live;
+    if (word == "off") return WeightMeaning::none;
+    if (word == "nominal") return WeightMeaning::nominal;
+    if (word == "rough") return WeightMeaning::rough;
+    if (word == "live") return WeightMeaning::live;
     SettingsReader::unreadable(name, "off, nominal, rough or live");
 }
 
@@ -507,7 +507,7 @@
 
     const auto mode = reader.text("registry_mode");
     if (mode != "ask" && mode != "push") SettingsReader::unreadable("registry_mode", "ask or push");
-    settings.must_ask_list = mode == "ask";
+    settings.must_request_list = mode == "ask";
     settings.may_probe = reader.flag("limits.may_probe", false);
     settings.may_cancel = reader.flag("limits.cancel", false);
     settings.parallel_attempts = reader.flag("limits.parallel_tries", false);
@@ -515,7 +515,7 @@
     settings.warm_keys = reader.flag("specifics.warm_keys", false);
     settings.passes_deadline = reader.flag("specifics.passes_deadline", false);
     settings.marks_retry = reader.flag("callers.marks_retry", false);
-    settings.may_tell_peers = reader.flag("limits.peers", false);
+    settings.may_message_peers = reader.flag("limits.peers", false);
     settings.weights = weights_of(reader, "weights");
     settings.max_attempts = reader.whole("limits.max_attempts");
     settings.max_retry_after = reader.span("limits.max_retry_after", Micros{0});
@@ -533,7 +533,7 @@
     }
 
     settings.answer_slack = reader.span("invariants.answer_slack", Micros{0});
-    settings.ask_within = settings.must_ask_list ? reader.span("invariants.ask_within") : Micros{0};
+    settings.ask_within = settings.must_request_list ? reader.span("invariants.ask_within") : Micros{0};
     settings.drain_grace = reader.span("invariants.drain_grace", Micros{0});
     settings.drain_close = reader.span("invariants.close_on_drain_within", Micros{0});
     settings.cold_share = reader.number("invariants.cold_from", 1);
@@ -544,12 +544,12 @@
     const auto weight = [&](const char* part) {
         return reader.number(std::string("objective_mix.") + part, 0);
     };
-    settings.goal = {weight("whole"),        weight("worst_window"), weight("worst_class"),
-                     weight("worst_tenant"), weight("nines_part"),   weight("full_at_nines")};
+    settings.objective_weights = {weight("whole"),        weight("worst_window"), weight("worst_class"),
+                                  weight("worst_tenant"), weight("nines_part"),   weight("full_at_nines")};
     const auto price = [&](const char* unit) { return reader.number(std::string("deductions.") + unit, 0); };
-    settings.prices = {price("connection"), price("cross_zone"), price("registry_mode"), price("fleet"),
-                       price("handshake"),  price("late_fail"),  price("moves"),         price("origin"),
-                       price("peer"),       price("probe"),      price("waste")};
+    settings.deductions = {price("connection"), price("cross_zone"), price("registry_mode"), price("fleet"),
+                           price("handshake"),  price("late_fail"),  price("moves"),         price("origin"),
+                           price("peer"),       price("probe"),      price("waste")};
     return settings;
 }
 
--- a/src/text/base64.cpp
+++ b/src/text/base64.cpp
@@ -4,7 +4,7 @@
 
 namespace flaxdoor::text {
 
-std::string from_base64(std::string_view text) {
+std::string decode_base64(std::string_view text) {
     static constexpr std::string_view digits =
         "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
     std::string out;
--- a/src/text/base64.h
+++ b/src/text/base64.h
@@ -6,6 +6,6 @@
 
 namespace flaxdoor::text {
 
-[[nodiscard]] std::string from_base64(std::string_view text);
+[[nodiscard]] std::string decode_base64(std::string_view text);
 
 }  // namespace flaxdoor::text
--- a/standins/peers.cpp
+++ b/standins/peers.cpp
@@ -113,14 +113,14 @@
                             });
 }
 
-void Wire::say(std::string_view text) {
+void Wire::send(std::string_view text) {
     const bool waiting = !out_.empty();
     out_ += text;
     if (!waiting) flush();
 }
 
 bool Wire::try_say(std::string_view text) {
-    say(text);
+    send(text);
     return !broken_;
 }
 
--- a/standins/peers.h
+++ b/standins/peers.h
@@ -50,7 +50,7 @@
 
     void start();
     // What the socket takes at once is with the other side's machine on return; the rest follows in the loop.
-    void say(std::string_view text);
+    void send(std::string_view text);
     bool try_say(std::string_view text);
     bool all_said() const { return out_.empty(); }
     // This side has no more to say, and still listens.
--- a/tests/architecture_test.sh
+++ b/tests/architecture_test.sh
@@ -24,13 +24,13 @@
         store) echo "" ;;
         pg) echo "core loop tls" ;;
         recovery) echo "core" ;;
-        sides) echo "core engine ingress kube log loop pg routes settings tls" ;;
+        extensions) echo "core engine ingress kube log loop pg routes settings tls" ;;
         simwire) echo "" ;;
         tls) echo "" ;;
         engine) echo "budget coordinator core door log loop http membership recovery settings simwire store" ;;
         library) echo "core loop http membership settings engine" ;;
         middleware) echo "http library" ;;
-        apps) echo "budget coordinator core door engine gateway http ingress kube log loop settings sides simwire store tls" ;;
+        apps) echo "budget coordinator core door engine extensions gateway http ingress kube log loop settings simwire store tls" ;;
         *) echo "unknown" ;;
     esac
 }
@@ -85,7 +85,7 @@
 if grep -rnE '#include <.*[/.]' lab/judge lab/budget_judge --include=*.h --include=*.cpp; then fail "the judge uses more than the standard library"; fi
 if grep -rnE '#include "(.*/)?lab/' src include; then fail "src uses the lab"; fi
 if grep -nE '#include <boost/asio/(ip|io_context|steady_timer|post|read|write|signal)|_clock::now' src/http/*_machine.* src/http/message.* src/http/platform.* src/http/reader.* \
-    src/membership/*_machine.h src/membership/list.* src/pg/*_machine.* src/pg/pool.* src/pg/scram.* src/pg/session.* \
+    src/membership/discovery_parser.* src/membership/list.* src/pg/*_machine.* src/pg/pool.* src/pg/scram.* src/pg/session.* \
     src/pg/sql.* src/pg/wire.* src/tls/* src/kube/answer.* src/kube/reflector.* src/kube/lease.* src/kube/config.* src/kube/yaml.* \
     src/ingress/router.* src/ingress/explain.* src/log/events.h src/log/limiter.* src/log/queue.* src/log/format.*; then
     fail "a protocol machine knows sockets or time"
@@ -105,7 +105,7 @@
 judge "$scratch" allowed >/dev/null && fail "an unknown folder passed"
 rmdir "$scratch/elsewhere"
 judge "$scratch" allowed >/dev/null || fail "a folder that includes its own failed"
-echo '#include "http/front.h"' >"$scratch/core/x.cpp"
+echo '#include "http/listener.h"' >"$scratch/core/x.cpp"
 judge "$scratch" allowed >/dev/null && fail "the core including HTTP passed"
 echo '#include <boost/asio/post.hpp>' >"$scratch/core/x.cpp"
 judge "$scratch" allowed >/dev/null && fail "the core including Asio passed"
--- a/tests/budget/admission_test.cpp
+++ b/tests/budget/admission_test.cpp
@@ -1,6 +1,6 @@
-// Tests of the budgets at a real core with a fake back, in virtual time: which calls get a permit, when it is
-// committed, and how a call without one ends. After every test, no permit may be reserved or in use once all
-// calls have ended.
+// Tests of the budgets at a real core with a fake connection pool, in virtual time: which calls get a permit,
+// when it is committed, and how a call without one ends. After every test, no permit may be reserved or in
+// use once all calls have ended.
 #include "budget/admission.h"
 
 #include <gtest/gtest.h>
@@ -8,15 +8,15 @@
 #include <random>
 
 #include "core/fakes.h"
-#include "share.h"
+#include "iterations.h"
 
 namespace flaxdoor::budget::test {
 namespace {
 
 using namespace flaxdoor::core::test;
 using namespace flaxdoor::test;  // the classes of plain_settings, by name
+using core::AcceptResult;
 using core::Cause;
-using core::Taken;
 using core::Verdict;
 
 // The holder's clock: reads the core's clock, which a simulated suspension advances without serving the
@@ -38,7 +38,7 @@
 
 // Base class of World, so that it is constructed before the core.
 struct Fleet {
-    explicit Fleet(Terms terms)
+    explicit Fleet(BudgetConfig terms)
         : holder({std::move(terms), "n1", "1", 1}, clock.now()),
           admission(holder, clock, [this] { ++refusals; }) {}
     CoreClockView clock;
@@ -53,8 +53,8 @@
     return options;
 }
 
-Terms terms_of(std::vector<Budget> budgets) {
-    Terms terms;
+BudgetConfig terms_of(std::vector<Budget> budgets) {
+    BudgetConfig terms;
     terms.budgets = std::move(budgets);
     return terms;
 }
@@ -86,8 +86,10 @@
         back->gone = true;
         EXPECT_EQ(core->figures().open, 0u);
         EXPECT_EQ(core->figures().faults, 0u);
-        const Time all_ended = now() + at_authority(holder.terms().longest, holder.terms().drift);
-        for (std::size_t i = 0; i < holder.size(); ++i) EXPECT_EQ(holder.at(i).in_use(all_ended), 0) << i;
+        const Time all_ended =
+            now() + lengthened_by_drift(holder.terms().max_attempt_duration, holder.terms().max_clock_drift);
+        for (std::size_t i = 0; i < holder.size(); ++i)
+            EXPECT_EQ(holder.allowance(i).in_use(all_ended), 0) << i;
     }
 
     Time now() const { return Stage::clock.at; }
@@ -111,7 +113,7 @@
     void submit(std::uint64_t token, int class_index = safe, int tenant = 0) {
         core::Call c = call(pool, class_index);
         c.tenant = {core::Tenant::Kind::known, tenant};
-        EXPECT_EQ(take(std::move(c), token), Taken::yes);
+        EXPECT_EQ(take(std::move(c), token), AcceptResult::accepted);
     }
     // Starts a call after enough fast ones that the module regards it as late. Returns its attempt.
     core::AttemptKey start_late_call(std::uint64_t token) {
@@ -137,7 +139,7 @@
         return std::nullopt;
     }
     core::AttemptKey last_attempt() const { return back->sent.back().key; }
-    std::int64_t in_use(std::size_t budget = 0) { return holder.at(budget).in_use(now()); }
+    std::int64_t in_use(std::size_t budget = 0) { return holder.allowance(budget).in_use(now()); }
     void expect_final(std::uint64_t token, Verdict verdict, Cause cause) {
         EXPECT_EQ(front.finals(token), 1u) << token;
         EXPECT_EQ(front.of(token)->answer.verdict, verdict) << token;
@@ -207,7 +209,7 @@
         budget.of_class = each.of_class;
         budget.pool = each.pool;
         World world({budget});
-        world.holder.at(0).end_lease(world.now());
+        world.holder.allowance(0).end_lease(world.now());
         std::set<std::uint64_t> refused;
         for (std::uint64_t token = 1; token <= 4; ++token) {
             world.submit(token, token % 2 ? safe : unsafe, token > 2);
@@ -257,7 +259,7 @@
                 world.pass(ms(301));
             }
             EXPECT_FALSE(world.core->on_attempt_sending(key));
-            world.back->end(key, Outcome::moot);
+            world.back->end(key, Outcome::inconclusive);
             world.expect_final(1, Verdict::refused, Cause::over_budget);
             EXPECT_FALSE(world.front.of(1)->answer.may_have_run);
             EXPECT_EQ(world.in_use(), 0);
@@ -280,7 +282,7 @@
                                         : std::vector{places(2), per_second(9, 0)},
                     std::chrono::hours(1));
         EXPECT_FALSE(world.core->on_attempt_sending(key));
-        world.back->end(key, Outcome::moot);
+        world.back->end(key, Outcome::inconclusive);
         world.expect_final(2, Verdict::refused, Cause::over_budget);
         EXPECT_EQ(world.in_use(0), 1) << "the first call's";
         world.back->answer(first);
@@ -306,21 +308,21 @@
 }
 
 TEST(BudgetAdmission, FrontThatDeclinesToSend) {
-    struct DecliningFront final : core::Front {
+    struct DecliningFront final : core::Downstream {
         bool on_sending(std::uint64_t) override { return false; }
         void on_started(std::uint64_t, std::unique_ptr<core::Payload>) override {}
-        void on_final(std::uint64_t, core::Final) override {}
+        void on_final(std::uint64_t, core::FinalAnswer) override {}
     } declining;
     World world({budget_of("a", Counts::concurrency, places(1))});
     core::CallId id = 0;
     core::Call c = world.call(world.pool, safe);
     c.payload = std::make_shared<core::test::Ticket>(1);
-    ASSERT_EQ(world.core->take(std::move(c), declining, 1, &id), Taken::yes);
+    ASSERT_EQ(world.core->accept_call(std::move(c), declining, 1, &id), AcceptResult::accepted);
     EXPECT_EQ(world.in_use(), 1);
     EXPECT_FALSE(world.core->on_attempt_sending(world.last_attempt()));
     EXPECT_EQ(world.in_use(), 0);
-    world.core->leave(id);
-    world.back->end(world.last_attempt(), Outcome::moot);
+    world.core->abandon_call(id);
+    world.back->end(world.last_attempt(), Outcome::inconclusive);
 }
 
 // ------------------------------------------------------------------------------------------- later attempts
@@ -344,7 +346,7 @@
     for (const Case& each : cases) {
         SCOPED_TRACE(static_cast<int>(each.first) * 10 + each.class_index);
         World world({budget_of("a", Counts::retries, per_second(1, 1))});
-        world.holder.at(0).end_lease(world.now());
+        world.holder.allowance(0).end_lease(world.now());
         world.submit(1, each.class_index);
         world.back->answer(world.last_attempt(), each.first);
         for (int i = 0; i < 50 && world.front.finals(1) == 0; ++i) world.pass(ms(10));
@@ -370,13 +372,13 @@
         World world({budget_of("a", Counts::retries, per_second(1000, 100))});
         const auto first = world.start_late_call(1);
         world.back->begin(first);
-        if (!revoked) world.holder.at(0).end_lease(world.now());
+        if (!revoked) world.holder.allowance(0).end_lease(world.now());
         const auto hedge = world.wait_for_hedge(first);
         EXPECT_EQ(hedge.has_value(), revoked);
         if (hedge) {
-            world.holder.at(0).end_lease(world.now());
+            world.holder.allowance(0).end_lease(world.now());
             EXPECT_FALSE(world.core->on_attempt_sending(*hedge));
-            world.back->end(*hedge, Outcome::moot);
+            world.back->end(*hedge, Outcome::inconclusive);
         } else {
             EXPECT_GT(world.admission.figures()[0].refused, 0u) << "a hedge was wanted";
         }
@@ -414,11 +416,13 @@
         {"rejected", [](World& w, auto key) { w.back->answer(key, Outcome::full); }, false},
         {"connection reset", [](World& w, auto key) { w.back->answer(key, Outcome::reset); }, true},
         {"timed out", [](World& w, auto key) { w.back->begin(key), w.pass(std::chrono::seconds(2)); }, true},
-        {"client left before the first byte", [](World& w, auto) { w.core->leave(w.last_id); }, false},
+        {"client left before the first byte", [](World& w, auto) { w.core->abandon_call(w.last_id); }, false},
         {"client left with a part sent",
-         [](World& w, auto key) { w.back->begin(key), w.core->leave(w.last_id); }, false},
+         [](World& w, auto key) { w.back->begin(key), w.core->abandon_call(w.last_id); }, false},
         {"client left with all sent",
-         [](World& w, auto key) { w.back->begin(key), w.back->whole.insert(key), w.core->leave(w.last_id); },
+         [](World& w, auto key) {
+             w.back->begin(key), w.back->whole.insert(key), w.core->abandon_call(w.last_id);
+         },
          true},
     };
     for (const Case& each : cases) {
@@ -431,9 +435,10 @@
         each.end(world, world.last_attempt());
         EXPECT_EQ(world.in_use(), each.kept ? 1 : 0) << each.what;
         const auto& terms = world.holder.terms();
-        const Time latest_end = began + at_authority(terms.longest, terms.drift);
-        EXPECT_EQ(world.holder.at(0).in_use(latest_end - Micros(1)), each.kept ? 1 : 0) << each.what;
-        EXPECT_EQ(world.holder.at(0).in_use(latest_end), 0) << each.what;
+        const Time latest_end =
+            began + lengthened_by_drift(terms.max_attempt_duration, terms.max_clock_drift);
+        EXPECT_EQ(world.holder.allowance(0).in_use(latest_end - Micros(1)), each.kept ? 1 : 0) << each.what;
+        EXPECT_EQ(world.holder.allowance(0).in_use(latest_end), 0) << each.what;
     }
 }
 
@@ -442,7 +447,7 @@
 // Under random events of calls, attempts and leases, the permits in use stay within each budget, and none
 // remains in use at the end.
 TEST(BudgetAdmission, NoPermitLeaks) {
-    const int seeds = share_of(400, 40);
+    const int seeds = iterations(400, 40);
     for (int seed = 1; seed <= seeds; ++seed) {
         SCOPED_TRACE("seed " + std::to_string(seed));
         std::mt19937 random(static_cast<std::uint32_t>(seed));
@@ -473,7 +478,7 @@
                             world.back->sending.insert(*key);
                             if (below(4)) world.back->whole.insert(*key);
                         } else if (!world.back->sending.contains(*key)) {
-                            world.back->end(*key, Outcome::moot);
+                            world.back->end(*key, Outcome::inconclusive);
                         }
                     }
                     break;
@@ -487,7 +492,8 @@
                     }
                     break;
                 case 6:
-                    if (!ids.empty()) world.core->leave(ids[below(static_cast<std::uint32_t>(ids.size()))]);
+                    if (!ids.empty())
+                        world.core->abandon_call(ids[below(static_cast<std::uint32_t>(ids.size()))]);
                     break;
                 case 7:
                     if (below(4) == 0)
@@ -508,7 +514,7 @@
             }
         }
         world.pass(std::chrono::seconds(5));
-        while (!world.back->out.empty()) world.back->end(*world.back->out.begin(), Outcome::moot);
+        while (!world.back->out.empty()) world.back->end(*world.back->out.begin(), Outcome::inconclusive);
         world.pass(std::chrono::seconds(5));
         EXPECT_EQ(world.core->figures().open, 0u);
         for (std::size_t i = 0; i < 3; ++i) EXPECT_EQ(world.in_use(i), 0) << i;
--- a/tests/budget/agent_test.cpp
+++ b/tests/budget/agent_test.cpp
@@ -10,8 +10,8 @@
 #include <boost/asio/write.hpp>
 #include <functional>
 
+#include "capturing_log.h"
 #include "coordinator/wire.h"
-#include "lines.h"
 #include "loop/boot_clock.h"
 
 namespace flaxdoor::coordinator::test {
@@ -84,9 +84,9 @@
     int connections = 0;
 };
 
-budget::Terms terms() {
-    budget::Terms terms;
-    terms.term = std::chrono::milliseconds(300);
+budget::BudgetConfig terms() {
+    budget::BudgetConfig terms;
+    terms.lease_term = std::chrono::milliseconds(300);
     budget::Budget all;
     all.name = "all";
     all.whole = {9000, 9};
@@ -122,7 +122,7 @@
 
     asio::io_context loop;
     loop::BootClock clock;
-    flaxdoor::test::Lines log;
+    flaxdoor::test::CapturingLog log;
     budget::Holder holder{{terms(), "n1", "i1", 1}, clock.now()};
     ScriptedCoordinator coordinator;
     Agent agent;
@@ -177,7 +177,7 @@
         EXPECT_EQ(world.log.count(each.line), 1u) << ::testing::PrintToString(world.log.all);
         EXPECT_EQ(world.log.count("budgets: leased by the coordinator at "), 1u);
         EXPECT_EQ(world.coordinator.connections, each.same_connection ? 1 : 2);
-        EXPECT_EQ(world.holder.at(0).leased(world.clock.now()), (budget::Amount{8000, 8}));
+        EXPECT_EQ(world.holder.allowance(0).leased(world.clock.now()), (budget::Amount{8000, 8}));
     }
 }
 
@@ -188,7 +188,7 @@
     world.agent.start();
     world.run_until([&] { return self_world->holder.has_lease(self_world->clock.now()); });
     world.agent.leave();
-    EXPECT_EQ(world.holder.at(0).in_force(world.clock.now()), budget::Amount{});
+    EXPECT_EQ(world.holder.allowance(0).in_force(world.clock.now()), budget::Amount{});
     world.run_until([&] { return self_world->coordinator.requests.back().leaving; });
     world.agent.on_want();
     // The agent waits for nothing more; only the fake coordinator's accept is left in the loop.
--- a/tests/budget/authority_test.cpp
+++ b/tests/budget/authority_test.cpp
@@ -5,7 +5,7 @@
 
 #include <stdexcept>
 
-#include "drawn.h"
+#include "random_source.h"
 
 namespace flaxdoor::budget {
 namespace {
@@ -14,13 +14,13 @@
 
 constexpr Micros term = 3s;
 
-Terms terms_of(std::vector<Budget> budgets, int expected = 2) {
-    Terms terms;
+BudgetConfig terms_of(std::vector<Budget> budgets, int expected = 2) {
+    BudgetConfig terms;
     terms.budgets = std::move(budgets);
-    terms.expected = expected;
-    terms.term = term;
-    terms.drift = 0.001;
-    terms.longest = 10s;
+    terms.expected_balancers = expected;
+    terms.lease_term = term;
+    terms.max_clock_drift = 0.001;
+    terms.max_attempt_duration = 10s;
     return terms;
 }
 Budget rate(Amount whole, Amount reserve = {}) { return {"r", Counts::requests, {}, {}, {}, whole, reserve}; }
@@ -32,15 +32,15 @@
 struct TestHolder {
     std::string name, instance = "a";
     std::uint64_t number = 0;
-    Fence taken{};
+    FencingToken taken{};
     Amount leased{};
 
-    LeaseRequest ask(const Terms& terms, Time now, Amount wants, std::int64_t in_use = 0) {
+    LeaseRequest ask(const BudgetConfig& terms, Time now, Amount wants, std::int64_t in_use = 0) {
         LeaseRequest request;
         request.holder = name;
         request.instance = instance;
         request.number = ++number;
-        request.taken = taken;
+        request.accepted = taken;
         request.epoch = taken.epoch;
         request.clock = now;
         for (const Budget& budget : terms.budgets)
@@ -56,8 +56,8 @@
 
 class AuthorityTest : public ::testing::Test {
 protected:
-    void begin(Terms terms,
-               Authority::Start start = {.epoch = 5, .current = true, .records = {}, .longest_term = {}}) {
+    void begin(BudgetConfig terms, Authority::RestoredState start = {
+                                       .epoch = 5, .complete = true, .records = {}, .longest_term = {}}) {
         authority_.emplace(std::move(terms), std::move(start), now_);
     }
     LeaseReply ask(TestHolder& holder, Amount wants, std::int64_t in_use = 0, bool lost = false) {
@@ -117,20 +117,20 @@
 // All holders together send at most 200 unscheduled requests a second, whatever their demand.
 TEST_F(AuthorityTest, RequestIntervalGrowsWithTheNumberOfHolders) {
     begin(terms_of({rate({10000, 10})}, 300));
-    EXPECT_EQ(ask(first_, {10000, 10}).gap, 5ms);
+    EXPECT_EQ(ask(first_, {10000, 10}).min_request_interval, 5ms);
     for (int i = 0; i < 299; ++i) {
         TestHolder holder{"p" + std::to_string(i)};
         ask(holder, {10000, 10});
     }
-    EXPECT_EQ(ask(first_, {10000, 10}).gap, 1500ms);
-    now_ += at_authority(term, 0.001);
-    EXPECT_EQ(ask(first_, {10000, 10}).gap, 5ms) << "the other holders are no longer active";
+    EXPECT_EQ(ask(first_, {10000, 10}).min_request_interval, 1500ms);
+    now_ += lengthened_by_drift(term, 0.001);
+    EXPECT_EQ(ask(first_, {10000, 10}).min_request_interval, 5ms) << "the other holders are no longer active";
 }
 
 TEST_F(AuthorityTest, LeaseWithoutRenewalCountsUntilItsEnd) {
     begin(terms_of({rate({10000, 10})}));
     ask(first_, {10000, 10});
-    now_ += at_authority(term, 0.001) - 1us;
+    now_ += lengthened_by_drift(term, 0.001) - 1us;
     EXPECT_EQ(share(ask(second_, {10000, 10})), Amount{});
     now_ += 1us;
     EXPECT_EQ(share(ask(second_, {10000, 10})), (Amount{10000, 10}));
@@ -139,7 +139,7 @@
 TEST_F(AuthorityTest, ConcurrencyPermitsOfASilentHolderCountUntilItsAttemptsMustHaveEnded) {
     begin(terms_of({places(4)}));
     ask(first_, {0, 4});
-    const Time counted_until = now_ + at_authority(term, 0.001) + at_authority(10s, 0.001);
+    const Time counted_until = now_ + lengthened_by_drift(term, 0.001) + lengthened_by_drift(10s, 0.001);
     while (now_ + 1s < counted_until) {
         now_ += 1s;
         ASSERT_EQ(share(ask(second_, {0, 4})), Amount{}) << (counted_until - now_).count() << " us before";
@@ -178,8 +178,12 @@
     };
     const Row rows[] = {
         {"a current store", true, {}, 0s, 0s},
-        {"an empty store or a copy", false, {}, at_authority(term, 0.001), at_authority(10s, 0.001)},
-        {"longer leases before", false, 7s, at_authority(7s, 0.001), at_authority(10s, 0.001)},
+        {"an empty store or a copy",
+         false,
+         {},
+         lengthened_by_drift(term, 0.001),
+         lengthened_by_drift(10s, 0.001)},
+        {"longer leases before", false, 7s, lengthened_by_drift(7s, 0.001), lengthened_by_drift(10s, 0.001)},
     };
     for (const Row& row : rows) {
         SCOPED_TRACE(row.what);
@@ -211,7 +215,7 @@
     ASSERT_EQ(records.size(), 1U);
     begin(terms_of({rate({10000, 10}), places(4)}), {6, true, records, {}});
     EXPECT_EQ(share(ask(second_, {10000, 10})), Amount{}) << "granted before the start";
-    now_ += at_authority(term, 0.001);
+    now_ += lengthened_by_drift(term, 0.001);
     const auto reply = ask(second_, {10000, 10});
     EXPECT_EQ(share(reply), (Amount{10000, 10}));
     EXPECT_EQ(reply.grants[1].share.size, 0) << "its attempts may still run";
@@ -230,7 +234,7 @@
     begin(terms_of({rate({10000, 10})}), {5, false, {}, {}});
     EXPECT_EQ(ask(other, {10000, 10}).verdict, Verdict::waiting);
     EXPECT_EQ(authority_->epoch(), 10U);
-    EXPECT_EQ(authority_->waits_until(), now_ + at_authority(term, 0.001));
+    EXPECT_EQ(authority_->waits_until(), now_ + lengthened_by_drift(term, 0.001));
 }
 
 TEST_F(AuthorityTest, LeasesOfAnEarlierAuthorityCountUntilTheyEnd) {
@@ -240,7 +244,7 @@
     ask(first_, {10000, 10}, 0, true);
     // The larger of the two leases counts until the holder reports that it has accepted this authority's.
     EXPECT_LE(share(ask(second_, {10000, 10})).rate, 2000);
-    now_ += at_authority(term, 0.001);
+    now_ += lengthened_by_drift(term, 0.001);
     EXPECT_EQ(share(ask(second_, {10000, 10})).rate, 10000);
 }
 
@@ -259,7 +263,7 @@
     EXPECT_EQ(ask(first_, {10000, 10}).verdict, Verdict::name_taken);
     const auto view = authority_->view(now_);
     EXPECT_EQ(view.sums[0].reserved, (Amount{3000, 3})) << "both processes may use that reserve";
-    now_ += at_authority(term, 0.001) + 1s;
+    now_ += lengthened_by_drift(term, 0.001) + 1s;
     EXPECT_EQ(ask(first_, {10000, 10}).verdict, Verdict::granted)
         << "the other process has been silent for a term";
 }
@@ -300,7 +304,7 @@
 TEST_F(AuthorityTest, WholeReducedToATenth) {
     begin(terms_of({rate({100000, 100})}));
     ask(first_, {100000, 100});
-    authority_->change(terms_of({rate({10000, 10})}), now_);
+    authority_->update_terms(terms_of({rate({10000, 10})}), now_);
     EXPECT_EQ(share(ask(second_, {100000, 100})), Amount{});
     EXPECT_EQ(share(ask(first_, {100000, 100})), (Amount{5000, 5}));
     ask(first_, {100000, 100});
@@ -311,8 +315,8 @@
 TEST_F(AuthorityTest, RemovedBudgetStillCountsWhenAddedAgain) {
     begin(terms_of({rate({10000, 10})}));
     ask(first_, {10000, 10});
-    authority_->change(terms_of({}), now_);
-    authority_->change(terms_of({rate({10000, 10})}), now_);
+    authority_->update_terms(terms_of({}), now_);
+    authority_->update_terms(terms_of({rate({10000, 10})}), now_);
     EXPECT_EQ(share(ask(second_, {10000, 10})), Amount{}) << "the first holder has the whole";
 }
 
@@ -340,8 +344,8 @@
 }
 
 TEST_F(AuthorityTest, NumberOfProcessesIsBounded) {
-    Terms terms = terms_of({rate({10000, 10})});
-    terms.holders_most = 2;
+    BudgetConfig terms = terms_of({rate({10000, 10})});
+    terms.max_holders = 2;
     begin(terms);
     ask(first_, {});
     ask(second_, {});
@@ -366,7 +370,7 @@
 TEST_F(AuthorityTest, CountedAmountsNeverExceedTheWhole) {
     for (std::uint64_t seed = 1; seed <= 100; ++seed) {
         SCOPED_TRACE("seed " + std::to_string(seed));
-        test::Drawn random(seed);
+        test::RandomSource random(seed);
         now_ = 1000s;
         const Amount whole{static_cast<std::int64_t>(5000 + random.below(100000)),
                            static_cast<std::int64_t>(5 + random.below(100))};
@@ -378,7 +382,7 @@
             TestHolder& holder = holders[random.below(holders.size())];
             ask(holder,
                 {static_cast<std::int64_t>(random.below(60000)), static_cast<std::int64_t>(random.below(60))},
-                0, random.once_in(4));
+                0, random.one_in(4));
             ASSERT_TRUE(counted().within(whole)) << "step " << step;
         }
     }
--- a/tests/budget/daemon_test.cpp
+++ b/tests/budget/daemon_test.cpp
@@ -11,7 +11,7 @@
 TEST(BudgetDaemon, WithoutACoordinatorOnlyTheReserve) {
     constexpr int wanted = 8;
     constexpr auto permit_interval = std::chrono::milliseconds(50);  // at 20 a second
-    Stage stage(2);
+    BalancerFixture stage(2);
     // Nothing listens on port 1, so connections are refused.
     stage.operators =
         "[budget]\ncoordinator = \"127.0.0.1:1\"\nbalancers = 5\nterm = \"200ms\"\n"
@@ -24,16 +24,16 @@
     stage.start();
     std::vector<std::shared_ptr<Wire>> clients;
     for (int i = 0; i < 3; ++i) clients.push_back(stage.client());
-    for (auto& client : clients) client->say(stage.once(4000));
+    for (auto& client : clients) client->send(stage.once(4000));
     std::map<std::string, int> requests_by_call;
     int served = 0, refused = 0, other = 0;
     stage.until([&] {
         for (;;) {
-            auto [wire, message] = stage.request_here();
+            auto [wire, message] = stage.received_request();
             if (!wire) break;
             const auto at = message.find("X-Call-Id: ") + 11;
             ++requests_by_call[message.substr(at, message.find("\r\n", at) - at)];
-            wire->say(ok("served", ""));
+            wire->send(ok("served", ""));
         }
         for (auto& client : clients) {
             const std::string answer = client->take();
@@ -43,7 +43,7 @@
             if (unavailable) {
                 EXPECT_NE(answer.find("Retry-After: "), std::string::npos) << answer;
             }
-            if (served < wanted) client->say(stage.once(4000));
+            if (served < wanted) client->send(stage.once(4000));
         }
         return served >= wanted;
     });
@@ -55,7 +55,7 @@
     std::cout << "served " << served << ", refused " << refused << "\n";
     stage.form->end();
     for (auto& client : clients) client->close();
-    stage.until_ended();
+    stage.until_exited();
 }
 
 }  // namespace
--- a/tests/budget/division_test.cpp
+++ b/tests/budget/division_test.cpp
@@ -5,7 +5,7 @@
 
 #include <numeric>
 
-#include "drawn.h"
+#include "random_source.h"
 
 namespace flaxdoor::budget {
 namespace {
@@ -38,7 +38,7 @@
 TEST(MaxMin, NoUnmetClaimGetsLessPerWeight) {
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
         SCOPED_TRACE("seed " + std::to_string(seed));
-        test::Drawn random(seed);
+        test::RandomSource random(seed);
         const std::size_t count = 1 + random.below(40);
         Parts wants, weights;
         for (std::size_t i = 0; i < count; ++i) {
--- a/tests/budget/fleet.cpp
+++ b/tests/budget/fleet.cpp
@@ -11,7 +11,7 @@
 #include <sstream>
 #include <stdexcept>
 
-#include "../plain_config.h"
+#include "../minimal_config.h"
 #include "standins/peers.h"
 #include "standins/run_until.h"
 
@@ -221,7 +221,7 @@
 }
 
 std::string Fleet::configuration(const Balancer& balancer) const {
-    json config = plain();
+    json config = minimal_config();
     config["name"] = balancer.name;
     config["discovery"] = text_of(roster_->address());
     config["limits"] = {{"sockets", 1024}};
--- a/tests/budget/fleet_test.cpp
+++ b/tests/budget/fleet_test.cpp
@@ -7,7 +7,7 @@
 #include <cstdlib>
 #include <iostream>
 
-#include "../drawn.h"
+#include "../random_source.h"
 
 namespace flaxdoor::test {
 namespace {
@@ -315,7 +315,7 @@
         const auto options = fleet_of(5, seed, 12);
         Fleet fleet(options);
         start_in_full_use(fleet);
-        Drawn random(seed);
+        RandomSource random(seed);
         std::vector<bool> paused(fleet.size());
         for (int step = 0; step < 24; ++step) {
             const std::size_t i = random.below(fleet.size());
@@ -343,7 +343,7 @@
                 case 5: fleet.relay(i).cut(Cut::none); break;
                 case 6:
                     fleet.kill_coordinator();
-                    if (random.once_in(3)) fleet.empty_store();
+                    if (random.one_in(3)) fleet.empty_store();
                     fleet.start_coordinator();
                     break;
                 case 7:
--- a/tests/budget/holder_test.cpp
+++ b/tests/budget/holder_test.cpp
@@ -8,12 +8,12 @@
 
 using namespace std::chrono_literals;
 
-Terms terms_of(Amount reserve = {}) {
-    Terms terms;
+BudgetConfig terms_of(Amount reserve = {}) {
+    BudgetConfig terms;
     terms.budgets = {{"r", Counts::requests, {}, {}, {}, {10000, 10}, reserve}};
-    terms.term = 3s;
-    terms.drift = 0.01;
-    terms.longest = 5s;
+    terms.lease_term = 3s;
+    terms.max_clock_drift = 0.01;
+    terms.max_attempt_duration = 5s;
     return terms;
 }
 
@@ -31,9 +31,9 @@
     Holder holder({terms_of(), "n1", "a", 1}, 0s);
     const auto request = holder.request(10s);
     holder.on_reply(granted(request, 1, 1, {10000, 10}), 12s);
-    EXPECT_EQ(holder.at(0).leased_until(), 10s + at_holder(3s, 0.01));
-    EXPECT_EQ(holder.at(0).leased(12900ms), (Amount{10000, 10}));
-    EXPECT_EQ(holder.at(0).leased(13s), Amount{});
+    EXPECT_EQ(holder.allowance(0).leased_until(), 10s + lease_term_at_holder(3s, 0.01));
+    EXPECT_EQ(holder.allowance(0).leased(12900ms), (Amount{10000, 10}));
+    EXPECT_EQ(holder.allowance(0).leased(13s), Amount{});
     EXPECT_FALSE(holder.has_lease(13s));
 }
 
@@ -55,7 +55,8 @@
         holder.on_reply(granted(first, 5, 7, {2000, 2}), 9s);
         const auto second = holder.request(10s);
         holder.on_reply(granted(second, row.epoch, row.seq, {4000, 4}), row.at);
-        EXPECT_EQ(holder.at(0).leased(11s) == (Amount{4000, 4}) && holder.accepted_fence() != (Fence{5, 7}),
+        EXPECT_EQ(holder.allowance(0).leased(11s) == (Amount{4000, 4}) &&
+                      holder.accepted_fence() != (FencingToken{5, 7}),
                   row.accepted)
             << row.what;
     }
@@ -66,20 +67,20 @@
     LeaseRequest never_sent;
     never_sent.number = 99;
     holder.on_reply(granted(never_sent, 1, 1, {4000, 4}), 1s);
-    EXPECT_EQ(holder.accepted_fence(), Fence{});
+    EXPECT_EQ(holder.accepted_fence(), FencingToken{});
     const auto first = holder.request(1s);
     for (int i = 0; i < 8; ++i) (void)holder.request(1s);
     holder.on_reply(granted(first, 1, 1, {4000, 4}), 1s);
-    EXPECT_EQ(holder.accepted_fence(), Fence{});
+    EXPECT_EQ(holder.accepted_fence(), FencingToken{});
 }
 
 TEST(Holder, ConcurrencyReservesWaitForAttemptsOfAnEarlierProcess) {
-    Terms terms = terms_of({1000, 1});
+    BudgetConfig terms = terms_of({1000, 1});
     terms.budgets.push_back({"p", Counts::concurrency, {}, {}, {}, {0, 10}, {0, 2}});
     Holder holder({terms, "n1", "a", 1}, 100s);
-    EXPECT_EQ(holder.at(0).reserve(), (Amount{1000, 1}));
+    EXPECT_EQ(holder.allowance(0).static_reserve(), (Amount{1000, 1}));
     EXPECT_EQ(holder.request(104s).needs[1].reserve, Amount{}) << "reported as in force";
-    EXPECT_EQ(holder.request(100s + at_authority(5s, 0.01)).needs[1].reserve, (Amount{0, 2}));
+    EXPECT_EQ(holder.request(100s + lengthened_by_drift(5s, 0.01)).needs[1].reserve, (Amount{0, 2}));
 }
 
 TEST(Holder, TakenNameWithdrawsTheReserveUntilALeaseIsGranted) {
@@ -87,7 +88,7 @@
     LeaseReply refusal = granted(holder.request(1s), 1, 0, {});
     refusal.verdict = Verdict::name_taken;
     holder.on_reply(refusal, 1s);
-    EXPECT_EQ(holder.at(0).in_force(1s), Amount{});
+    EXPECT_EQ(holder.allowance(0).in_force(1s), Amount{});
     EXPECT_EQ(holder.request(2s).needs[0].reserve, Amount{});
     holder.on_reply(granted(holder.request(3s), 1, 1, {2000, 2}), 3s);
     EXPECT_EQ(holder.request(4s).needs[0].reserve, (Amount{1000, 1}));
@@ -100,7 +101,7 @@
     EXPECT_LE(holder.next_request(), 11s);
     EXPECT_GE(holder.next_request(), 10s + 900ms);
     holder.on_reply(granted(request, 1, 1, {4000, 4}), 10s);
-    holder.on_want(0, 10010ms);
+    holder.on_refusal(0, 10010ms);
     EXPECT_EQ(holder.next_request(), 10s + 75ms) << "not before the least interval";
     request = holder.request(10100ms);
     holder.on_reply(granted(request, 1, 2, {1000, 1}), 10100ms);
@@ -110,7 +111,7 @@
     Time last = 12s;
     for (int i = 0; i < 10; ++i) {
         holder.on_no_reply(last);
-        holder.on_want(0, last);
+        holder.on_refusal(0, last);
         EXPECT_GT(holder.next_request(), last);
         EXPECT_LE(holder.next_request(), last + 1s);
         last = holder.next_request();
@@ -124,9 +125,9 @@
     for (const auto& row : rows) {
         Holder holder({terms_of(), "n1", "a", 1}, 0s);
         LeaseReply reply = granted(holder.request(10s), 1, 1, {1000, 1});
-        reply.gap = row.gap;
+        reply.min_request_interval = row.gap;
         holder.on_reply(reply, 10s);
-        holder.on_want(0, 10s);
+        holder.on_refusal(0, 10s);
         EXPECT_GE(holder.next_request(), 10s + row.observed) << row.gap.count();
         EXPECT_LE(holder.next_request(), 10s + std::max(row.observed + 1us, row.gap)) << row.gap.count();
     }
@@ -172,17 +173,17 @@
     };
     for (const Row& row : rows) {
         SCOPED_TRACE(row.what);
-        Terms terms = terms_of();
+        BudgetConfig terms = terms_of();
         const bool is_concurrency = row.counts == Counts::concurrency;
         terms.budgets[0].counts = row.counts;
         terms.budgets[0].whole = {is_concurrency ? 0 : 10000, row.burst};
         Holder holder({terms, "n1", "a", 1}, 0s);
         (void)holder.request(9s);
-        for (int i = 0; i < row.wanted; ++i) (void)holder.at(0).set_aside(9500ms);
+        for (int i = 0; i < row.wanted; ++i) (void)holder.allowance(0).reserve(9500ms);
         holder.on_reply(granted(holder.request(10s), 1, 1, row.share), 10s);
         const Time scheduled = holder.next_request();
         for (int i = 0; i < row.refused; ++i) {
-            if (!holder.at(0).set_aside(10010ms)) holder.on_want(0, 10010ms);
+            if (!holder.allowance(0).reserve(10010ms)) holder.on_refusal(0, 10010ms);
         }
         EXPECT_EQ(holder.next_request() < scheduled, row.sooner);
     }
@@ -191,35 +192,35 @@
 TEST(Holder, ReportsDemandWithHeadroom) {
     Holder holder({terms_of(), "n1", "a", 1}, 0s);
     (void)holder.request(0s);
-    for (int i = 0; i < 4; ++i) (void)holder.at(0).set_aside(500ms);
-    const Amount wants = holder.request(1s).needs[0].wants;
+    for (int i = 0; i < 4; ++i) (void)holder.allowance(0).reserve(500ms);
+    const Amount wants = holder.request(1s).needs[0].wanted;
     EXPECT_NEAR(static_cast<double>(wants.rate), 4200, 1) << "four a second and a twentieth more";
     EXPECT_EQ(wants.size, 5);
-    for (int i = 0; i < 1000; ++i) (void)holder.at(0).set_aside(1500ms);
-    EXPECT_EQ(holder.request(2s).needs[0].wants, (Amount{10000, 10})) << "at most the whole";
+    for (int i = 0; i < 1000; ++i) (void)holder.allowance(0).reserve(1500ms);
+    EXPECT_EQ(holder.request(2s).needs[0].wanted, (Amount{10000, 10})) << "at most the whole";
 }
 
 // A holder under demand sends a request every fortieth of a term. A single call in such an interval must not
 // count as a rate, and an interval without calls must not count as no demand for concurrency permits.
 TEST(Holder, ShortIntervalsNeitherRaiseTheRateNorDropConcurrencyDemand) {
-    Terms terms = terms_of();
+    BudgetConfig terms = terms_of();
     terms.budgets[0].whole = {1'000'000, 1000};
     terms.budgets.push_back({"p", Counts::concurrency, {}, {}, {}, {0, 10}, {}});
     Holder holder({terms, "n1", "a", 1}, 0s);
     (void)holder.request(0s);
-    for (int i = 0; i < 10; ++i) (void)holder.at(0).set_aside(500ms);
-    ASSERT_NEAR(static_cast<double>(holder.request(1s).needs[0].wants.rate), 10'500, 1);
-    (void)holder.at(0).set_aside(1010ms);
-    (void)holder.at(1).set_aside(1010ms);
+    for (int i = 0; i < 10; ++i) (void)holder.allowance(0).reserve(500ms);
+    ASSERT_NEAR(static_cast<double>(holder.request(1s).needs[0].wanted.rate), 10'500, 1);
+    (void)holder.allowance(0).reserve(1010ms);
+    (void)holder.allowance(1).reserve(1010ms);
     const LeaseRequest after_one = holder.request(1010ms);
-    EXPECT_LT(after_one.needs[0].wants.rate, 12'400)
+    EXPECT_LT(after_one.needs[0].wanted.rate, 12'400)
         << "one call in ten milliseconds is not a rate of a hundred a second";
-    EXPECT_EQ(after_one.needs[1].wants.size, 1);
-    EXPECT_EQ(holder.request(1100ms).needs[1].wants.size, 1) << "no demand within this interval";
-    EXPECT_EQ(holder.request(4100ms).needs[1].wants.size, 1) << "peak of the previous term";
-    EXPECT_EQ(holder.request(7200ms).needs[1].wants.size, 0);
-    for (int i = 0; i < 50; ++i) (void)holder.at(0).set_aside(7210ms);
-    EXPECT_GT(holder.request(7220ms).needs[0].wants.rate, 500'000) << "a burst counts at once";
+    EXPECT_EQ(after_one.needs[1].wanted.size, 1);
+    EXPECT_EQ(holder.request(1100ms).needs[1].wanted.size, 1) << "no demand within this interval";
+    EXPECT_EQ(holder.request(4100ms).needs[1].wanted.size, 1) << "peak of the previous term";
+    EXPECT_EQ(holder.request(7200ms).needs[1].wanted.size, 0);
+    for (int i = 0; i < 50; ++i) (void)holder.allowance(0).reserve(7210ms);
+    EXPECT_GT(holder.request(7220ms).needs[0].wanted.rate, 500'000) << "a burst counts at once";
 }
 
 TEST(Holder, LeavingReleasesEverything) {
@@ -230,7 +231,7 @@
     const auto last = holder.leave(2s);
     EXPECT_TRUE(last.leaving);
     holder.on_reply(granted(late, 1, 2, {4000, 4}), 2s);
-    EXPECT_EQ(holder.at(0).in_force(2s), Amount{});
+    EXPECT_EQ(holder.allowance(0).in_force(2s), Amount{});
 }
 
 }  // namespace
--- a/tests/lines.h
+++ b/tests/capturing_log.h
@@ -10,7 +10,7 @@
 
 namespace flaxdoor::test {
 
-struct Lines final : core::Log {
+struct CapturingLog final : core::Log {
     void event(const core::Event& event, std::span<const core::Value> values) override {
         all.push_back(core::text_of(event, values));
     }
--- a/tests/coordinator/journal_test.cpp
+++ b/tests/coordinator/journal_test.cpp
@@ -10,7 +10,7 @@
 #include <map>
 #include <optional>
 
-#include "lines.h"
+#include "capturing_log.h"
 #include "model.h"
 #include "service_parts.h"
 #include "sim_files.h"
@@ -66,13 +66,13 @@
     parts.witness = std::make_unique<RecordedWitness>(run);
     auto service = parts.service();
     ASSERT_TRUE(service);
-    std::map<std::string, budget::Fence> accepted;
+    std::map<std::string, budget::FencingToken> accepted;
     for (int i = 0; i < requests; ++i) {
         parts.clock.at += Micros(400'000);
         const std::string holder = i % 3 == 2 && i > requests / 2 ? "n1" : "n" + std::to_string(i % 3);
         budget::LeaseRequest request =
             parts.request(holder, static_cast<std::uint64_t>(i + 1), 1000 * (i % 7));
-        request.taken = accepted[holder];
+        request.accepted = accepted[holder];
         const auto reply = parts.ask(*service, request);
         ASSERT_TRUE(reply);
         if (reply->verdict != budget::Verdict::granted) continue;
@@ -86,7 +86,7 @@
                      RunRecord& reopened) {
     reopened.files = store::test::SimFiles(image);
     reopened.witness = witness;
-    Journal::World world;
+    Journal::Dependencies world;
     world.files = std::make_unique<BorrowedFiles>(reopened.files);
     world.chance = store::test::counting(77);
     world.witness = std::make_unique<RecordedWitness>(reopened);
@@ -96,11 +96,11 @@
     return Journal::open(std::move(world));
 }
 
-bool knows(const budget::Authority::Start& start, const Step& step) {
+bool knows(const budget::Authority::RestoredState& start, const Step& step) {
     for (const budget::Record& record : start.records) {
         for (const auto& allocation : record.allocations) {
             if (record.holder == step.holder &&
-                allocation.fence == budget::Fence{step.reply->epoch, step.reply->seq})
+                allocation.fence == budget::FencingToken{step.reply->epoch, step.reply->seq})
                 return true;
         }
     }
@@ -128,10 +128,10 @@
     ASSERT_TRUE(opened.result) << operations << ": " << opened.result.why;
     EXPECT_GT(opened.start.epoch, epoch) << operations;
     if (boot != ServiceParts::boot_id) {
-        EXPECT_FALSE(opened.start.current);
+        EXPECT_FALSE(opened.start.complete);
         EXPECT_TRUE(opened.start.records.empty());
     }
-    if (!opened.start.current) return;
+    if (!opened.start.complete) return;
     for (const auto& [holder, step] : last_of) {
         if (step->until <= now) continue;  // the lease has ended, so its record may be removed
         EXPECT_TRUE(knows(opened.start, *step))
@@ -158,7 +158,7 @@
             RunRecord reopened;
             current += open(disk.visible(), steps ? run.witness : "",
                             ServiceParts::start + Micros(60'000'000), ServiceParts::boot_id, reopened)
-                           .start.current;
+                           .start.complete;
             if (steps == run.steps.size() || run.steps[steps].operations != done) break;
             ++steps;
         }
@@ -226,14 +226,15 @@
         RunRecord reopened;
         const auto opened = open(each.image, each.witness, each.now, each.boot, reopened);
         ASSERT_TRUE(opened.result) << each.name << ": " << opened.result.why;
-        EXPECT_EQ(opened.start.current, each.current) << each.name << ": " << opened.why;
-        EXPECT_TRUE(opened.why.starts_with(each.why)) << each.name << ": " << opened.why;
+        EXPECT_EQ(opened.start.complete, each.current) << each.name << ": " << opened.incomplete_reason;
+        EXPECT_TRUE(opened.incomplete_reason.starts_with(each.why))
+            << each.name << ": " << opened.incomplete_reason;
         EXPECT_EQ(opened.start.longest_term, each.image.empty() ? Micros(0) : Micros(1'000'000)) << each.name;
         // A start that is not current makes the next one not current either, unless it has finished waiting.
         if (each.current || each.boot != std::string(ServiceParts::boot_id)) continue;
         RunRecord again;
-        EXPECT_FALSE(
-            open(reopened.files.disk().visible(), reopened.witness, each.now, each.boot, again).start.current)
+        EXPECT_FALSE(open(reopened.files.disk().visible(), reopened.witness, each.now, each.boot, again)
+                         .start.complete)
             << each.name;
     }
 }
@@ -242,17 +243,17 @@
 // the coordinator that wrote it last.
 TEST(CoordinatorJournal, TwoCoordinatorsWithOneWitness) {
     struct SharedWitness final : Witness {
-        explicit SharedWitness(std::string& text) : text_(text) {}
+        explicit SharedWitness(std::string& text) : shared_text(text) {}
         int read(std::string& text) override {
-            text = text_;
+            text = shared_text;
             return text.empty() ? ENOENT : 0;
         }
         int write(const std::string& text) override {
-            text_ = text;
+            shared_text = text;
             return 0;
         }
         int remove() override { return write({}); }
-        std::string& text_;
+        std::string& shared_text;
     };
     for (const bool copied : {false, true}) {  // separate stores, or one a copy of the other
         for (const std::string order : {"ab", "ba", "aab", "bba", "abab"}) {
@@ -284,7 +285,7 @@
                 RunRecord reopened;
                 const auto opened = open(kept, witness, ServiceParts::start + Micros(60'000'000),
                                          ServiceParts::boot_id, reopened);
-                EXPECT_EQ(opened.start.current, i == last) << i << ": " << opened.why;
+                EXPECT_EQ(opened.start.complete, i == last) << i << ": " << opened.incomplete_reason;
             }
         }
     }
@@ -312,7 +313,7 @@
         }
         RunRecord again;
         const auto opened = open(run.files.disk().visible(), run.witness, end, ServiceParts::boot_id, again);
-        EXPECT_EQ(opened.start.current, !stepped_down) << opened.why;
+        EXPECT_EQ(opened.start.complete, !stepped_down) << opened.incomplete_reason;
     }
 }
 
@@ -326,8 +327,8 @@
     ASSERT_TRUE(open(run.files.disk().visible(), run.witness, later, ServiceParts::boot_id, copy).result);
     RunRecord again;
     const auto opened = open(run.files.disk().visible(), copy.witness, later, ServiceParts::boot_id, again);
-    EXPECT_FALSE(opened.start.current);
-    EXPECT_EQ(opened.why, "the witness belongs to another copy of the store");
+    EXPECT_FALSE(opened.start.complete);
+    EXPECT_EQ(opened.incomplete_reason, "the witness belongs to another copy of the store");
 }
 
 // Each write fails once, in turn. A failed commit sends no reply, and everything acknowledged is in the
--- a/tests/coordinator/service_parts.h
+++ b/tests/coordinator/service_parts.h
@@ -6,8 +6,8 @@
 #include <string>
 #include <utility>
 
+#include "capturing_log.h"
 #include "coordinator/service.h"
-#include "lines.h"
 #include "model.h"
 #include "sim_files.h"
 
@@ -43,17 +43,17 @@
 
     ServiceParts() { clock.at = start; }
 
-    static budget::Terms terms() {
-        budget::Terms terms;
-        terms.term = std::chrono::seconds(1);
-        terms.longest = std::chrono::seconds(1);
-        terms.expected = 3;
+    static budget::BudgetConfig terms() {
+        budget::BudgetConfig terms;
+        terms.lease_term = std::chrono::seconds(1);
+        terms.max_attempt_duration = std::chrono::seconds(1);
+        terms.expected_balancers = 3;
         terms.budgets = {{"b", budget::Counts::requests, "", "", "", {9000, 9}, {100, 1}}};
         return terms;
     }
     // Returns null if the store can't be opened.
-    std::unique_ptr<Service> service(GrantsLog* grants = nullptr) {
-        Journal::World world;
+    std::unique_ptr<Service> service(GrantLog* grants = nullptr) {
+        Journal::Dependencies world;
         world.files = files ? std::move(files) : std::make_unique<store::test::SimFiles>();
         world.chance = store::test::counting(chance);
         world.witness = std::move(witness);
@@ -79,9 +79,9 @@
         message.method = method;
         message.target = target;
         message.body = body;
-        http::Handler::From from;
+        http::Handler::ConnectionInfo from;
         from.draining = draining;
-        return std::get<http::Handler::Answer>(service.on_request(std::move(message), from)).message;
+        return std::get<http::Handler::LocalResponse>(service.on_request(std::move(message), from)).message;
     }
     // Returns empty if the response is not a 200 with a valid reply.
     static std::optional<budget::LeaseReply> ask(Service& service, const budget::LeaseRequest& request) {
@@ -94,7 +94,7 @@
 
     std::uint64_t chance = 1;  // start of the sequence of random numbers
     ManualClock clock;
-    flaxdoor::test::Lines log;
+    flaxdoor::test::CapturingLog log;
     std::unique_ptr<store::Files> files;
     std::unique_ptr<Witness> witness;
 };
--- a/tests/coordinator/service_test.cpp
+++ b/tests/coordinator/service_test.cpp
@@ -9,7 +9,7 @@
 #include <cstdio>
 #include <fstream>
 
-#include "http/front.h"
+#include "http/listener.h"
 #include "loop/alarm.h"
 #include "service_parts.h"
 #include "standins/run_until.h"
@@ -22,7 +22,7 @@
 
 // A service whose wait after the start is over.
 struct ReadyService {
-    explicit ReadyService(GrantsLog* grants = nullptr) : service(parts.service(grants)) {
+    explicit ReadyService(GrantLog* grants = nullptr) : service(parts.service(grants)) {
         parts.clock.at += Micros(2'500'000);
     }
     ServiceParts parts;
@@ -133,27 +133,27 @@
 
 TEST(CoordinatorService, ChangeAppliesWholesAndKeepsWhatBalancersReadAtTheirStart) {
     ReadyService ready;
-    budget::Terms terms = ServiceParts::terms();
-    terms.term = std::chrono::seconds(9);
-    terms.expected = 1;
+    budget::BudgetConfig terms = ServiceParts::terms();
+    terms.lease_term = std::chrono::seconds(9);
+    terms.expected_balancers = 1;
     terms.budgets[0].whole = {900, 4};
     terms.budgets[0].reserve = {1, 1};
     terms.budgets.push_back({"more", budget::Counts::concurrency, "", "", "", {0, 5}, {}});
-    ready.service->change(terms);
-    const budget::Terms& now = ready.service->terms();
-    EXPECT_EQ(now.term, std::chrono::seconds(1));
-    EXPECT_EQ(now.expected, 3);
+    ready.service->update_budgets(terms);
+    const budget::BudgetConfig& now = ready.service->terms();
+    EXPECT_EQ(now.lease_term, std::chrono::seconds(1));
+    EXPECT_EQ(now.expected_balancers, 3);
     ASSERT_EQ(now.budgets.size(), 2u);
     EXPECT_EQ(now.budgets[0].whole, (budget::Amount{900, 4}));
     EXPECT_EQ(now.budgets[0].reserve, (budget::Amount{100, 1}));
     terms.budgets[0].whole = {200, 4};  // less than three reserves
-    EXPECT_THROW(ready.service->change(terms), std::invalid_argument);
+    EXPECT_THROW(ready.service->update_budgets(terms), std::invalid_argument);
     EXPECT_EQ(ready.service->terms().budgets[0].whole, (budget::Amount{900, 4}));
 }
 
 TEST(CoordinatorService, GrantsAreLoggedBeforeTheirReply) {
     const std::string path = ::testing::TempDir() + "coordinator_grants_" + std::to_string(::getpid());
-    GrantsLog grants;
+    GrantLog grants;
     ASSERT_EQ(grants.open(path), 0);
     ReadyService ready(&grants);
     EXPECT_EQ(ready.parts.ask(*ready.service, ready.parts.request("n1", 1, 1000))->verdict, Verdict::granted);
@@ -170,14 +170,14 @@
     }
     std::remove(path.c_str());
     // If the log can't be written, no reply is sent.
-    GrantsLog full;
+    GrantLog full;
     ASSERT_EQ(full.open("/dev/full"), 0);
     ReadyService other(&full);
     EXPECT_FALSE(other.parts.ask(*other.service, other.parts.request("n1", 1, 1000)));
     EXPECT_TRUE(other.parts.log.has("the grants log: No space left on device"));
 }
 
-// Sends requests over connections to the HTTP front, as balancers do.
+// Sends requests over connections to the HTTP listener, as balancers do.
 class CoordinatorConnections : public ::testing::Test {
 protected:
     CoordinatorConnections() { front.listen(tcp::endpoint(boost::asio::ip::address_v4::loopback(), 0)); }
@@ -219,7 +219,7 @@
     loop::Clock clock;
     loop::Alarm alarm{loop.get_executor(), clock};
     core::Core core{clock, alarm, ready.parts.log};
-    http::Front front{loop.get_executor(), core, *ready.service, clock, {}};
+    http::Listener front{loop.get_executor(), core, *ready.service, clock, {}};
 };
 
 TEST_F(CoordinatorConnections, PersistentDuplicateTruncatedAndInvalidRequests) {
@@ -244,7 +244,7 @@
     ASSERT_TRUE(run_until([&] { return truncated.count_received("x"), truncated.closed; }));
     EXPECT_EQ(encode(ready.service->view()), before);
 
-    oversized.send(post(std::string(message_most + 1, ' ')));
+    oversized.send(post(std::string(max_message_size + 1, ' ')));
     ASSERT_TRUE(run_until([&] { return oversized.count_received("HTTP/1.1 413") == 1; })) << oversized.input;
 }
 
--- a/tests/coordinator/wire_test.cpp
+++ b/tests/coordinator/wire_test.cpp
@@ -12,7 +12,7 @@
     request.holder = "n3";
     request.instance = "8f0c";
     request.number = 17;
-    request.taken = {1791, 5};
+    request.accepted = {1791, 5};
     request.epoch = 1792;
     request.clock = Time(123456789);
     request.needs = {{"bookings", budget::Counts::requests, {12500, 13}, {9000, 9}, {500, 1}, 0},
@@ -39,7 +39,7 @@
     ASSERT_TRUE(std::holds_alternative<budget::LeaseRequest>(read)) << fault_of(text);
     EXPECT_EQ(encode(std::get<budget::LeaseRequest>(read)), text);
     EXPECT_EQ(std::get<budget::LeaseRequest>(read).needs[1].in_use, 3);
-    EXPECT_EQ(std::get<budget::LeaseRequest>(read).taken, (budget::Fence{1791, 5}));
+    EXPECT_EQ(std::get<budget::LeaseRequest>(read).accepted, (budget::FencingToken{1791, 5}));
 }
 
 TEST(CoordinatorWire, RequestOfTheDesignIsValid) {
@@ -56,8 +56,8 @@
     reply.epoch = 1791;
     reply.seq = 6;
     reply.term = Micros(3000000);
-    reply.again = Micros(150000);
-    reply.gap = Micros(15000);
+    reply.retry_after = Micros(150000);
+    reply.min_request_interval = Micros(15000);
     reply.grants = {{"bookings", {9000, 9}}};
     for (const auto verdict :
          {budget::Verdict::granted, budget::Verdict::waiting, budget::Verdict::name_taken,
@@ -114,8 +114,8 @@
         {"[]", "no object"},
         {"17", "no object"},
         {"{}", "holder: missing"},
-        {std::string(message_most + 1, ' '), "longer than 65536 bytes"},
-        {std::string(message_most, '['), "no JSON"},
+        {std::string(max_message_size + 1, ' '), "longer than 65536 bytes"},
+        {std::string(max_message_size, '['), "no JSON"},
         {replaced(good, "\"number\":17", "\"other\":17"), "number: missing"},
         {replaced(good, "\"number\":17", "\"number\":-17"), "number: no whole number from 0"},
         {replaced(good, "\"number\":17", "\"number\":1.5"), "number: no whole number from 0"},
--- a/tests/core/cold_test.cpp
+++ b/tests/core/cold_test.cpp
@@ -95,7 +95,7 @@
     }
     void call(PoolId pool) {
         Call new_call = stage_.call(pool, static_cast<int>(random() % 5));
-        EXPECT_EQ(stage_.take(new_call, ++token), Taken::yes);
+        EXPECT_EQ(stage_.take(new_call, ++token), AcceptResult::accepted);
     }
 
     Settings settings = slow_start_settings();
@@ -178,7 +178,7 @@
         }
         farm.run(farm.settings.ramp_time, load, random_pool);
         EXPECT_GT(restarted.received, before) << "the server is used during its slow start";
-        EXPECT_EQ(stage.core->figures().overdue, 0u);
+        EXPECT_EQ(stage.core->figures().watchdog_answers, 0u);
         for (const PoolId id : ids) stage.core->remove_pool(id);
         return farm.max_load_ratio;
     }
--- a/tests/core/fakes.h
+++ b/tests/core/fakes.h
@@ -16,7 +16,7 @@
 #include <vector>
 
 #include "core/core.h"
-#include "rig.h"
+#include "policy_rig.h"
 
 namespace flaxdoor::core::test {
 
@@ -72,10 +72,10 @@
     std::uint64_t number;
 };
 
-struct FakeFront final : Front {
+struct FakeFront final : Downstream {
     struct FinalRecord {
         std::uint64_t token = 0;
-        Final answer;
+        FinalAnswer answer;
         Time at{};
     };
     FakeFront(Trip& trip_wire, const FakeClock& fake_clock) : trip(trip_wire), clock(fake_clock) {}
@@ -86,8 +86,8 @@
         trip.pass("Front::on_started");
         if (when_started) when_started(token);
     }
-    // Recorded before it throws: the core does not call a Front twice for one final answer.
-    void on_final(std::uint64_t token, Final answer) override {
+    // Recorded before it throws: the core does not call a Downstream twice for one final answer.
+    void on_final(std::uint64_t token, FinalAnswer answer) override {
         told.push_back({token, std::move(answer), clock.at});
         trip.pass("Front::on_final");
         if (when_final) when_final(token);
@@ -123,7 +123,7 @@
 };
 
 // Ends cancelled and expired attempts at once, unless configured otherwise; all others when the test says so.
-struct FakeBack : Back {
+struct FakeBack : UpstreamConnectionPool {
     explicit FakeBack(Trip& trip_wire) : trip(trip_wire) {}
 
     void set_upstream(UpstreamId upstream, const std::string& address, bool takes_work) override {
@@ -156,7 +156,7 @@
         trip.pass("Back::expire");
         expired.push_back(key);
         if (when_expired) return when_expired(key);
-        if (ends_at_once) end(key, sending.contains(key) ? Outcome::timeout : Outcome::moot);
+        if (ends_at_once) end(key, sending.contains(key) ? Outcome::timeout : Outcome::inconclusive);
     }
     void close_idle(UpstreamId upstream) override {
         EXPECT_FALSE(gone) << "called after the pool was removed";
@@ -175,8 +175,8 @@
         AttemptResult result;
         result.key = key;
         result.outcome = outcome;
-        result.own_fault = own_fault;
-        result.whole = whole.contains(key);
+        result.local_failure = own_fault;
+        result.fully_sent = whole.contains(key);
         result.latency = ms(5);
         result.report = {0.0F};
         if (outcome == Outcome::ok) result.answer = std::make_unique<Ticket>(key.call);
@@ -212,7 +212,7 @@
         trip.pass("Source::fetch");
         if (when_asked) when_asked();
     }
-    void catch_up() override {
+    void deliver_pending() override {
         trip.pass("Source::catch_up");
         if (const auto call = std::exchange(when_caught_up, {})) call();
     }
@@ -272,15 +272,15 @@
         result.pool = pool;
         result.class_index = class_index;
         result.budget = budget;
-        result.unseen = std::min<Micros>(ms(20), budget / 4);
+        result.network_allowance = std::min<Micros>(ms(20), budget / 4);
         return result;
     }
-    Taken take(Call new_call, std::uint64_t token) {
+    AcceptResult take(Call new_call, std::uint64_t token) {
         new_call.payload = std::make_shared<Ticket>(token);
         last_id = 0;
-        return core->take(std::move(new_call), front, token, &last_id);
+        return core->accept_call(std::move(new_call), front, token, &last_id);
     }
-    Taken take(PoolId pool, int class_index, std::uint64_t token) {
+    AcceptResult take(PoolId pool, int class_index, std::uint64_t token) {
         return take(call(pool, class_index), token);
     }
 
--- a/tests/core/hard_cases_test.cpp
+++ b/tests/core/hard_cases_test.cpp
@@ -40,11 +40,11 @@
         }
         core->remove_pool(pool);
         back->gone = true;
-        const Figures figures = core->figures();
+        const Stats figures = core->figures();
         EXPECT_EQ(figures.open, 0u);
         EXPECT_EQ(figures.pools, 0u);
         EXPECT_EQ(figures.timers, 0u);
-        EXPECT_EQ(figures.taken, figures.served + figures.refused + figures.failed + figures.left);
+        EXPECT_EQ(figures.accepted, figures.served + figures.refused + figures.failed + figures.abandoned);
     }
 
     // Another pool, which is removed first.
@@ -62,7 +62,7 @@
         std::unique_ptr<FakeBack> back;
         PoolId id;
     };
-    // Removes the pool and adds it again. Returns the old back, whose attempts may still end.
+    // Removes the pool and adds it again. Returns the old connection pool, whose attempts may still end.
     std::unique_ptr<FakeBack> replace_pool(Settings pool_settings = settings()) {
         core->remove_pool(pool);
         back->gone = true;
@@ -75,7 +75,7 @@
     // Makes a call and expects that one attempt is sent.
     AttemptKey send_one(int class_index, std::uint64_t token) {
         const std::size_t before = back->sent.size();
-        EXPECT_EQ(take(pool, class_index, token), Taken::yes);
+        EXPECT_EQ(take(pool, class_index, token), AcceptResult::accepted);
         EXPECT_EQ(back->sent.size(), before + 1);
         return last_sent();
     }
@@ -90,9 +90,9 @@
         back->start(key);
         return key;
     }
-    Taken take_with_id(int class_index, std::string call_id, std::uint64_t token) {
+    AcceptResult take_with_id(int class_index, std::string call_id, std::uint64_t token) {
         Call new_call = call(pool, class_index);
-        new_call.name = std::move(call_id);
+        new_call.call_id = std::move(call_id);
         return take(new_call, token);
     }
     void serve(std::uint64_t first, int count) {
@@ -143,11 +143,11 @@
 TEST_F(HardCase, AnAttemptMayEndWithAnyOutcomeWithinSend) {
     std::uint64_t token = 0;
     for (const Outcome outcome : {Outcome::ok, Outcome::error, Outcome::full, Outcome::timeout,
-                                  Outcome::connect_failed, Outcome::reset, Outcome::moot}) {
+                                  Outcome::connect_failed, Outcome::reset, Outcome::inconclusive}) {
         for (int class_index = 0; class_index <= streaming; ++class_index) {
             const std::size_t before = back->sent.size();
             back->when_sent = [&](AttemptKey key) { back->answer(key, outcome); };
-            ASSERT_EQ(take(pool, class_index, ++token), Taken::yes);
+            ASSERT_EQ(take(pool, class_index, ++token), AcceptResult::accepted);
             ASSERT_GT(back->sent.size(), before);
             pass(ms(1500));
             ASSERT_EQ(front.finals(token), 1u);
@@ -199,7 +199,7 @@
     answer_with(first, [&] {
         core->remove_pool(pool);
         EXPECT_EQ(core->settings(pool), nullptr);
-        EXPECT_EQ(take(pool, safe, 4), Taken::no_pool);
+        EXPECT_EQ(take(pool, safe, 4), AcceptResult::no_pool);
         list(pool, ListKind::full, {});
     });
     expect_served(1);
@@ -213,7 +213,7 @@
 
 TEST_F(HardCase, ACallAcceptedAndItsPoolRemovedWithinOnePortIsRefused) {
     answer_with(send_one(safe, 1), [&] {
-        EXPECT_EQ(take(pool, unsafe, 2), Taken::yes);
+        EXPECT_EQ(take(pool, unsafe, 2), AcceptResult::accepted);
         core->remove_pool(pool);
     });
     expect_final(2, Verdict::refused, Cause::pool_removed);
@@ -222,13 +222,13 @@
 
 TEST_F(HardCase, ACallAbandonedBeforeItWasSentIsNeverSent) {
     answer_with(send_one(safe, 1), [&] {
-        EXPECT_EQ(take(pool, safe, 2), Taken::yes);
-        EXPECT_FALSE(core->leave(last_id));
-        EXPECT_FALSE(core->leave(last_id)) << "twice";
+        EXPECT_EQ(take(pool, safe, 2), AcceptResult::accepted);
+        EXPECT_FALSE(core->abandon_call(last_id));
+        EXPECT_FALSE(core->abandon_call(last_id)) << "twice";
     });
     EXPECT_EQ(back->sent.size(), 1u);
     EXPECT_EQ(front.finals(2), 0u);
-    EXPECT_EQ(core->figures().left, 1u);
+    EXPECT_EQ(core->figures().abandoned, 1u);
 }
 
 // Makes each call from within the final answer, or the refusal, of the one before, and measures the stack.
@@ -241,7 +241,7 @@
     const auto next = [&](std::uint64_t token) {
         Call new_call = call(pool, safe);
         if (!served) new_call.received = clock.at - ms(2000);  // its deadline has passed
-        ASSERT_EQ(take(new_call, token), Taken::yes);
+        ASSERT_EQ(take(new_call, token), AcceptResult::accepted);
     };
     back->when_sent = [&](AttemptKey key) { back->answer(key); };
     front.when_final = [&](std::uint64_t token) {
@@ -269,13 +269,13 @@
             sent = back->sent.size();
             closed_call = last_sent().call;
             if (abandons) {
-                EXPECT_FALSE(core->leave(closed_call));
+                EXPECT_FALSE(core->abandon_call(closed_call));
             } else {
                 clock.at += seconds(2);
             }
         };
         for (std::uint64_t token = abandons ? 1 : 1000; closed_call == 0; ++token) {
-            ASSERT_EQ(take(pool, safe, token), Taken::yes);
+            ASSERT_EQ(take(pool, safe, token), AcceptResult::accepted);
             if (closed_call == 0) pass(ms(20));
         }
         pass(seconds(2));
@@ -297,7 +297,7 @@
         sent = back->sent.size();
         core->remove_pool(pool);
     };
-    for (std::uint64_t token = 1; take(pool, safe, token) == Taken::yes; ++token) pass(ms(20));
+    for (std::uint64_t token = 1; take(pool, safe, token) == AcceptResult::accepted; ++token) pass(ms(20));
     EXPECT_GT(sent, 0u);
     EXPECT_EQ(back->sent.size(), sent);
 }
@@ -308,7 +308,7 @@
     changed.drain_close = ms(50);
     const OtherPool closing(*this, changed);
     list(closing.id, ListKind::full, {member(1, "b1")});
-    for (std::uint64_t token : {1, 2}) ASSERT_EQ(take(closing.id, safe, token), Taken::yes);
+    for (std::uint64_t token : {1, 2}) ASSERT_EQ(take(closing.id, safe, token), AcceptResult::accepted);
     ASSERT_EQ(closing.back->sent.size(), 2u);
     list(closing.id, ListKind::full, {member(1, "b1", UpstreamState::draining)});
     std::size_t before = 0;
@@ -348,8 +348,8 @@
 
 struct Removal : HardCase, testing::WithParamInterface<bool> {};
 
-// A pool is removed with calls in every state and of every effect. Its back may end cancelled attempts at
-// once or never: the core does not wait for it.
+// A pool is removed with calls in every state and of every effect. Its connection pool may end cancelled
+// attempts at once or never: the core does not wait for it.
 TEST_P(Removal, AnswersAllCallsOfThePool) {
     enum State { connecting, sending, started, rejected };
     struct ExpectedEnd {
@@ -374,13 +374,13 @@
         if (expected[i].state == rejected) {
             back->when_sent = [&](AttemptKey key) { back->answer(key, Outcome::full); };
         }
-        ASSERT_EQ(take(pool, expected[i].class_index, i + 1), Taken::yes);
+        ASSERT_EQ(take(pool, expected[i].class_index, i + 1), AcceptResult::accepted);
         if (expected[i].state == sending || expected[i].state == started) back->begin(last_sent());
         if (expected[i].state == started) back->start(last_sent());
         ASSERT_EQ(front.finals(i + 1), 0u);
     }
     back->when_sent = nullptr;
-    ASSERT_EQ(take(other.id, unsafe, 8), Taken::yes);
+    ASSERT_EQ(take(other.id, unsafe, 8), AcceptResult::accepted);
 
     core->remove_pool(pool);
     back->gone = true;
@@ -420,7 +420,7 @@
     old_back->answer(old_key);
     core->on_list(old_pool, {});
     EXPECT_EQ(back->upstreams.size(), 4u);
-    EXPECT_EQ(take(old_pool, safe, 3), Taken::no_pool);
+    EXPECT_EQ(take(old_pool, safe, 3), AcceptResult::no_pool);
     EXPECT_EQ(front.finals(2), 0u);
     back->answer(key);
     expect_final(1, Verdict::refused, Cause::pool_removed);
@@ -435,7 +435,7 @@
         core->remove_pool(pool);
         pool = add(*back, settings());
         fleet(pool, 4);
-        EXPECT_EQ(take(pool, safe, 2), Taken::yes);
+        EXPECT_EQ(take(pool, safe, 2), AcceptResult::accepted);
     };
     old_back->answer(first);
     old_back->gone = true;
@@ -450,16 +450,16 @@
 TEST_F(HardCase, CallIdsInDoubtOutliveTheirPool) {
     may_leave_open_calls = true;
     back->ends_at_once = false;
-    ASSERT_EQ(take_with_id(unsafe, "once", 1), Taken::yes);
+    ASSERT_EQ(take_with_id(unsafe, "once", 1), AcceptResult::accepted);
     back->begin(last_sent());
-    ASSERT_EQ(take_with_id(unsafe, "never begun", 2), Taken::yes);
+    ASSERT_EQ(take_with_id(unsafe, "never begun", 2), AcceptResult::accepted);
     const auto old_back = replace_pool();
     expect_final(1, Verdict::failed, Cause::pool_removed);
     fleet(pool, 4);
-    EXPECT_EQ(take_with_id(unsafe, "never begun", 3), Taken::yes);
-    EXPECT_EQ(take_with_id(unsafe, "once", 4), Taken::name_open);
+    EXPECT_EQ(take_with_id(unsafe, "never begun", 3), AcceptResult::accepted);
+    EXPECT_EQ(take_with_id(unsafe, "once", 4), AcceptResult::name_in_use);
     pass(seconds(11));
-    EXPECT_EQ(take_with_id(unsafe, "once", 5), Taken::yes);
+    EXPECT_EQ(take_with_id(unsafe, "once", 5), AcceptResult::accepted);
 }
 
 TEST_F(HardCase, AddressStateOutlivesAPoolThatWasRemoved) {
@@ -473,7 +473,7 @@
     EXPECT_FALSE(other.back->upstreams.at(11).second)
         << "removing the pool that listed the drain does not revoke it";
     for (std::uint64_t token = 1; token <= 20; ++token) {
-        ASSERT_EQ(take(other.id, safe, token), Taken::yes);
+        ASSERT_EQ(take(other.id, safe, token), AcceptResult::accepted);
         ASSERT_EQ(other.back->sent.back().upstream, 12u);
         other.back->answer(other.last_sent());
     }
@@ -492,10 +492,10 @@
 TEST_F(HardCase, ADrainListedInOnePoolStopsConnectingAttemptsOfAnother) {
     const OtherPool other(*this);
     list(other.id, ListKind::full, {member(11, "a1")});
-    ASSERT_EQ(take(other.id, unsafe, 1), Taken::yes);
+    ASSERT_EQ(take(other.id, unsafe, 1), AcceptResult::accepted);
     list(pool, ListKind::full, {member(1, "a1", UpstreamState::draining)});
     ASSERT_FALSE(other.back->upstreams.at(11).second);
-    other.back->end(other.last_sent(), Outcome::moot);  // the connection was established too late
+    other.back->end(other.last_sent(), Outcome::inconclusive);  // the connection was established too late
     pass(ms(1500));
     EXPECT_EQ(other.back->sent.size(), 1u);
     expect_verdict(1, Verdict::refused);
@@ -540,7 +540,7 @@
         pass(began_at + row.after - clock.at);
         EXPECT_EQ(core->on_attempt_sending(repeat), row.sent);
         core->change_pool(pool, settings());
-        while (!back->out.empty()) back->end(*back->out.begin(), Outcome::moot);
+        while (!back->out.empty()) back->end(*back->out.begin(), Outcome::inconclusive);
         pass(ms(1500));
         EXPECT_EQ(front.finals(token), 1u);
     }
@@ -568,7 +568,7 @@
             EXPECT_EQ(back->upstreams.at(1).first, row.address);
         }
         const std::size_t before = back->sent.size();
-        EXPECT_EQ(take(pool, safe, ++token), Taken::yes);
+        EXPECT_EQ(take(pool, safe, ++token), AcceptResult::accepted);
         EXPECT_EQ(back->sent.size() > before, row.address != nullptr) << "the policy has the same state";
         if (row.address) back->answer(last_sent());
     }
@@ -615,7 +615,7 @@
     fleet(pool, 5000);
     EXPECT_EQ(back->upstreams.size(), 5000u);
     for (std::uint64_t token = 1; token <= 10000; ++token) {
-        ASSERT_EQ(take(pool, static_cast<int>(token % 5), token), Taken::yes);
+        ASSERT_EQ(take(pool, static_cast<int>(token % 5), token), AcceptResult::accepted);
     }
     EXPECT_GT(back->sent.size(), 100u);
     const auto half = back->sent.size() / 2;
@@ -623,16 +623,16 @@
     list(pool, ListKind::full, {member(1, "a1")});
     pass(ms(1001));
     for (std::uint64_t token = 1; token <= 10000; ++token) ASSERT_EQ(front.finals_incremental(token), 1);
-    EXPECT_EQ(core->figures().overdue, 0u);
+    EXPECT_EQ(core->figures().watchdog_answers, 0u);
 }
 
 // ----------------------------------------------------- local resources, shutdown, stalls, deadlines
 
 TEST_F(HardCase, LocalResourceExhaustionEjectsNoUpstream) {
     serve(1, 20);
-    back->when_sent = [&](AttemptKey key) { back->end(key, Outcome::moot, true); };
+    back->when_sent = [&](AttemptKey key) { back->end(key, Outcome::inconclusive, true); };
     for (std::uint64_t token = 100; token < 300; ++token) {
-        ASSERT_EQ(take(pool, static_cast<int>(token % 5), token), Taken::yes);
+        ASSERT_EQ(take(pool, static_cast<int>(token % 5), token), AcceptResult::accepted);
         pass(ms(10));
     }
     pass(ms(1000));
@@ -640,7 +640,7 @@
     for (std::uint64_t token = 100; token < 300; ++token) {
         ASSERT_EQ(front.finals(token), 1u);
         EXPECT_EQ(front.of(token)->answer.verdict, Verdict::refused) << "nothing was executed";
-        local_failures += front.of(token)->answer.cause == Cause::own_shortage;
+        local_failures += front.of(token)->answer.cause == Cause::local_resources;
     }
     EXPECT_GT(local_failures, 150u);
     EXPECT_TRUE(log.lines.empty()) << log.lines.front();
@@ -652,15 +652,15 @@
     const OtherPool empty(*this);
     const auto first = send_one(safe, 1);
     begin_one(unsafe, 2);
-    ASSERT_EQ(take(empty.id, safe, 3), Taken::yes);
+    ASSERT_EQ(take(empty.id, safe, 3), AcceptResult::accepted);
     core->close();
-    EXPECT_EQ(take(pool, safe, 10), Taken::shutting_down);
-    EXPECT_EQ(take(77, safe, 11), Taken::shutting_down);
+    EXPECT_EQ(take(pool, safe, 10), AcceptResult::shutting_down);
+    EXPECT_EQ(take(77, safe, 11), AcceptResult::shutting_down);
     list(pool, ListKind::full, {member(1, "a1", UpstreamState::draining), member(9, "a9")});
     back->answer(first);
     for (int i = 0; i < 150; ++i) {
         pass(ms(10));
-        EXPECT_EQ(take(pool, safe, 12), Taken::shutting_down);
+        EXPECT_EQ(take(pool, safe, 12), AcceptResult::shutting_down);
     }
     expect_served(1);
     expect_final(2, Verdict::failed, Cause::timed_out);
@@ -680,7 +680,7 @@
         // The states: connecting, sending, rejected, and waiting for an upstream.
         for (int state = 0; state < 4; ++state) {
             ASSERT_EQ(take(call(state == 3 ? empty_pool.id : pool, class_index, ms(400)), ++token),
-                      Taken::yes);
+                      AcceptResult::accepted);
             if (state == 3 || back->sent.empty() || last_sent().call != last_id) continue;
             if (state == 1) back->begin(last_sent());
             if (state == 2) back->answer(last_sent(), Outcome::full);
@@ -694,7 +694,7 @@
         ASSERT_EQ(front.finals(each), 1u) << "call " << each;
         EXPECT_STRNE(text_of(front.of(each)->answer.cause), "overdue") << "call " << each;
     }
-    EXPECT_EQ(core->figures().overdue, 0u);
+    EXPECT_EQ(core->figures().watchdog_answers, 0u);
     EXPECT_EQ(core->figures().faults, 0u);
 }
 
@@ -703,14 +703,14 @@
 
 TEST_F(HardCase, TheWatchdogAnswersACallThatNothingElseAnswers) {
     back->ends_at_once = false;
-    back->when_expired = [](AttemptKey) {};  // a back that has lost the attempt
+    back->when_expired = [](AttemptKey) {};  // a connection pool that has lost the attempt
     const auto key = begin_one(unsafe, 1);
     const Time limit = clock.at + ms(1000);
     run(limit - Micros(1));
-    expect_final(1, Verdict::failed, Cause::overdue);
+    expect_final(1, Verdict::failed, Cause::watchdog);
     EXPECT_LT(front.of(1)->at, limit);
     EXPECT_TRUE(front.of(1)->answer.may_have_run);
-    EXPECT_EQ(core->figures().overdue, 1u);
+    EXPECT_EQ(core->figures().watchdog_answers, 1u);
     EXPECT_EQ(back->cancelled.size(), 1u);
     back->answer(key);
     EXPECT_EQ(front.finals(1), 1u);
@@ -719,7 +719,7 @@
 TEST_F(HardCase, ACallWithoutABudgetEndsByTheDefaultTimeout) {
     Call new_call = call(pool, unsafe, Micros{0});
     const Time limit = clock.at + seconds(30);
-    ASSERT_EQ(take(new_call, 1), Taken::yes);
+    ASSERT_EQ(take(new_call, 1), AcceptResult::accepted);
     back->begin(last_sent());
     run(limit - ms(1));
     EXPECT_EQ(front.finals(1), 0u);
@@ -735,9 +735,9 @@
             for (const Time received : {Time{}, Time{1}, clock.at, clock.at + ms(5), Time::max()}) {
                 Call new_call = call(pool, safe);
                 new_call.budget = budget;
-                new_call.unseen = unseen;
+                new_call.network_allowance = unseen;
                 new_call.received = received;
-                ASSERT_EQ(take(new_call, ++token), Taken::yes);
+                ASSERT_EQ(take(new_call, ++token), AcceptResult::accepted);
                 if (last_sent().call == last_id) back->answer(last_sent());
             }
         }
@@ -750,22 +750,22 @@
     Call new_call = call(pool, unsafe, ms(300));
     new_call.received = clock.at - ms(200);
     const Time limit = clock.at + ms(100);
-    ASSERT_EQ(take(new_call, 1), Taken::yes);
-    EXPECT_EQ(back->sent.back().expires, limit - new_call.unseen);
+    ASSERT_EQ(take(new_call, 1), AcceptResult::accepted);
+    EXPECT_EQ(back->sent.back().expires, limit - new_call.network_allowance);
     back->begin(last_sent());
     run(limit);
     expect_final(1, Verdict::failed, Cause::timed_out);
-    EXPECT_EQ(front.of(1)->at, limit - new_call.unseen);
+    EXPECT_EQ(front.of(1)->at, limit - new_call.network_allowance);
 }
 
 // ------------------------------------------------------------------------------ call ids and limits
 
 TEST_F(HardCase, TwoCallsWithOneIdAreNeverOpenAtOnce) {
     for (const int class_index : {safe, unsafe, keyed_all}) {
-        ASSERT_EQ(take_with_id(class_index, "name", 1), Taken::yes);
-        EXPECT_EQ(take_with_id(class_index, "name", 2), Taken::name_open);
+        ASSERT_EQ(take_with_id(class_index, "name", 1), AcceptResult::accepted);
+        EXPECT_EQ(take_with_id(class_index, "name", 2), AcceptResult::name_in_use);
         back->answer(last_sent());
-        ASSERT_EQ(take_with_id(class_index, "name", 3), Taken::yes)
+        ASSERT_EQ(take_with_id(class_index, "name", 3), AcceptResult::accepted)
             << "answered, and none of its attempts is active";
         back->answer(last_sent());
     }
@@ -774,50 +774,50 @@
 TEST_F(HardCase, ACallIdStaysInUseWhileAnAttemptIsActive) {
     may_leave_open_calls = true;
     back->ends_at_once = false;
-    ASSERT_EQ(take_with_id(safe, "name", 1), Taken::yes);
-    EXPECT_FALSE(core->leave(last_id));
+    ASSERT_EQ(take_with_id(safe, "name", 1), AcceptResult::accepted);
+    EXPECT_FALSE(core->abandon_call(last_id));
     EXPECT_EQ(back->cancelled.size(), 1u);
-    EXPECT_EQ(take_with_id(safe, "name", 2), Taken::name_open);
+    EXPECT_EQ(take_with_id(safe, "name", 2), AcceptResult::name_in_use);
     back->end(last_sent(), Outcome::cancelled);
-    EXPECT_EQ(take_with_id(safe, "name", 3), Taken::yes);
+    EXPECT_EQ(take_with_id(safe, "name", 3), AcceptResult::accepted);
 }
 
 TEST_F(HardCase, AnUnsafeCallInDoubtKeepsItsIdInUseForAWhile) {
     for (const Outcome outcome : {Outcome::reset, Outcome::timeout}) {
         const char* const name = text_of(outcome == Outcome::reset ? Cause::broken : Cause::timed_out);
-        ASSERT_EQ(take_with_id(unsafe, name, 1), Taken::yes);
+        ASSERT_EQ(take_with_id(unsafe, name, 1), AcceptResult::accepted);
         back->answer(last_sent(), outcome);
         EXPECT_EQ(core->figures().open, 0u);
-        EXPECT_EQ(take_with_id(unsafe, name, 2), Taken::name_open);
+        EXPECT_EQ(take_with_id(unsafe, name, 2), AcceptResult::name_in_use);
         pass(seconds(10) - Micros(1));
-        EXPECT_EQ(take_with_id(unsafe, name, 3), Taken::name_open);
+        EXPECT_EQ(take_with_id(unsafe, name, 3), AcceptResult::name_in_use);
         pass(Micros(1));
-        ASSERT_EQ(take_with_id(unsafe, name, 4), Taken::yes);
+        ASSERT_EQ(take_with_id(unsafe, name, 4), AcceptResult::accepted);
         back->answer(last_sent());
     }
     for (const int class_index : {safe, keyed_all, keyed_zone}) {  // these may be retried
         Call named = call(pool, class_index, ms(400));
-        named.name = "harmless";
-        ASSERT_EQ(take(named, 5), Taken::yes);
+        named.call_id = "harmless";
+        ASSERT_EQ(take(named, 5), AcceptResult::accepted);
         back->answer(last_sent(), Outcome::reset);
         back->when_sent = [&](AttemptKey key) { back->answer(key, Outcome::reset); };
         pass(ms(400));
         back->when_sent = nullptr;
-        EXPECT_EQ(take(named, 6), Taken::yes);
-        core->leave(last_id);
+        EXPECT_EQ(take(named, 6), AcceptResult::accepted);
+        core->abandon_call(last_id);
         pass(ms(100));
     }
 }
 
 TEST_F(HardCase, AnUnsafeCallCancelledAfterItWasFullySentKeepsItsIdInUse) {
-    ASSERT_EQ(take_with_id(unsafe, "half", 1), Taken::yes);
+    ASSERT_EQ(take_with_id(unsafe, "half", 1), AcceptResult::accepted);
     back->begin(last_sent());
-    EXPECT_TRUE(core->leave(last_id));
-    EXPECT_EQ(take_with_id(unsafe, "half", 2), Taken::yes) << "its last byte was never sent";
+    EXPECT_TRUE(core->abandon_call(last_id));
+    EXPECT_EQ(take_with_id(unsafe, "half", 2), AcceptResult::accepted) << "its last byte was never sent";
     back->begin(last_sent());
     back->whole.insert(last_sent());
-    EXPECT_TRUE(core->leave(last_id));
-    EXPECT_EQ(take_with_id(unsafe, "half", 3), Taken::name_open);
+    EXPECT_TRUE(core->abandon_call(last_id));
+    EXPECT_EQ(take_with_id(unsafe, "half", 3), AcceptResult::name_in_use);
 }
 
 struct Limits : HardCase {
@@ -833,15 +833,15 @@
 TEST_F(Limits, TheOldestCallIdsInDoubtAreDropped) {
     may_leave_open_calls = true;
     for (const char* name : {"a", "b", "c"}) {
-        ASSERT_EQ(take_with_id(unsafe, name, 1), Taken::yes);
+        ASSERT_EQ(take_with_id(unsafe, name, 1), AcceptResult::accepted);
         back->answer(last_sent(), Outcome::error);  // it has ended at its upstream
-        ASSERT_EQ(take_with_id(unsafe, name, 1), Taken::yes);
+        ASSERT_EQ(take_with_id(unsafe, name, 1), AcceptResult::accepted);
         back->answer(last_sent(), Outcome::reset);
-        EXPECT_LE(core->figures().doubts, 2u);
+        EXPECT_LE(core->figures().in_doubt, 2u);
     }
-    EXPECT_EQ(take_with_id(unsafe, "c", 2), Taken::name_open);
-    EXPECT_EQ(take_with_id(unsafe, "b", 2), Taken::name_open);
-    EXPECT_EQ(take_with_id(unsafe, "a", 2), Taken::yes);
+    EXPECT_EQ(take_with_id(unsafe, "c", 2), AcceptResult::name_in_use);
+    EXPECT_EQ(take_with_id(unsafe, "b", 2), AcceptResult::name_in_use);
+    EXPECT_EQ(take_with_id(unsafe, "a", 2), AcceptResult::accepted);
 }
 
 TEST_F(Limits, NoMoreCallsAreOpenThanAllowed) {
@@ -850,18 +850,18 @@
     send_one(safe, 2);
     const CallId second = last_id;
     send_one(unsafe, 3);
-    EXPECT_EQ(take(pool, safe, 4), Taken::too_many);
+    EXPECT_EQ(take(pool, safe, 4), AcceptResult::too_many);
     EXPECT_EQ(front.finals(4), 0u);
     back->answer(first);
-    EXPECT_EQ(take(pool, safe, 5), Taken::yes);
-    EXPECT_EQ(take(pool, safe, 6), Taken::too_many);
-    core->leave(second);
-    EXPECT_EQ(take(pool, safe, 7), Taken::yes);
+    EXPECT_EQ(take(pool, safe, 5), AcceptResult::accepted);
+    EXPECT_EQ(take(pool, safe, 6), AcceptResult::too_many);
+    core->abandon_call(second);
+    EXPECT_EQ(take(pool, safe, 7), AcceptResult::accepted);
     Call invalid = call(pool, 99);
-    EXPECT_EQ(take(invalid, 8), Taken::bad_class);
+    EXPECT_EQ(take(invalid, 8), AcceptResult::bad_class);
     invalid.class_index = -1;
-    EXPECT_EQ(take(invalid, 8), Taken::bad_class);
-    EXPECT_EQ(core->figures().taken, 5u);
+    EXPECT_EQ(take(invalid, 8), AcceptResult::bad_class);
+    EXPECT_EQ(core->figures().accepted, 5u);
 }
 
 // ------------------------------------------------------------------------------------------ streaming
@@ -892,7 +892,7 @@
     EXPECT_EQ(front.finals(1), 0u);
     EXPECT_EQ(back->cancelled, std::vector<AttemptKey>{first});
     back->end(second, Outcome::reset);
-    expect_final(1, Verdict::failed, Cause::broken_off);
+    expect_final(1, Verdict::failed, Cause::answer_truncated);
 }
 
 TEST_F(HardCase, AnAnswerThatIsCutShortIsNotRetried) {
@@ -900,7 +900,7 @@
     back->start(key);  // a second start is ignored
     EXPECT_EQ(front.started.size(), 1u);
     back->end(key, Outcome::reset);
-    expect_final(1, Verdict::failed, Cause::broken_off);
+    expect_final(1, Verdict::failed, Cause::answer_truncated);
     EXPECT_TRUE(front.of(1)->answer.may_have_run);
     pass(ms(1500));
     EXPECT_EQ(back->sent.size(), 1u);
@@ -909,7 +909,7 @@
 TEST_F(HardCase, AnAnswerThatHasBegunMayHaveATimeLimit) {
     Call new_call = call(pool, streaming);
     new_call.max_answer_duration = ms(3000);
-    ASSERT_EQ(take(new_call, 1), Taken::yes);
+    ASSERT_EQ(take(new_call, 1), AcceptResult::accepted);
     const auto key = last_sent();
     pass(ms(100));
     back->begin(key);
@@ -919,7 +919,7 @@
     EXPECT_EQ(front.finals(1), 0u);
     pass(ms(1));
     EXPECT_EQ(back->expired, std::vector<AttemptKey>{key});
-    expect_final(1, Verdict::failed, Cause::broken_off);
+    expect_final(1, Verdict::failed, Cause::answer_truncated);
 }
 
 TEST_F(HardCase, AnAnswerThatBeginsTooLateIsCancelled) {
@@ -937,7 +937,7 @@
 TEST_F(HardCase, AbandoningACallCancelsAnAnswerThatHasBegun) {
     const auto key = begin_one(streaming, 1);
     const CallId id = last_id;
-    front.when_started = [&](std::uint64_t) { EXPECT_TRUE(core->leave(id)); };
+    front.when_started = [&](std::uint64_t) { EXPECT_TRUE(core->abandon_call(id)); };
     back->start(key);
     EXPECT_EQ(back->cancelled, std::vector<AttemptKey>{key});
     EXPECT_EQ(front.finals(1), 0u);
@@ -965,7 +965,7 @@
     for (std::uint64_t token = 1; token <= 40; ++token) {
         Call new_call = call(pool, static_cast<int>(token % 5));
         new_call.pinned = 1 + token % 4;
-        ASSERT_EQ(take(new_call, token), Taken::yes);
+        ASSERT_EQ(take(new_call, token), AcceptResult::accepted);
         pass(ms(1000));
         expect_served(token);
     }
@@ -977,7 +977,7 @@
     for (const UpstreamId unavailable : {1, 2, 77}) {
         Call new_call = call(pool, safe);
         new_call.pinned = unavailable;
-        ASSERT_EQ(take(new_call, ++token), Taken::yes);
+        ASSERT_EQ(take(new_call, ++token), AcceptResult::accepted);
         pass(ms(1000));
         expect_verdict(token, Verdict::refused);
     }
@@ -990,7 +990,7 @@
     list(other.id, ListKind::full, {member(11, "a1", UpstreamState::draining)});
     Call new_call = call(pool, unsafe);
     new_call.pinned = 1;
-    ASSERT_EQ(take(new_call, 1), Taken::yes);
+    ASSERT_EQ(take(new_call, 1), AcceptResult::accepted);
     pass(ms(1000));
     EXPECT_TRUE(back->sent.empty());
     expect_verdict(1, Verdict::refused);
@@ -1005,13 +1005,13 @@
     changed.may_cancel = false;
     const OtherPool no_cancel(*this, changed);
     fleet(no_cancel.id, 4);
-    ASSERT_EQ(take(no_cancel.id, unsafe, 1), Taken::yes);
-    EXPECT_FALSE(core->leave(last_id)) << "the call was not executed";
+    ASSERT_EQ(take(no_cancel.id, unsafe, 1), AcceptResult::accepted);
+    EXPECT_FALSE(core->abandon_call(last_id)) << "the call was not executed";
     EXPECT_EQ(no_cancel.back->cancelled, std::vector<AttemptKey>{no_cancel.last_sent()}) << "and will not be";
     EXPECT_EQ(core->figures().open, 0u);
-    ASSERT_EQ(take(no_cancel.id, unsafe, 2), Taken::yes);
+    ASSERT_EQ(take(no_cancel.id, unsafe, 2), AcceptResult::accepted);
     no_cancel.back->begin(no_cancel.last_sent());
-    EXPECT_TRUE(core->leave(last_id));
+    EXPECT_TRUE(core->abandon_call(last_id));
     EXPECT_EQ(no_cancel.back->cancelled.size(), 1u)
         << "this attempt has begun, and the policy may not cancel it";
 }
@@ -1032,7 +1032,7 @@
 
 TEST_F(HardCase, RemovingTheClassOfAQueuedCallRefusesTheCall) {
     answer_with(send_one(safe, 1), [&] {
-        EXPECT_EQ(take(pool, streaming, 2), Taken::yes);
+        EXPECT_EQ(take(pool, streaming, 2), AcceptResult::accepted);
         Settings changed = settings();
         changed.classes.pop_back();
         core->change_pool(pool, changed);
@@ -1044,7 +1044,7 @@
 // A call that waits in the queue follows its class by name, and takes the effect that the class has now.
 TEST_F(HardCase, AQueuedCallFollowsItsClassByName) {
     answer_with(send_one(safe, 1), [&] {
-        EXPECT_EQ(take_with_id(safe, "once", 2), Taken::yes);
+        EXPECT_EQ(take_with_id(safe, "once", 2), AcceptResult::accepted);
         Settings changed = settings();
         changed.classes[safe].effect = Effect::unsafe;
         core->change_pool(pool, changed);
@@ -1053,7 +1053,7 @@
     back->answer(last_sent(), Outcome::reset);
     const auto old = replace_pool();
     expect_verdict(2, Verdict::failed);  // it may have executed, and is unsafe now
-    EXPECT_EQ(take_with_id(unsafe, "once", 3), Taken::name_open);
+    EXPECT_EQ(take_with_id(unsafe, "once", 3), AcceptResult::name_in_use);
 }
 
 // Lists that a source received while the process was stalled are applied before the work that waited in the
@@ -1066,7 +1066,7 @@
         other.back->ends_at_once = false;
         const std::uint64_t token = retry ? 11 : 12;
         if (retry) {
-            EXPECT_EQ(take(other.id, unsafe, token), Taken::yes);
+            EXPECT_EQ(take(other.id, unsafe, token), AcceptResult::accepted);
         }
         const std::size_t before = other.back->sent.size();
         source.when_caught_up = [&] {
@@ -1078,7 +1078,7 @@
         if (retry) {
             other.back->end(other.last_sent(), Outcome::connect_failed);
         } else {
-            EXPECT_EQ(take(other.id, unsafe, token), Taken::yes);
+            EXPECT_EQ(take(other.id, unsafe, token), AcceptResult::accepted);
         }
         EXPECT_EQ(other.back->sent.size(), before);
         EXPECT_FALSE(other.back->upstreams.at(1).second);
--- a/tests/core/throwing_test.cpp
+++ b/tests/core/throwing_test.cpp
@@ -29,8 +29,8 @@
     }
     CallId open(PoolId pool, int class_index, const char* name = "") {
         Call new_call = call(pool, class_index);
-        new_call.name = name;
-        if (take(new_call, ++token) == Taken::yes) taken.insert(token);
+        new_call.call_id = name;
+        if (take(new_call, ++token) == AcceptResult::accepted) taken.insert(token);
         return last_id;
     }
     template <typename Function>
@@ -43,7 +43,7 @@
         basic.drain_close = ms(50);
         basic.may_cancel = true;
         Settings asked = basic;
-        asked.must_ask_list = true;
+        asked.must_request_list = true;
         asked.ask_within = ms(500);
         const auto first_back = make_back(), second_back = make_back();
         FakeSource source(trip);
@@ -66,7 +66,8 @@
             wait(ms(30));
         }
         open(second_pool, keyed_all);
-        for_each_active(*second_back, [&](AttemptKey key) { second_back->end(key, Outcome::moot, true); });
+        for_each_active(*second_back,
+                        [&](AttemptKey key) { second_back->end(key, Outcome::inconclusive, true); });
         open(first_pool, safe);
         for_each_active(*first_back, [&](AttemptKey key) {
             first_back->begin(key);
@@ -76,7 +77,7 @@
         const CallId abandoned = open(first_pool, unsafe);
         for_each_active(*first_back, [&](AttemptKey key) { first_back->begin(key); });
         const bool was_open = front.finals(token) == 0;
-        core->leave(abandoned);
+        core->abandon_call(abandoned);
         if (was_open) taken.erase(token);
         wait(ms(10));
 
@@ -135,11 +136,11 @@
         for (std::uint64_t each = 1; each <= token; ++each) {
             EXPECT_EQ(front.finals(each), taken.contains(each) ? 1u : 0u) << "call " << each;
         }
-        const Figures figures = core->figures();
+        const Stats figures = core->figures();
         EXPECT_EQ(figures.open, 0u);
         EXPECT_EQ(figures.pools, 0u);
         EXPECT_EQ(figures.timers, 0u);
-        EXPECT_EQ(figures.taken, figures.served + figures.refused + figures.failed + figures.left);
+        EXPECT_EQ(figures.accepted, figures.served + figures.refused + figures.failed + figures.abandoned);
 
         // The core continues to work, and call ids are free again. Ids in doubt and addresses are only purged
         // by new events.
@@ -151,7 +152,7 @@
         list(third_pool, ListKind::full, {member(1, "a1")});
         open(third_pool, unsafe, "unsafe");
         EXPECT_TRUE(taken.contains(token));
-        EXPECT_EQ(core->figures().doubts, 0u);
+        EXPECT_EQ(core->figures().in_doubt, 0u);
         ASSERT_EQ(third_back->sent.size(), 1u);
         third_back->answer(third_back->sent.back().key);
         ASSERT_EQ(front.finals(token), 1u);
--- a/tests/core/world.h
+++ b/tests/core/world.h
@@ -43,11 +43,11 @@
         few_attempts, few_failures, rejects_unknown_tenants;
 };
 
-class World final : public Front, public Log, public Alarm, public Clock {
+class World final : public Downstream, public Log, public Alarm, public Clock {
 public:
     explicit World(std::uint32_t seed) : seed_(seed), traits_(seed), random_(seed * 2654435761U + 1) {
         Options options;
-        options.own_limit = ms(700);
+        options.default_timeout = ms(700);
         options.in_doubt_retention = ms(300);
         options.max_in_doubt = 4;
         if (traits_.open_limit) options.open_calls = 12;
@@ -104,7 +104,7 @@
         Phase phase = Phase::connecting;
         Outcome planned_outcome = Outcome::ok;
         bool fully_sent = false;
-        bool cancelled = false;  // the back was told to cancel it; it ends now or later
+        bool cancelled = false;  // the connection pool was told to cancel it; it ends now or later
         bool executed = false;
         bool not_executed = false;  // and never will be: its end was reported as such
         std::optional<Outcome> reported;
@@ -127,8 +127,8 @@
         std::vector<std::size_t> attempts;  // indices into attempts_
 
         bool retry_is_harmless() const {
-            return class_settings.effect == Effect::safe ||
-                   (class_settings.effect == Effect::keyed && class_settings.group == Group::all);
+            return class_settings.effect == Effect::safe || (class_settings.effect == Effect::keyed &&
+                                                             class_settings.group == DeduplicationScope::all);
         }
     };
     struct Listed {
@@ -146,8 +146,9 @@
         NoticeKind kind = NoticeKind::ready;
     };
 
-    // A pool with its back and source. Retained after its removal, to detect calls that come after it.
-    struct PoolModel final : Back, Source {
+    // A pool with its connection pool and source. Retained after its removal, to detect calls that come after
+    // it.
+    struct PoolModel final : UpstreamConnectionPool, Source {
         PoolModel(World& owner, std::uint32_t pool_slot) : world(owner), slot(pool_slot) {}
         void set_upstream(UpstreamId upstream, const std::string& address, bool takes_work) override {
             world.port("set", upstream, takes_work, *this);
@@ -181,7 +182,7 @@
         bool gone = false;                 // remove_pool has returned
         bool changed = false;              // its settings were changed
         bool order_unknown = false;        // its last lists may have been handled before or after its removal
-        std::map<UpstreamId, Link> links;  // as reported to its back
+        std::map<UpstreamId, Link> links;  // as reported to its connection pool
         std::map<UpstreamId, Listed> listed;  // according to its lists
         std::uint64_t version = 0;
     };
@@ -248,7 +249,7 @@
         port("started", token, 0);
     }
 
-    void on_final(std::uint64_t token, Final answer) override {
+    void on_final(std::uint64_t token, FinalAnswer answer) override {
         CallModel& call = *calls_.at(token);
         ++call.finals;
         EXPECT_FALSE(call.ended) << "second end of call " << token;
@@ -258,7 +259,7 @@
         ++outcomes[text_of(answer.cause)];
         if (!traits_.throws) {
             EXPECT_NE(answer.cause, Cause::fault);
-            EXPECT_NE(answer.cause, Cause::overdue);
+            EXPECT_NE(answer.cause, Cause::watchdog);
         }
         // Answers are exactly on time where alarms are served on time.
         if (call.started < 0 && !traits_.slow_ports && !traits_.throws) {
@@ -269,7 +270,7 @@
         port("final", token, static_cast<std::uint64_t>(answer.verdict) * 2 + answer.may_have_run);
     }
 
-    void check_verdict(CallModel& call, const Final& answer) {
+    void check_verdict(CallModel& call, const FinalAnswer& answer) {
         const bool may_have_run =
             std::any_of(call.attempts.begin(), call.attempts.end(), [&](std::size_t index) {
                 return !attempts_[index].not_executed && attempts_[index].phase != Phase::connecting;
@@ -328,8 +329,8 @@
         EXPECT_EQ(call.started, -1) << "sent although the answer has begun";
         EXPECT_LE(attempt.expires, call.deadline);
         EXPECT_LT(now_, attempt.expires);
-        // A number is skipped if its attempt was never handed to the back: its time was up, the back threw,
-        // or the policy had settings that allowed one attempt more.
+        // A number is skipped if its attempt was never handed to the connection pool: its time was up, the
+        // connection pool threw, or the policy had settings that allowed one attempt more.
         const int last = call.attempts.empty() ? -1 : attempts_[call.attempts.back()].key.number;
         if (traits_.throws || traits_.slow_ports || pool.changed) {
             EXPECT_GT(attempt.key.number, last);
@@ -388,10 +389,10 @@
             EXPECT_EQ(call.class_settings.effect, Effect::keyed)
                 << "unsafe effect repeated: call " << call.token;
             EXPECT_LT(now_, earlier.sent_at + call.class_settings.window);
-            if (call.class_settings.group == Group::zone) {
+            if (call.class_settings.group == DeduplicationScope::zone) {
                 EXPECT_EQ(earlier.zone, next.zone);
             }
-            if (call.class_settings.group == Group::cell) {
+            if (call.class_settings.group == DeduplicationScope::cell) {
                 EXPECT_EQ(earlier.cell, next.cell);
             }
         }
@@ -430,7 +431,8 @@
         const std::size_t at = by_key_.at(key);
         if (attempt->cancelled) return end(at, Outcome::cancelled);
         switch (attempt->phase) {
-            case Phase::connecting: return end(at, one_in(2) ? Outcome::moot : Outcome::connect_failed);
+            case Phase::connecting:
+                return end(at, one_in(2) ? Outcome::inconclusive : Outcome::connect_failed);
             case Phase::sending: return end(at, one_in(2) ? Outcome::timeout : Outcome::connect_failed);
             case Phase::fully_sent:
                 if (attempt->planned_outcome == Outcome::ok && one_in(4)) return end(at, Outcome::ok);
@@ -475,12 +477,12 @@
                 const auto link = attempt.pool->links.find(attempt.upstream);
                 const bool open = link != attempt.pool->links.end() && link->second.takes_work &&
                                   link->second.number == attempt.link;
-                if (!open) return end(at, Outcome::moot);
+                if (!open) return end(at, Outcome::inconclusive);
                 // The cancellation may wait in the core's queue. Sockets begin no attempt within another
                 // port.
                 if (in_core_ && call.ended) return;
                 if (one_in(traits_.few_failures ? 40 : 8)) return end(at, Outcome::connect_failed);
-                if (one_in(24)) return end(at, Outcome::moot, true);
+                if (one_in(24)) return end(at, Outcome::inconclusive, true);
                 if (one_in(3)) return;
                 // For rule 3 an attempt is sent when its first byte is.
                 if (!in_core_ && !traits_.throws) {
@@ -488,7 +490,7 @@
                         << "begun at a draining upstream";
                 }
                 // The core is asked before the first byte, and nothing is sent if it declines.
-                if (!core_->on_attempt_sending(attempt.key)) return end(at, Outcome::moot);
+                if (!core_->on_attempt_sending(attempt.key)) return end(at, Outcome::inconclusive);
                 attempt.phase = Phase::sending;
                 attempt.begun_at = now_;
                 check_window(call, at);
@@ -499,17 +501,18 @@
                 attempt.phase = Phase::fully_sent;
                 attempt.fully_sent = true;
                 static constexpr std::array planned_outcomes{
-                    Outcome::ok, Outcome::ok,    Outcome::ok,   Outcome::ok,    Outcome::ok,
-                    Outcome::ok, Outcome::error, Outcome::full, Outcome::reset, Outcome::moot /* silence */};
+                    Outcome::ok,    Outcome::ok,          Outcome::ok,    Outcome::ok,
+                    Outcome::ok,    Outcome::ok,          Outcome::error, Outcome::full,
+                    Outcome::reset, Outcome::inconclusive /* silence */};
                 attempt.planned_outcome = planned_outcomes[below(planned_outcomes.size())];
-                if (traits_.few_failures && attempt.planned_outcome != Outcome::moot)
+                if (traits_.few_failures && attempt.planned_outcome != Outcome::inconclusive)
                     attempt.planned_outcome = Outcome::ok;
                 const bool sure = attempt.planned_outcome == Outcome::ok;
                 if (sure || (attempt.planned_outcome != Outcome::full && one_in(2))) run(attempt);
                 return;
             }
             case Phase::fully_sent:
-                if (attempt.planned_outcome == Outcome::moot) {
+                if (attempt.planned_outcome == Outcome::inconclusive) {
                     if (attempt.pool->gone) end(at, Outcome::timeout);
                     return;
                 }
@@ -542,7 +545,7 @@
         attempt.phase = Phase::ended;
         attempt.reported = outcome;
         attempt.not_executed = outcome == Outcome::full || outcome == Outcome::connect_failed ||
-                               outcome == Outcome::moot || own_fault ||
+                               outcome == Outcome::inconclusive || own_fault ||
                                (outcome == Outcome::cancelled && !attempt.fully_sent);
         EXPECT_FALSE(attempt.not_executed && attempt.executed) << "the model contradicts itself";
         std::erase(active_attempts_, at);
@@ -555,8 +558,8 @@
         AttemptResult result;
         result.key = attempt.key;
         result.outcome = outcome;
-        result.own_fault = own_fault;
-        result.whole = attempt.fully_sent;
+        result.local_failure = own_fault;
+        result.fully_sent = attempt.fully_sent;
         result.latency = now_ - attempt.sent_at;
         result.report = {traits_.few_failures ? 0.0F : static_cast<float>(below(3))};
         if (outcome == Outcome::ok) result.answer = std::make_unique<Ticket>(at);
@@ -596,7 +599,7 @@
         result.parallel_attempts = traits_.hedges;
         result.may_cancel = traits_.may_cancel;
         result.max_attempts = traits_.few_attempts ? 1 : 2 + static_cast<int>(below(3));
-        result.must_ask_list = traits_.must_ask_list && one_in(2);
+        result.must_request_list = traits_.must_ask_list && one_in(2);
         result.ask_within = ms(300);
         result.drain_close = one_in(2) ? ms(50) : ms(0);
         result.report_fields = {ReportField::in_flight};
@@ -658,7 +661,7 @@
 
     void change(PoolModel& pool) {
         Settings changed = make_settings();
-        changed.must_ask_list = pool.settings.must_ask_list;
+        changed.must_request_list = pool.settings.must_request_list;
         // Classes may be reordered. An open call keeps its class.
         if (follows_settings && one_in(2)) {
             std::rotate(changed.classes.begin(), changed.classes.begin() + below(5), changed.classes.end());
@@ -819,7 +822,7 @@
         Call call;
         call.pool = pool->id;
         call.class_index = one_in(60) ? static_cast<int>(count) + 3 : static_cast<int>(below(count));
-        if (one_in(2)) call.name = name_of("name ", below(one_in(2) ? 4 : 1000));
+        if (one_in(2)) call.call_id = name_of("name ", below(one_in(2) ? 4 : 1000));
         switch (below(3)) {
             case 0: break;
             case 1:
@@ -832,7 +835,7 @@
         call.key = below(4);
         if (!one_in(5)) call.budget = ms(1 + below(600));
         if (one_in(2)) call.received = now_ - ms(below(100));
-        if (!one_in(3)) call.unseen = ms(below(40));
+        if (!one_in(3)) call.network_allowance = ms(below(40));
         if (one_in(2)) call.max_answer_duration = ms(1 + below(400));
         if (one_in(8)) call.cost_hint = ms(below(20));
         if (one_in(12) && !pool->listed.empty()) {
@@ -846,49 +849,51 @@
         CallModel model;
         model.token = token;
         model.pool = pool;
-        model.name = call.name;
+        model.name = call.call_id;
         model.pinned = call.pinned;
         model.max_answer_duration = call.max_answer_duration;
-        const Micros budget = call.budget > Micros{0} ? call.budget : options_.own_limit;
+        const Micros budget = call.budget > Micros{0} ? call.budget : options_.default_timeout;
         const Time received = call.received > Time{} ? call.received : now_;
         // Without a network allowance the watchdog fires one microsecond after the deadline.
-        model.limit = received + budget + (call.unseen <= Micros{1} ? Micros{1} : Micros{0});
+        model.limit = received + budget + (call.network_allowance <= Micros{1} ? Micros{1} : Micros{0});
         model.limit = std::max(model.limit, now_);  // a call that is already too late is answered at once
-        model.deadline = received + budget - std::min(call.unseen, budget / 2);
+        model.deadline = received + budget - std::min(call.network_allowance, budget / 2);
         const bool bad_class = static_cast<std::uint32_t>(call.class_index) >= count;
         if (!bad_class)
             model.class_settings = pool->settings.classes[static_cast<std::size_t>(call.class_index)];
         const bool unknown = traits_.rejects_unknown_tenants && call.tenant.kind == Tenant::Kind::unknown &&
                              !pool->settings.tenants.empty();
-        const bool id_in_use = is_id_in_use(call.name);
-        const Taken expected = closed_         ? Taken::shutting_down
-                               : pool->removed ? Taken::no_pool
-                               : bad_class     ? Taken::bad_class
-                               : unknown       ? Taken::unknown_tenant
-                               : too_many()    ? Taken::too_many
-                               : id_in_use     ? Taken::name_open
-                                               : Taken::yes;
+        const bool id_in_use = is_id_in_use(call.call_id);
+        const AcceptResult expected = closed_         ? AcceptResult::shutting_down
+                                      : pool->removed ? AcceptResult::no_pool
+                                      : bad_class     ? AcceptResult::bad_class
+                                      : unknown       ? AcceptResult::unknown_tenant
+                                      : too_many()    ? AcceptResult::too_many
+                                      : id_in_use     ? AcceptResult::name_in_use
+                                                      : AcceptResult::accepted;
         calls_.push_back(std::make_unique<CallModel>(model));
         CallModel& added = *calls_.back();
         record_event("take", token, static_cast<std::uint64_t>(call.class_index));
         active_calls_.push_back(&added);
         CallId id = 0;
-        Taken taken = Taken::yes;
-        enter_core([&] { taken = core_->take(call, *this, token, &id); });
+        AcceptResult taken = AcceptResult::accepted;
+        enter_core([&] { taken = core_->accept_call(call, *this, token, &id); });
         ++outcomes[name_of("taken ", static_cast<std::uint64_t>(taken))];
         // Within other events, ends of attempts may still wait in the core's queue: the core lags behind the
         // model.
-        const bool core_lags = in_core_ && expected == Taken::yes && taken == Taken::name_open;
+        const bool core_lags =
+            in_core_ && expected == AcceptResult::accepted && taken == AcceptResult::name_in_use;
         // The core drops ids in doubt in the order in which it recorded them, which the model does not know
         // here.
-        const bool order_unclear = (traits_.nested || traits_.slow_ports) && !call.name.empty() &&
-                                   (expected == Taken::yes || expected == Taken::name_open) &&
-                                   (taken == Taken::yes || taken == Taken::name_open) &&
-                                   !is_open(call.name, added);
+        const bool order_unclear =
+            (traits_.nested || traits_.slow_ports) && !call.call_id.empty() &&
+            (expected == AcceptResult::accepted || expected == AcceptResult::name_in_use) &&
+            (taken == AcceptResult::accepted || taken == AcceptResult::name_in_use) &&
+            !is_open(call.call_id, added);
         if (!core_lags && !order_unclear) {
             EXPECT_EQ(taken, expected) << "call " << token;
         }
-        if (taken == Taken::yes) {
+        if (taken == AcceptResult::accepted) {
             EXPECT_TRUE(added.id == 0 || added.id == id);
             added.id = id;
 
@@ -908,7 +913,7 @@
         call.ended = true;
         record_event("leave", call.token, 0);
         bool may_have_run = false;
-        enter_core([&] { may_have_run = core_->leave(call.id); });
+        enter_core([&] { may_have_run = core_->abandon_call(call.id); });
         if (was_over) {
             EXPECT_FALSE(may_have_run);
             return;
@@ -989,7 +994,8 @@
             progress(active_attempts_[below(static_cast<std::uint32_t>(active_attempts_.size()))]);
     }
 
-    // Reports events that no back should report: of an attempt that never existed, or of one that has ended.
+    // Reports events that no connection pool should report: of an attempt that never existed, or of one that
+    // has ended.
     void report_invalid_events() {
         AttemptKey key{one_in(2) ? 0 : 1 + below(50), one_in(2) ? -1 : 100};
         if (one_in(2) && !attempts_.empty()) {
@@ -1004,7 +1010,7 @@
             result.outcome = Outcome::ok;
             core_->on_attempt_end(std::move(result));
             core_->on_list(9999, {});
-            EXPECT_FALSE(core_->leave(987654321));
+            EXPECT_FALSE(core_->abandon_call(987654321));
             core_->remove_pool(9999);
         });
     }
@@ -1056,15 +1062,16 @@
             if (call->ended || call->started >= 0 || traits_.throws || traits_.slow_ports) continue;
             EXPECT_LE(now_, call->limit) << "call " << call->token << " was left open";
         }
-        const Figures figures = core_->figures();
+        const Stats figures = core_->figures();
         const auto waiting = static_cast<std::uint64_t>(std::count_if(
             active_calls_.begin(), active_calls_.end(), [](const auto* other) { return !other->ended; }));
-        EXPECT_EQ(figures.taken, figures.served + figures.refused + figures.failed + figures.left + waiting);
-        EXPECT_LE(figures.doubts, options_.max_in_doubt);
+        EXPECT_EQ(figures.accepted,
+                  figures.served + figures.refused + figures.failed + figures.abandoned + waiting);
+        EXPECT_LE(figures.in_doubt, options_.max_in_doubt);
         EXPECT_EQ(figures.open, active_calls_.size());
         if (!traits_.throws) {
             EXPECT_EQ(figures.faults, 0u);
-            EXPECT_EQ(figures.overdue, 0u);
+            EXPECT_EQ(figures.watchdog_answers, 0u);
         }
     }
 
@@ -1116,10 +1123,10 @@
             calls_.push_back(std::make_unique<CallModel>(model));
             Call call;
             call.pool = new_pool.id;
-            call.name = name;
-            EXPECT_EQ(core_->take(call, *this, model.token, nullptr), Taken::yes) << name;
+            call.call_id = name;
+            EXPECT_EQ(core_->accept_call(call, *this, model.token, nullptr), AcceptResult::accepted) << name;
         }
-        EXPECT_EQ(closed_ || names.empty() ? 0u : core_->figures().doubts, 0u);
+        EXPECT_EQ(closed_ || names.empty() ? 0u : core_->figures().in_doubt, 0u);
         remove_pool(new_pool);
         EXPECT_EQ(core_->figures().open, 0u);
         EXPECT_EQ(core_->figures().timers, 0u);
