--- a/tests/decide_test.cpp
+++ b/tests/decide_test.cpp
@@ -9,7 +9,7 @@
 #include <set>
 #include <stdexcept>
 
-#include "rig.h"
+#include "policy_rig.h"
 
 namespace flaxdoor::test {
 namespace {
@@ -68,14 +68,14 @@
         // A request that was not executed is retried.
         {"UnsafeFull", unsafe, full, 2, not_by_balancer},
         {"UnsafeConnectFailed", unsafe, connect_failed, 2, not_by_balancer},
-        {"UnsafeMoot", unsafe, moot, 2, not_by_balancer},
+        {"UnsafeMoot", unsafe, inconclusive, 2, not_by_balancer},
         {"LastError", unsafe, error, 1, failed, one_attempt},
         {"LastTimeout", unsafe, timeout, 1, failed, one_attempt},
         {"LastReset", unsafe, reset, 1, failed, one_attempt},
         {"LastCancelled", unsafe, cancelled, 1, failed, one_attempt},
         {"LastFull", unsafe, full, 1, refused, one_attempt},
         {"LastConnectFailed", unsafe, connect_failed, 1, refused, one_attempt},
-        {"LastMoot", unsafe, moot, 1, refused, one_attempt},
+        {"LastMoot", unsafe, inconclusive, 1, refused, one_attempt},
         {"LastOfAZone", keyed_zone, error, 1, failed, one_attempt},
         {"LastOfAllUpstreams", keyed_all, error, 1, refused, one_attempt},
         {"KeyedIsNotSentAfterItsWindow", keyed_zone, error, 1, failed, short_window},
@@ -102,7 +102,7 @@
 
 TEST_P(SingleRequest, EndsAsExpected) {
     const Scenario& scenario = GetParam();
-    Rig rig(scenario.settings());
+    PolicyRig rig(scenario.settings());
     rig.fleet(3);
     const Time deadline = rig.now + scenario.left;
     const auto id = rig.request(scenario.class_index, scenario.left);
@@ -125,7 +125,7 @@
 // --- Invariant 1: one final answer, in time ---
 
 TEST(OneAnswer, NoUpstreamAtAll) {
-    Rig rig;
+    PolicyRig rig;
     const auto id = rig.request();
     rig.run(rig.now + ms(1000));
     EXPECT_EQ(rig.sink.sends(id), 0u);
@@ -133,7 +133,7 @@
 }
 
 TEST(OneAnswer, UpstreamAddedWhileARequestWaitsGetsIt) {
-    Rig rig;
+    PolicyRig rig;
     const auto id = rig.request();
     rig.fleet(2);
     rig.run(rig.now + ms(900));
@@ -141,7 +141,7 @@
 }
 
 TEST(OneAnswer, NothingIsSentAfterTheClientLeft) {
-    Rig rig;
+    PolicyRig rig;
     rig.fleet(3);
     const auto id = rig.request();
     rig.policy->on_client_gone(rig.now, id);
@@ -153,7 +153,7 @@
 }
 
 TEST(OneAnswer, RequestDeadlineApplies) {
-    Rig rig;
+    PolicyRig rig;
     rig.fleet(3);
     const auto id = rig.request(safe, ms(60));
     rig.end(id, 0, Outcome::full, ms(1));
@@ -164,8 +164,9 @@
 // --- Invariant 2: no effect twice ---
 
 TEST(NoEffectTwice, KeyedStaysInItsGroup) {
-    Rig rig;
-    rig.list(ListKind::full, {Rig::entry(1), Rig::entry(2), Rig::entry(101, 1), Rig::entry(102, 1)});
+    PolicyRig rig;
+    rig.list(ListKind::full,
+             {PolicyRig::entry(1), PolicyRig::entry(2), PolicyRig::entry(101, 1), PolicyRig::entry(102, 1)});
     for (int i = 0; i < 20; ++i) {
         const auto id = rig.request(keyed_zone);
         ASSERT_EQ(rig.sink.sends(id), 1u);
@@ -186,12 +187,12 @@
 // An attempt executed in the zone where the upstream was then, wherever the upstream has moved since.
 TEST(NoEffectTwice, MovedUpstreamLeavesItsAttemptsInTheOldGroup) {
     for (const int class_index : {static_cast<int>(keyed_zone), static_cast<int>(keyed_cell)}) {
-        Rig rig;
-        rig.list(ListKind::full, {Rig::entry(1, 0, UpstreamState::ready, Time{}, 7)});
+        PolicyRig rig;
+        rig.list(ListKind::full, {PolicyRig::entry(1, 0, UpstreamState::ready, Time{}, 7)});
         const auto id = rig.request(class_index);
         ASSERT_EQ(rig.sink.sends(id), 1u);
-        rig.list(ListKind::full, {Rig::entry(1, 1, UpstreamState::ready, Time{}, 8),
-                                  Rig::entry(2, 1, UpstreamState::ready, Time{}, 8)});
+        rig.list(ListKind::full, {PolicyRig::entry(1, 1, UpstreamState::ready, Time{}, 8),
+                                  PolicyRig::entry(2, 1, UpstreamState::ready, Time{}, 8)});
         rig.end(id, 0, Outcome::reset, ms(1));
         rig.run(rig.now + ms(1000));
         EXPECT_EQ(rig.sink.sends(id), 1u) << "repeated where no upstream drops repeats";
@@ -199,9 +200,9 @@
 }
 
 TEST(NoEffectTwice, KeyedCellDiffersFromZone) {
-    Rig rig;
-    rig.list(ListKind::full, {Rig::entry(1, 0, UpstreamState::ready, Time{}, 7),
-                              Rig::entry(2, 0, UpstreamState::ready, Time{}, 8)});
+    PolicyRig rig;
+    rig.list(ListKind::full, {PolicyRig::entry(1, 0, UpstreamState::ready, Time{}, 7),
+                              PolicyRig::entry(2, 0, UpstreamState::ready, Time{}, 8)});
     const auto id = rig.request(keyed_cell);
     ASSERT_EQ(rig.sink.sends(id), 1u);
     rig.end(id, 0, Outcome::error, ms(1));
@@ -213,13 +214,13 @@
 // --- Invariant 3: no new work for draining upstreams; invariant 5: idle connections are closed ---
 
 TEST(Drains, NothingNewToADrainingGoneOrUnlistedUpstream) {
-    Rig rig;
+    PolicyRig rig;
     rig.fleet(4);
     rig.list(ListKind::delta,
-             {Rig::entry(1, 0, UpstreamState::draining), Rig::entry(2, 0, UpstreamState::gone)});
+             {PolicyRig::entry(1, 0, UpstreamState::draining), PolicyRig::entry(2, 0, UpstreamState::gone)});
     for (int i = 0; i < 40; ++i) rig.served();
     EXPECT_EQ(rig.sink.sends_to(1) + rig.sink.sends_to(2), 0u);
-    rig.list(ListKind::full, {Rig::entry(4)});
+    rig.list(ListKind::full, {PolicyRig::entry(4)});
     const auto before = rig.sink.sends_to(3);
     for (int i = 0; i < 40; ++i) rig.served();
     EXPECT_EQ(rig.sink.sends_to(3), before);
@@ -231,7 +232,7 @@
 TEST(Drains, ConnectionsAreClosedWhenIdle) {
     Settings settings = plain_settings();
     settings.drain_close = ms(800);
-    Rig rig(settings);
+    PolicyRig rig(settings);
     rig.fleet(1);
     rig.served();
     const auto in_flight = rig.wave(safe, 2);  // with one upstream, a hedge has nowhere to go
@@ -246,7 +247,7 @@
     rig.end(in_flight[1], 0, Outcome::error);
     EXPECT_EQ(rig.sink.closed, (std::vector<UpstreamId>{1, 1, 1}));
     // A repeated notice: no connection is left.
-    rig.list(ListKind::full, {Rig::entry(1, 0, UpstreamState::draining)});
+    rig.list(ListKind::full, {PolicyRig::entry(1, 0, UpstreamState::draining)});
     rig.list(ListKind::full, {});
     EXPECT_EQ(rig.sink.closed.size(), 3u);
 }
@@ -255,7 +256,7 @@
     for (const bool rule_applies : {false, true}) {
         Settings settings = plain_settings();
         settings.drain_close = rule_applies ? ms(800) : ms(0);
-        Rig rig(settings);
+        PolicyRig rig(settings);
         rig.fleet(rule_applies ? 0 : 2);
         rig.served();
         rig.drain({1});
@@ -264,7 +265,7 @@
 }
 
 TEST(Drains, RetriesAvoidDrainingUpstreams) {
-    Rig rig;
+    PolicyRig rig;
     rig.fleet(3);
     const auto id = rig.request();
     const auto first = rig.sink.submits[0].upstream;
@@ -281,12 +282,12 @@
     Time last{};
     for (int rank = 0; rank < 3; ++rank) {
         Settings settings = plain_settings();
-        settings.must_ask_list = true;
+        settings.must_request_list = true;
         settings.ask_within = std::chrono::seconds(10);
         settings.balancers = 3;
         settings.rank = rank;
-        Rig rig(settings);
-        rig.list(ListKind::cached, {Rig::entry(1)});
+        PolicyRig rig(settings);
+        rig.list(ListKind::cached, {PolicyRig::entry(1)});
         ASSERT_EQ(rig.sink.timers.size(), 2u);  // the first stall check and the list request
         if (rank > 0) {
             EXPECT_GT(rig.sink.timers[1].first, last);
@@ -303,10 +304,10 @@
     for (const int within : {2, 10, 60}) {
         SCOPED_TRACE(within);
         Settings settings = plain_settings();
-        settings.must_ask_list = true;
+        settings.must_request_list = true;
         settings.ask_within = std::chrono::seconds(within);
-        Rig rig(settings);
-        rig.list(ListKind::cached, {Rig::entry(1)});
+        PolicyRig rig(settings);
+        rig.list(ListKind::cached, {PolicyRig::entry(1)});
         rig.run(rig.now);
         std::vector<Time> delays;
         for (int i = 0; i < 8; ++i) {
@@ -322,7 +323,7 @@
         if (within <= 10) {
             EXPECT_GT(delays[7], delays[0]);
         }
-        rig.list(ListKind::full, {Rig::entry(1)});  // subscribed: no further requests
+        rig.list(ListKind::full, {PolicyRig::entry(1)});  // subscribed: no further requests
         const int before = rig.sink.watches;
         rig.run(rig.now + std::chrono::seconds(60));
         EXPECT_EQ(rig.sink.watches, before);
@@ -330,7 +331,7 @@
 }
 
 TEST(UpstreamList, PushedListsAreNeverRequested) {
-    Rig rig;
+    PolicyRig rig;
     rig.fleet(2);
     rig.list(ListKind::failed, {});
     rig.run(rig.now + std::chrono::seconds(60));
@@ -340,7 +341,7 @@
 // --- Invariant 4: cold upstreams ---
 
 TEST(SlowStart, ARestartedUpstreamGetsLittleAtFirst) {
-    Rig rig;
+    PolicyRig rig;
     rig.fleet(4);
     for (int i = 0; i < 400; ++i) rig.served();
     rig.restart(1);
@@ -363,7 +364,7 @@
     settings.balancers = 200;
     std::size_t cold = 0, warm = 0;
     for (settings.rank = 0; settings.rank < settings.balancers; ++settings.rank) {
-        Rig rig(settings, static_cast<std::uint64_t>(settings.rank) + 1);
+        PolicyRig rig(settings, static_cast<std::uint64_t>(settings.rank) + 1);
         rig.fleet(4);
         const auto traffic = [&](int count) {
             for (int i = 0; i < count; ++i) {
@@ -397,7 +398,7 @@
 TEST(SlowStart, BalancerOfASubsetMeasuresItsRateOverAllUpstreams) {
     Settings settings = plain_settings();
     settings.balancers = 40;
-    Rig rig(settings);
+    PolicyRig rig(settings);
     rig.fleet(40);
     for (int i = 0; i < 400; ++i) rig.served(safe, ms(20));
     std::set<UpstreamId> used;
@@ -405,7 +406,7 @@
     ASSERT_LT(used.size(), 20u);
     std::vector<UpstreamEntry> cold;
     for (UpstreamId upstream = 41; upstream <= 80; ++upstream)
-        cold.push_back(Rig::entry(upstream, 0, UpstreamState::ready, rig.now));
+        cold.push_back(PolicyRig::entry(upstream, 0, UpstreamState::ready, rig.now));
     rig.list(ListKind::delta, cold);
     const auto before = rig.sink.submits.size();
     for (int i = 0; i < 100; ++i) rig.served(safe, ms(20));
@@ -419,10 +420,10 @@
 }
 
 TEST(SlowStart, ColdFleetIsNotOverloaded) {
-    Rig rig;
+    PolicyRig rig;
     std::vector<UpstreamEntry> entries;
     for (UpstreamId upstream = 1; upstream <= 3; ++upstream)
-        entries.push_back(Rig::entry(upstream, 0, UpstreamState::ready, rig.now));
+        entries.push_back(PolicyRig::entry(upstream, 0, UpstreamState::ready, rig.now));
     rig.list(ListKind::full, entries);
     for (int i = 0; i < 100; ++i) rig.request(safe);
     EXPECT_LE(rig.sink.submits.size(), 3u);
@@ -434,8 +435,9 @@
 }
 
 TEST(SlowStart, CachedListSpreadsRequestsOverAllZones) {
-    Rig rig;
-    rig.list(ListKind::cached, {Rig::entry(1), Rig::entry(2), Rig::entry(101, 1), Rig::entry(102, 1)});
+    PolicyRig rig;
+    rig.list(ListKind::cached,
+             {PolicyRig::entry(1), PolicyRig::entry(2), PolicyRig::entry(101, 1), PolicyRig::entry(102, 1)});
     for (int i = 0; i < 60; ++i) rig.served();
     EXPECT_GT(rig.sink.sends_to(101) + rig.sink.sends_to(102), 15u);
     rig.fleet(2, 2);
@@ -449,7 +451,7 @@
 // be refused.
 TEST(SlowStart, ReinstatedColdOnlyAfterAFailedProbeRequest) {
     const auto sent_after = [](Outcome outcome, int failures) {
-        Rig rig;
+        PolicyRig rig;
         rig.fleet(2);
         for (int i = 0; i < 200; ++i) rig.served();
         // Upstream 1 is ejected, and some probe requests to it fail.
@@ -488,13 +490,13 @@
 struct SharingPolicies {
     SharingPolicies(std::size_t count, bool shared) {
         for (std::size_t index = 0; index < count; ++index)
-            rigs.push_back(std::make_unique<Rig>(one_zone_settings(), index + 1));
-        for (auto& bucket : buckets) bucket = shared ? std::make_shared<ColdAccount>() : nullptr;
+            rigs.push_back(std::make_unique<PolicyRig>(one_zone_settings(), index + 1));
+        for (auto& bucket : buckets) bucket = shared ? std::make_shared<SlowStartBucket>() : nullptr;
         for (auto& rig : rigs) rig->list(ListKind::full, {entry(1), entry(2), entry(3)});
     }
     UpstreamEntry entry(UpstreamId id, Time started_at = Time{}) const {
-        UpstreamEntry result = Rig::entry(id, 0, UpstreamState::ready, started_at);
-        result.cold = buckets[id - 1];
+        UpstreamEntry result = PolicyRig::entry(id, 0, UpstreamState::ready, started_at);
+        result.slow_start = buckets[id - 1];
         return result;
     }
     // Sends one request of each Policy to the upstream, answered after 5 ms. Returns how many were sent.
@@ -514,10 +516,10 @@
         for (int i = 0; i < count; ++i) sent += send_round(to);
         return sent;
     }
-    void restart(Rig& rig, Time at) { rig.list(ListKind::delta, {entry(1, at)}); }
+    void restart(PolicyRig& rig, Time at) { rig.list(ListKind::delta, {entry(1, at)}); }
 
-    std::vector<std::unique_ptr<Rig>> rigs;
-    std::array<std::shared_ptr<ColdAccount>, 3> buckets;
+    std::vector<std::unique_ptr<PolicyRig>> rigs;
+    std::array<std::shared_ptr<SlowStartBucket>, 3> buckets;
 };
 
 TEST(SharedSlowStart, PoliciesThatShareItSendTogetherWhatOneMay) {
@@ -551,35 +553,35 @@
     SharingPolicies policies(4, true);
     policies.send_rounds(2, 100);
     const Time at = policies.rigs[0]->now;
-    ColdAccount& bucket = *policies.buckets[0];
+    SlowStartBucket& bucket = *policies.buckets[0];
     policies.restart(*policies.rigs[0], at);
-    EXPECT_EQ(bucket.since, at);
+    EXPECT_EQ(bucket.cold_start_at, at);
     bucket.tokens = -3;
     policies.restart(*policies.rigs[1], at);
     EXPECT_EQ(bucket.tokens, -3);  // spent tokens stay spent
     bucket.tokens = 5;
     policies.restart(*policies.rigs[2], at - ms(1));  // an earlier start does not replace this one
     EXPECT_LT(bucket.tokens, 1);                      // saved tokens are not kept
-    EXPECT_EQ(bucket.since, at);
+    EXPECT_EQ(bucket.cold_start_at, at);
     bucket.tokens = -3;
     // A new process starts with a part of a token of its own.
     policies.restart(*policies.rigs[3], at + ms(1));
     EXPECT_GE(bucket.tokens, 0);
     EXPECT_LT(bucket.tokens, 1);
-    EXPECT_EQ(bucket.since, at + ms(1));
+    EXPECT_EQ(bucket.cold_start_at, at + ms(1));
 }
 
 TEST(SharedSlowStart, LaterEntryMayReplaceIt) {
     SharingPolicies policies(1, false);
-    Rig& rig = *policies.rigs[0];
+    PolicyRig& rig = *policies.rigs[0];
     policies.send_rounds(2, 200);
     policies.restart(rig, rig.now);
-    policies.buckets[0] = std::make_shared<ColdAccount>();
+    policies.buckets[0] = std::make_shared<SlowStartBucket>();
     policies.restart(rig, rig.now);  // the same start: the known cold start is kept
-    EXPECT_GT(policies.buckets[0]->since, Time{});
+    EXPECT_GT(policies.buckets[0]->cold_start_at, Time{});
     EXPECT_LE(policies.send_rounds(1, 100), 12u);
-    const auto first = std::exchange(policies.buckets[0], std::make_shared<ColdAccount>());
-    policies.buckets[0]->since = rig.now + ms(1);  // another Policy has learned of a later start
+    const auto first = std::exchange(policies.buckets[0], std::make_shared<SlowStartBucket>());
+    policies.buckets[0]->cold_start_at = rig.now + ms(1);  // another Policy has learned of a later start
     policies.restart(rig, rig.now);
     const auto tokens = first->tokens;
     policies.send_rounds(1, 100);
@@ -592,7 +594,7 @@
 // --- Originals and retries ---
 
 TEST(Originals, StayInTheZoneAndSpreadOverIt) {
-    Rig rig;
+    PolicyRig rig;
     rig.fleet(4, 4);
     for (int i = 0; i < 100; ++i) rig.served();
     for (UpstreamId upstream = 1; upstream <= 4; ++upstream) EXPECT_GT(rig.sink.sends_to(upstream), 8u);
@@ -600,7 +602,7 @@
 }
 
 TEST(Originals, FewerOwnAttemptsInFlightWins) {
-    Rig rig;
+    PolicyRig rig;
     rig.fleet(2);  // the pair is always the same two
     for (int i = 0; i < 4; ++i) rig.request(unsafe);
     EXPECT_EQ(rig.sink.sends_to(1), 2u);
@@ -610,7 +612,7 @@
 // With many balancers hardly any has attempts of its own in flight, so slow upstreams would get as much as
 // fast ones.
 TEST(Originals, EqualPairPrefersTheRecentlyFasterUpstream) {
-    Rig rig;
+    PolicyRig rig;
     rig.fleet(2);  // the pair is always the same two
     const auto send_one = [&](Micros slow) {
         const auto id = rig.request(unsafe);
@@ -634,7 +636,7 @@
 
 // A rejection is quick, but costs the request a back-off.
 TEST(Originals, EqualPairPrefersFewerRejectionsToLowerLatency) {
-    Rig rig;
+    PolicyRig rig;
     rig.fleet(2);
     int first_count = 0, total = 0;
     for (int i = 0; i < 400; ++i) {
@@ -653,7 +655,7 @@
 
 // A minimal advantage must not draw all requests to one of two nearly equal upstreams.
 TEST(Originals, NearlyEqualPairIsDecidedByChance) {
-    Rig rig;
+    PolicyRig rig;
     rig.fleet(2);
     int slower = 0;
     for (int i = 0; i < 300; ++i) {
@@ -667,7 +669,7 @@
 }
 
 TEST(Originals, SpillWhenUnderHalfOfTheZoneIsReady) {
-    Rig rig;
+    PolicyRig rig;
     rig.fleet(4, 2);
     rig.drain({1, 2, 3});
     for (int i = 0; i < 40; ++i) rig.served();
@@ -677,12 +679,12 @@
 // A rolling release restarts most of a zone. An upstream in slow start counts as usable even without tokens,
 // and the draining upstream that it replaces does not count as missing.
 TEST(Originals, NoSpillDuringARelease) {
-    Rig rig;
+    PolicyRig rig;
     rig.fleet(4, 2);
     for (int i = 0; i < 200; ++i) rig.served();
-    rig.list(ListKind::delta, {Rig::entry(5, 0, UpstreamState::ready, rig.now),
-                               Rig::entry(6, 0, UpstreamState::ready, rig.now),
-                               Rig::entry(7, 0, UpstreamState::ready, rig.now)});
+    rig.list(ListKind::delta, {PolicyRig::entry(5, 0, UpstreamState::ready, rig.now),
+                               PolicyRig::entry(6, 0, UpstreamState::ready, rig.now),
+                               PolicyRig::entry(7, 0, UpstreamState::ready, rig.now)});
     for (int i = 0; i < 50; ++i) rig.served();
     rig.drain({1, 2, 3});
     for (int i = 0; i < 50; ++i) rig.served();
@@ -691,14 +693,14 @@
 }
 
 TEST(Originals, SpillWhenEveryUpstreamOfTheZoneIsSlow) {
-    Rig rig;
+    PolicyRig rig;
     rig.fleet(2, 2);
     for (int i = 0; i < 60; ++i) rig.served(unsafe, ms(300));
     EXPECT_GT(rig.sink.sends_to(101) + rig.sink.sends_to(102), 5u);
 }
 
 TEST(Originals, SpillWhenTheZoneIsKnownToBeFull) {
-    Rig rig;
+    PolicyRig rig;
     rig.fleet(1, 1);
     const auto running = rig.request(unsafe);
     const auto rejected = rig.request(unsafe);
@@ -714,7 +716,7 @@
     settings.balancers = 40;
     std::vector<int> users(41);
     for (settings.rank = 0; settings.rank < settings.balancers; ++settings.rank) {
-        Rig rig(settings, static_cast<std::uint64_t>(settings.rank) + 1);
+        PolicyRig rig(settings, static_cast<std::uint64_t>(settings.rank) + 1);
         rig.fleet(40);
         for (int i = 0; i < 60; ++i) {
             rig.served();
@@ -737,7 +739,7 @@
     Settings settings = plain_settings();
     settings.balancers = 40;
     settings.warm_keys = true;
-    Rig rig(settings);
+    PolicyRig rig(settings);
     rig.fleet(40);
     std::set<UpstreamId> used;
     for (std::uint64_t key = 1; key < 100; ++key) {
@@ -751,7 +753,7 @@
 }
 
 TEST(Originals, BusyBalancerUsesTheWholeZone) {
-    Rig rig;
+    PolicyRig rig;
     rig.fleet(12);
     for (int i = 0; i < 400; ++i) rig.served(safe, ms(2));
     for (UpstreamId upstream = 1; upstream <= 12; ++upstream)
@@ -761,7 +763,7 @@
 TEST(Originals, SubsetWithFailedUpstreamsIsFilledFromTheRestOfTheZone) {
     Settings settings = plain_settings();
     settings.balancers = 40;
-    Rig rig(settings);
+    PolicyRig rig(settings);
     rig.fleet(12, 12);
     std::set<UpstreamId> failed;
     for (int i = 0; i < 60; ++i) {
@@ -784,9 +786,9 @@
 TEST(Originals, KeysChooseTheirPairWhereWarmKeysSaveWork) {
     Settings settings = plain_settings();
     settings.warm_keys = true;
-    Rig rig(settings), other(settings, 2);
+    PolicyRig rig(settings), other(settings, 2);
     std::set<UpstreamId> used;
-    for (Rig* balancer : {&rig, &other}) {  // the same at every balancer
+    for (PolicyRig* balancer : {&rig, &other}) {  // the same at every balancer
         balancer->fleet(8);
         for (int i = 0; i < 50; ++i) {
             const auto id = balancer->request(safe, ms(1000), 4711);
@@ -805,7 +807,7 @@
 }
 
 TEST(Retries, RejectedRequestIsRetriedAtOnceAndThenBacksOff) {
-    Rig rig;
+    PolicyRig rig;
     rig.fleet(6);
     const auto id = rig.request(unsafe);
     rig.now += ms(1);
@@ -823,7 +825,7 @@
 }
 
 TEST(Retries, EarlyFailuresWaitForADoublingBackoff) {
-    Rig rig;
+    PolicyRig rig;
     rig.fleet(6);
     const Time start = rig.now;
     const auto id = rig.request(safe);
@@ -842,7 +844,7 @@
 
 TEST(Retries, GoToAnUpstreamThatHasNotJustFailed) {
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-        Rig rig(plain_settings(), seed);
+        PolicyRig rig(plain_settings(), seed);
         rig.fleet(2);
         const auto id = rig.request(safe);
         rig.end(id, 0, Outcome::error, ms(1));
@@ -853,7 +855,7 @@
 }
 
 TEST(Retries, TheAttemptLimitHolds) {
-    Rig rig;
+    PolicyRig rig;
     rig.fleet(6);
     const auto id = rig.request(safe, std::chrono::seconds(100));
     for (int attempt = 0; attempt < 10; ++attempt) {
@@ -867,7 +869,7 @@
 TEST(Retries, HedgeOfAnOverdueRequestLeavesTheFirstRunning) {
     Settings settings = plain_settings();
     settings.report_fields = {ReportField::in_flight};
-    Rig rig(settings);
+    PolicyRig rig(settings);
     rig.fleet(3);
     const auto id = rig.request(safe);
     rig.run(rig.now + ms(60));
@@ -885,7 +887,7 @@
 
 // A lack of recent delay samples must not count as an idle upstream.
 TEST(Retries, NoHedgeGoesToAnUpstreamWithoutRecentAnswers) {
-    Rig rig;
+    PolicyRig rig;
     rig.fleet(3);
     const auto id = rig.request(safe);
     rig.run(rig.now + ms(900));
@@ -899,7 +901,7 @@
 TEST(Retries, HedgeNeedsFarLessDelayThanARetry) {
     int hedges = 0, retries = 0;
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-        Rig rig(plain_settings(), seed);
+        PolicyRig rig(plain_settings(), seed);
         rig.fleet(3);
         for (int i = 0; i < 60; ++i) rig.served(safe, ms(10));  // retry timeout 25 ms, delay 10 ms everywhere
         const auto id = rig.request(safe);
@@ -914,7 +916,7 @@
 }
 
 TEST(Retries, NoneIsAdmittedWhileEveryUpstreamIsSlow) {
-    Rig rig;
+    PolicyRig rig;
     rig.fleet(3);
     std::vector<RequestId> ids;
     for (int i = 0; i < 60; ++i) {  // latency far above the retry timeout everywhere
@@ -933,7 +935,7 @@
 // --- Outlier ejection ---
 
 TEST(OutlierEjection, FailedConnectionsEjectAndOneProbeRequestFollows) {
-    Rig rig;
+    PolicyRig rig;
     rig.fleet(4);
     EXPECT_LE(rig.serve_all_except(1, 60, Outcome::connect_failed), 3);
     rig.now += std::chrono::seconds(5);
@@ -943,8 +945,8 @@
 }
 
 TEST(OutlierEjection, ProbeRequestsReachOtherZones) {
-    Rig rig;
-    rig.list(ListKind::cached, {Rig::entry(1), Rig::entry(101, 1)});
+    PolicyRig rig;
+    rig.list(ListKind::cached, {PolicyRig::entry(1), PolicyRig::entry(101, 1)});
     rig.serve_all_except(101, 60, Outcome::connect_failed);
     rig.fleet(1, 1);
     rig.now += std::chrono::seconds(5);
@@ -956,7 +958,7 @@
 TEST(OutlierEjection, ProbesReinstateWhereTheyAreAllowed) {
     Settings settings = plain_settings();
     settings.may_probe = true;
-    Rig rig(settings);
+    PolicyRig rig(settings);
     rig.fleet(2);
     rig.serve_all_except(1, 30, Outcome::connect_failed);
     rig.now += std::chrono::seconds(5);
@@ -972,18 +974,18 @@
 }
 
 TEST(OutlierEjection, UpstreamThatRejectsEverythingIsEjected) {
-    Rig rig;
+    PolicyRig rig;
     rig.fleet(4);
     EXPECT_LE(rig.serve_all_except(1, 200, Outcome::full, ms(1)), 6);
 }
 
 // Sends waves until the upstreams are known to take several requests at once.
-void send_waves(Rig& rig) {
+void send_waves(PolicyRig& rig) {
     for (int round = 0; round < 40; ++round) rig.served_wave(unsafe, 24, ms(4));
 }
 
 TEST(OutlierEjection, SilentUpstreamGetsNoRequests) {
-    Rig rig;
+    PolicyRig rig;
     rig.fleet(3);
     send_waves(rig);
     std::vector<RequestId> others;  // upstream 1 answers nothing more; the others hold about as many
@@ -1003,7 +1005,7 @@
 
 // The answers to other classes must not hide that an upstream fails one class.
 TEST(OutlierEjection, UpstreamThatFailsOneClassIsEjectedForThatClassOnly) {
-    Rig rig;
+    PolicyRig rig;
     rig.fleet(4);
     const auto serve = [&](int class_index) {
         const auto id = rig.request(class_index);
@@ -1033,7 +1035,7 @@
     // Returns how often connections were closed before an old one was used, and before a young one, in 20
     // rounds.
     const auto closes = [](Outcome old, Outcome young) {
-        Rig rig;
+        PolicyRig rig;
         rig.fleet(1);
         for (int i = 0; i < 80; ++i) rig.served();
         std::pair<std::size_t, std::size_t> counts;
@@ -1063,7 +1065,7 @@
 // If new connections suddenly fail, each failure would make requests open another new connection elsewhere.
 TEST(Connections, WhileNewOnesFailRequestsStayWhereOneIsOpen) {
     const auto new_upstreams = [](bool failing) {
-        Rig rig;
+        PolicyRig rig;
         rig.fleet(3);
         for (int i = 0; i < 100; ++i) rig.served(safe, ms(2));
         rig.add_upstreams(4, 12);
@@ -1089,22 +1091,22 @@
 TEST(InconclusiveOutcome, LeavesNoConnectionToClose) {
     Settings settings = plain_settings();
     settings.drain_close = ms(800);
-    Rig rig(settings);
+    PolicyRig rig(settings);
     rig.fleet(1);
     const auto ids = rig.wave(unsafe, 2);
     ASSERT_EQ(ids.size(), 2u);
-    for (const auto id : ids) rig.end(id, 0, Outcome::moot, ms(1));
+    for (const auto id : ids) rig.end(id, 0, Outcome::inconclusive, ms(1));
     rig.drain({1});
     EXPECT_TRUE(rig.sink.closed.empty());
 }
 
 TEST(InconclusiveOutcome, DoesNotHideThatNewConnectionsFail) {
-    Rig rig;
+    PolicyRig rig;
     rig.fleet(3);
     for (int i = 0; i < 100; ++i) rig.served(safe, ms(2));
     rig.add_upstreams(4, 40);
     rig.end_one_on_each(4, 9, Outcome::connect_failed);
-    rig.end_one_on_each(10, 40, Outcome::moot);
+    rig.end_one_on_each(10, 40, Outcome::inconclusive);
     for (int i = 0; i < 30; ++i) {
         const auto id = rig.request(unsafe);
         EXPECT_LE(rig.sink.submits.back().upstream, 3u);  // requests stay where a connection is open
@@ -1113,14 +1115,14 @@
 }
 
 TEST(InconclusiveOutcome, DoesNotMarkAFailedConnectionAsOpen) {
-    Rig rig;
+    PolicyRig rig;
     rig.fleet(4);
     for (int i = 0; i < 200; ++i) rig.served(safe, ms(2));
     rig.add_upstreams(5, 12);
     rig.end_one_on_each(5, 12, Outcome::connect_failed);
     const auto failing = rig.pinned(1, unsafe), inconclusive = rig.pinned(1, unsafe);
     rig.end(failing, 0, Outcome::connect_failed, ms(1));
-    rig.end(inconclusive, 0, Outcome::moot, ms(1));
+    rig.end(inconclusive, 0, Outcome::inconclusive, ms(1));
     rig.policy->on_client_gone(rig.now, failing);
     rig.policy->on_client_gone(rig.now, inconclusive);
     const auto before = rig.sink.sends_to(1);
@@ -1130,7 +1132,7 @@
 
 TEST(InconclusiveOutcome, DoesNotResetTheAgeOfAnIdleConnection) {
     const auto closed_before_send = [](bool inconclusive) {
-        Rig rig;
+        PolicyRig rig;
         rig.fleet(1);
         for (int i = 0; i < 80; ++i) rig.served();
         const auto send_after = [&](Micros pause, Outcome outcome) {
@@ -1146,7 +1148,7 @@
         for (int i = 0; i < 30; ++i) {
             send_after(ms(2), Outcome::ok);
             rig.run(rig.now + ms(290));
-            if (inconclusive) send_after(ms(2), Outcome::moot);
+            if (inconclusive) send_after(ms(2), Outcome::inconclusive);
             closed += send_after(ms(2), Outcome::timeout);  // old ones get no answer
         }
         return closed;
@@ -1156,7 +1158,7 @@
 }
 
 TEST(InconclusiveOutcome, DoesNotMakeAFullUpstreamSeemFree) {
-    Rig rig;
+    PolicyRig rig;
     rig.fleet(1);
     for (int i = 0; i < 60; ++i) rig.served_wave(unsafe, 1, ms(66));  // hardly any time left within the aim
     const auto sent = [&](Outcome outcome) {
@@ -1167,13 +1169,13 @@
         return true;
     };
     ASSERT_TRUE(sent(Outcome::full) && sent(Outcome::full));
-    for (int i = 0; i < 10; ++i) ASSERT_TRUE(sent(Outcome::moot));
+    for (int i = 0; i < 10; ++i) ASSERT_TRUE(sent(Outcome::inconclusive));
     ASSERT_TRUE(sent(Outcome::full));
     EXPECT_FALSE(sent(Outcome::ok));  // a rejection would miss the aim
 }
 
 TEST(OutlierEjection, SilentFleetStillGetsRequests) {
-    Rig rig;
+    PolicyRig rig;
     rig.fleet(4);
     send_waves(rig);
     for (int i = 0; i < 8; ++i) rig.request(unsafe);
@@ -1185,7 +1187,7 @@
 // --- Pinned requests ---
 
 // Returns the upstreams that got attempts of the request.
-std::set<UpstreamId> upstreams_of(const Rig& rig, RequestId id) {
+std::set<UpstreamId> upstreams_of(const PolicyRig& rig, RequestId id) {
     std::set<UpstreamId> to;
     for (const auto& sent : rig.sink.submits) {
         if (sent.request == id) to.insert(sent.upstream);
@@ -1196,7 +1198,7 @@
 TEST(Pinned, GoesOnlyToItsUpstreamInAnyZone) {
     for (const UpstreamId to : {3, 102}) {
         for (const auto outcome : {Outcome::ok, Outcome::error, Outcome::full, Outcome::connect_failed}) {
-            Rig rig;
+            PolicyRig rig;
             rig.fleet(6, 4);
             for (int i = 0; i < 60; ++i) rig.served();
             const auto id = rig.pinned(to);
@@ -1210,11 +1212,11 @@
 }
 
 TEST(Pinned, IsRefusedAtOnceIfItsUpstreamIsUnlistedDrainingOrGone) {
-    Rig rig;
+    PolicyRig rig;
     rig.fleet(4);
     for (int i = 0; i < 100; ++i) rig.served(unsafe, ms(4));  // a back-off would fit within the aim
     rig.list(ListKind::delta,
-             {Rig::entry(1, 0, UpstreamState::draining), Rig::entry(2, 0, UpstreamState::gone)});
+             {PolicyRig::entry(1, 0, UpstreamState::draining), PolicyRig::entry(2, 0, UpstreamState::gone)});
     for (const UpstreamId to : {1, 2, 77}) {
         const auto id = rig.pinned(to, unsafe);
         EXPECT_EQ(rig.sink.sends(id), 0u);
@@ -1224,7 +1226,7 @@
 }
 
 TEST(Pinned, WaitsForABackoffAfterARejection) {
-    Rig rig;
+    PolicyRig rig;
     rig.fleet(6);
     for (int i = 0; i < 100; ++i) rig.served(unsafe, ms(4));
     const auto id = rig.pinned(3, unsafe);
@@ -1236,7 +1238,7 @@
 }
 
 TEST(Pinned, HasNoEffectTwice) {
-    Rig rig;
+    PolicyRig rig;
     rig.fleet(3);
     const auto id = rig.pinned(2, unsafe);
     rig.end(id, 0, Outcome::reset, ms(1));
@@ -1248,7 +1250,7 @@
 // A fleet that looks unhealthy as a whole still gets ordinary requests. A pinned request waits for its own
 // upstream.
 TEST(Pinned, IsNotSentToAnEjectedUpstream) {
-    Rig rig;
+    PolicyRig rig;
     rig.fleet(1);
     for (int i = 0; i < 4; ++i) rig.end(rig.request(unsafe), 0, Outcome::error, ms(1));
     const auto id = rig.pinned(1, unsafe);
@@ -1259,7 +1261,7 @@
 }
 
 TEST(Pinned, ProbesItsOwnUpstreamOnly) {
-    Rig rig;
+    PolicyRig rig;
     rig.fleet(3);
     rig.serve_all_except(1, 60, Outcome::connect_failed);
     rig.now += std::chrono::seconds(5);  // upstream 1 is ejected and due for a probe request
@@ -1269,7 +1271,7 @@
 }
 
 TEST(Pinned, KeepsToTheSlowStartBucket) {
-    Rig rig;
+    PolicyRig rig;
     rig.fleet(4);
     for (int i = 0; i < 400; ++i) rig.served();
     rig.restart(1);
@@ -1287,7 +1289,7 @@
 
 // While new connections fail, requests stay where one is open. A pinned request has no such choice.
 TEST(Pinned, MayOpenAConnectionWhileOthersUseOpenOnes) {
-    Rig rig;
+    PolicyRig rig;
     rig.fleet(3);
     for (int i = 0; i < 100; ++i) rig.served(safe, ms(2));
     rig.add_upstreams(4, 12);
@@ -1305,7 +1307,7 @@
 TEST(LoadShedding, CapacityIsKeptForTheClassWithTheHighestWorthDensity) {
     Settings settings = plain_settings();
     settings.classes[unsafe].worth = 10;
-    Rig rig(settings);
+    PolicyRig rig(settings);
     rig.fleet(2);
     for (int round = 0; round < 20; ++round) {  // both classes are learned, several requests at once
         const auto safe_wave = rig.wave(safe, 4), unsafe_wave = rig.wave(unsafe, 4);
@@ -1325,7 +1327,7 @@
     Settings settings = plain_settings();
     settings.tenants = {{"loud", 10}, {"quiet", 10}};
     settings.over_share_worth = 0.1;
-    Rig rig(settings);
+    PolicyRig rig(settings);
     rig.fleet(4);
     for (int round = 0; round < 40; ++round) {  // far beyond one quota, within the other
         const auto loud = rig.wave(unsafe, 8, 0), quiet = rig.wave(unsafe, 1, 1);
@@ -1342,7 +1344,7 @@
 // An upstream whose throughput falls as its number of requests in flight rises must get fewer requests at a
 // time.
 TEST(LoadShedding, CongestedUpstreamGetsFewerRequestsAtATime) {
-    Rig rig;
+    PolicyRig rig;
     rig.fleet(1);
     const auto wave = [&](Micros latency) {
         const auto sent = rig.served_wave(unsafe, 30, latency);
@@ -1362,7 +1364,7 @@
     const auto sent_after = [](Outcome outcome) {
         Settings settings = plain_settings();
         settings.balancers = 10;
-        Rig rig(settings);
+        PolicyRig rig(settings);
         rig.fleet(40);
         for (int i = 0; i < 100; ++i) rig.served_wave(unsafe, 20, ms(10));
         for (int round = 0; round < 3; ++round) {
@@ -1379,7 +1381,7 @@
 TEST(LoadShedding, UnderCongestionABalancerHoldsLessThanOneAttemptPerUpstream) {
     Settings settings = plain_settings();
     settings.balancers = 20;
-    Rig rig(settings);
+    PolicyRig rig(settings);
     rig.fleet(20, 20);
     const auto wave = [&](Micros latency) { return rig.served_wave(unsafe, 60, latency); };
     for (int i = 0; i < 100; ++i) wave(ms(4));
@@ -1388,7 +1390,7 @@
     for (int i = 0; i < 30; ++i) wave(ms(30));
     const auto held_under_congestion = wave(ms(30));
     EXPECT_LT(held_under_congestion, 20u);
-    EXPECT_GE(held_under_congestion, 3u);  // but never below fair_share
+    EXPECT_GE(held_under_congestion, 3u);  // but never below min_in_flight_per_upstream
     for (int i = 0; i < 300; ++i) wave(ms(4));
     EXPECT_GE(wave(ms(4)), 20u);  // and it recovers
 }
@@ -1398,7 +1400,7 @@
     Settings settings = plain_settings();
     for (auto& class_settings : settings.classes) class_settings.late_worth = 0;
     const auto timeout_after_stall = [&](Micros stall, Micros left) {
-        Rig rig(settings);
+        PolicyRig rig(settings);
         rig.fleet(4);
         for (int i = 0; i < 20; ++i) {
             rig.run(rig.now + ms(5));
@@ -1422,7 +1424,7 @@
 TEST(LoadShedding, AtStartAllBalancersTogetherHoldFewAttempts) {
     Settings settings = plain_settings();
     settings.balancers = 10;
-    Rig rig(settings);
+    PolicyRig rig(settings);
     rig.fleet(10);
     const auto sent = rig.wave(unsafe, 20);
     EXPECT_GE(sent.size(), 3u);
@@ -1435,8 +1437,8 @@
 // A refusal that comes late, with nothing sent, leaves the client no time to ask elsewhere.
 TEST(LoadShedding, OriginalWaitsForAFractionOfItsClientsTimeOnly) {
     for (const long left : {1000, 100}) {
-        Rig rig;
-        rig.list(ListKind::full, {Rig::entry(1, 0, UpstreamState::draining)});
+        PolicyRig rig;
+        rig.list(ListKind::full, {PolicyRig::entry(1, 0, UpstreamState::draining)});
         const auto id = rig.request(safe, ms(left));
         const auto asked = rig.now;
         while (rig.sink.answers(id) == 0) rig.run(rig.now + ms(1));
@@ -1451,9 +1453,9 @@
     const auto held_under_congestion_after = [](UpstreamId removed) {
         Settings settings = plain_settings();
         settings.balancers = 4;
-        Rig rig(settings);
+        PolicyRig rig(settings);
         for (UpstreamId upstream = 1000; upstream < 1000 + removed; ++upstream) {
-            rig.list(ListKind::full, {Rig::entry(upstream)});
+            rig.list(ListKind::full, {PolicyRig::entry(upstream)});
             for (int i = 0; i < 4; ++i) {
                 const auto request = rig.request(unsafe);
                 for (std::size_t attempt = 0; attempt < rig.sink.sends(request); ++attempt) {
@@ -1474,13 +1476,13 @@
 // The storage of an upstream must not be reused while an open request refers to it: the request's attempt
 // must be attributed to the upstream that executed it.
 TEST(UpstreamList, PlacesOfRemovedUpstreamsAreReusedOnceUnreferenced) {
-    Rig rig;
-    rig.list(ListKind::full, {Rig::entry(1)});
+    PolicyRig rig;
+    rig.list(ListKind::full, {PolicyRig::entry(1)});
     const auto held = rig.request(keyed_zone);
     ASSERT_EQ(rig.sink.sends_to(1), 1U);
     for (UpstreamId upstream = 2; upstream < 50; ++upstream) {
         // In the other zone, where the open request must not go.
-        rig.list(ListKind::full, {Rig::entry(upstream, 1)});
+        rig.list(ListKind::full, {PolicyRig::entry(upstream, 1)});
         rig.served();
         EXPECT_EQ(rig.sink.submits.back().upstream, upstream);
     }
@@ -1495,7 +1497,7 @@
 TEST(LoadShedding, UnderCongestionABalancerWithALimitBelowOnePauses) {
     Settings settings = plain_settings();
     settings.balancers = 200;
-    Rig rig(settings);
+    PolicyRig rig(settings);
     rig.fleet(20);
     int sent = 0;
     for (int i = 0; i < 100; ++i) {  // one at a time, all late, from the first one on
@@ -1514,7 +1516,7 @@
 TEST(LoadShedding, OneCongestedWaveCutsTheLimitOnce) {
     Settings settings = plain_settings();
     settings.balancers = 20;
-    Rig rig(settings);
+    PolicyRig rig(settings);
     rig.fleet(40);
     const auto wave = [&](Micros latency) { return rig.served_wave(unsafe, 60, latency); };
     for (int i = 0; i < 150; ++i) wave(ms(4));
@@ -1529,7 +1531,7 @@
 // --- Changes of the settings ---
 
 // Returns when the timer of a request that was just sent fires: the retry timeout of its class.
-Micros timer_of(Rig& rig, int class_index) {
+Micros timer_of(PolicyRig& rig, int class_index) {
     const auto id = rig.request(class_index);
     EXPECT_EQ(rig.sink.sends(id), 1u);
     const Micros timer = rig.sink.timers.back().first - rig.now;
@@ -1540,7 +1542,7 @@
 
 TEST(OnSettings, InconsistentSettingsChangeNothing) {
     const auto actions_of = [](bool broken) {
-        Rig rig;
+        PolicyRig rig;
         rig.fleet(3);
         for (int i = 0; i < 40; ++i) rig.served(i % 5);
         const auto open = rig.request(unsafe);
@@ -1559,7 +1561,7 @@
 }
 
 TEST(OnSettings, LearnedClassStateMovesWithTheClass) {
-    Rig rig;
+    PolicyRig rig;
     rig.fleet(3);
     for (int i = 0; i < 100; ++i) rig.served(safe, ms(30));
     for (int i = 0; i < 100; ++i) rig.served(keyed_all, ms(40));
@@ -1572,14 +1574,14 @@
     EXPECT_EQ(timer_of(rig, 4 - safe), was_safe);
     EXPECT_EQ(timer_of(rig, 4 - keyed_all), was_keyed);
     settings.classes[4 - safe].name = "new";
-    settings.classes[4 - keyed_all].group = Group::zone;
+    settings.classes[4 - keyed_all].group = DeduplicationScope::zone;
     rig.policy->on_settings(rig.now, settings);
     EXPECT_EQ(timer_of(rig, 4 - safe), ms(80));
     EXPECT_EQ(timer_of(rig, 4 - keyed_all), ms(80));
 }
 
 TEST(OnSettings, LearnedClassHealthMovesWithTheClass) {
-    Rig rig;
+    PolicyRig rig;
     rig.fleet(4);
     const auto serve = [&](int class_index, bool failing) {
         const auto id = rig.request(class_index);
@@ -1608,8 +1610,9 @@
 // The index now belongs to another class, which must not affect open requests.
 TEST(OnSettings, OpenRequestKeepsItsEffect) {
     for (const int class_index : {static_cast<int>(unsafe), static_cast<int>(keyed_cell)}) {
-        Rig rig;
-        rig.list(ListKind::full, {Rig::entry(1, 0, UpstreamState::ready, Time{}, 1), Rig::entry(2)});
+        PolicyRig rig;
+        rig.list(ListKind::full,
+                 {PolicyRig::entry(1, 0, UpstreamState::ready, Time{}, 1), PolicyRig::entry(2)});
         const auto id = rig.request(class_index);
         const auto first = rig.sink.submits.back().upstream;
         Settings settings = plain_settings();
@@ -1627,7 +1630,7 @@
 }
 
 TEST(OnSettings, RemovedClassTakesNoRequestsAndIsForgottenWithItsLast) {
-    Rig rig;
+    PolicyRig rig;
     rig.fleet(3);
     for (int i = 0; i < 100; ++i) rig.served(keyed_all, ms(4));
     const auto held = rig.request(keyed_all);
@@ -1649,7 +1652,7 @@
         Settings settings = plain_settings();
         settings.tenants = {{"loud", 100}, {"quiet", 100}};
         settings.over_share_worth = 0.1;
-        Rig rig(settings);
+        PolicyRig rig(settings);
         rig.fleet(4);
         for (int round = 0; round < 60; ++round) rig.served_wave(unsafe, 40, ms(4));
         rig.answer(rig.wave(unsafe, 300, 0), ms(4));  // everything that the tenant had saved
@@ -1662,7 +1665,7 @@
 
 TEST(OnSettings, ZoneDrainRuleAndListRequestsFollow) {
     Settings settings = plain_settings();
-    Rig rig(settings);
+    PolicyRig rig(settings);
     rig.fleet(3, 3);
     for (int i = 0; i < 30; ++i) rig.served();
     EXPECT_EQ(rig.sink.sends_to(101) + rig.sink.sends_to(102) + rig.sink.sends_to(103), 0u);
@@ -1675,14 +1678,14 @@
     rig.drain({1});
     EXPECT_TRUE(rig.sink.closed.empty());
     settings.drain_close = ms(800);  // the rule is set only now
-    settings.must_ask_list = true;
+    settings.must_request_list = true;
     settings.ask_within = ms(500);
     rig.policy->on_settings(rig.now, settings);
     EXPECT_EQ(rig.sink.closed, std::vector<UpstreamId>{1});
     rig.run(rig.now + ms(600));
     const int asked = rig.sink.watches;
     EXPECT_GE(asked, 1);
-    settings.must_ask_list = false;
+    settings.must_request_list = false;
     rig.policy->on_settings(rig.now, settings);
     rig.run(rig.now + ms(5000));
     EXPECT_EQ(rig.sink.watches, asked);
@@ -1691,7 +1694,7 @@
 // --- Unexpected events, unusual settings, determinism ---
 
 TEST(UnexpectedEvents, UnknownOnesAreIgnored) {
-    Rig rig;
+    PolicyRig rig;
     rig.fleet(2);
     const auto before = rig.sink.action_log.size();
     rig.end(99, 0, Outcome::ok);
@@ -1738,7 +1741,7 @@
              {"max_attempts", [](Settings& settings) { settings.max_attempts = 0; }},
              {"drain_close", [](Settings& settings) { settings.drain_close = Micros{-1}; }},
              {"cold_share", [](Settings& settings) { settings.cold_share = 0; }},
-             {"ask_within", [](Settings& settings) { settings.must_ask_list = true; }},
+             {"ask_within", [](Settings& settings) { settings.must_request_list = true; }},
              {"deadline", [](Settings& settings) { settings.classes[0].aim = ms(2000); }},
              {"window", [](Settings& settings) { settings.classes[keyed_zone].window = Micros{0}; }},
          }) {
@@ -1753,7 +1756,7 @@
     settings.max_attempts = 1;
     settings.may_cancel = settings.parallel_attempts = false;
     settings.classes[safe].streams = true;
-    Rig rig(settings);
+    PolicyRig rig(settings);
     rig.fleet(1);
     const auto id = rig.request(safe);
     ASSERT_EQ(rig.sink.sends(id), 1u);
@@ -1767,7 +1770,7 @@
 
 TEST(Determinism, TheSameEventsGiveTheSameActions) {
     const auto actions_of = [](std::uint64_t seed) {
-        Rig rig(plain_settings(), seed);
+        PolicyRig rig(plain_settings(), seed);
         rig.fleet(5, 3);
         for (int i = 0; i < 300; ++i) {
             const auto id = rig.request(i % 5);
--- a/tests/door/daemon_test.cpp
+++ b/tests/door/daemon_test.cpp
@@ -11,7 +11,7 @@
 
 TEST(DoorDaemon, OneFinalAnswerEach) {
     constexpr std::size_t clients = 150, rounds = 8;
-    Stage stage(2);
+    BalancerFixture stage(2);
     stage.operators = "[door]\nmax_waiting = 100\nclient = \"header\"\nclient_header = \"X-Call-Id\"\n";
     stage.config["settings"]["limits"]["retry_after"] = true;
     stage.config["settings"]["limits"]["max_retry_after"] = 500.0;
@@ -23,14 +23,14 @@
     std::size_t served = 0, refused = 0, other = 0, done = 0;
     const auto send_request = [&](std::size_t i) {
         ++requests_sent[i];
-        wires[i]->say(stage.once(4000));
+        wires[i]->send(stage.once(4000));
     };
     for (std::size_t i = 0; i < clients; ++i) send_request(i);
     // Requests that a server has received and not answered.
     std::vector<std::shared_ptr<Wire>> pending_at_servers;
     stage.until([&] {
         for (;;) {
-            auto [wire, message] = stage.request_here();
+            auto [wire, message] = stage.received_request();
             if (!wire) break;
             const auto at = message.find("X-Call-Id: ") + 11;
             ++requests_by_call[message.substr(at, message.find("\r\n", at) - at)];
@@ -38,7 +38,7 @@
         }
         // Answers a few at a time, so that other requests are queued.
         for (int i = 0; i < 4 && !pending_at_servers.empty(); ++i) {
-            pending_at_servers.front()->say(ok("served", ""));
+            pending_at_servers.front()->send(ok("served", ""));
             pending_at_servers.erase(pending_at_servers.begin());
         }
         for (std::size_t i = 0; i < clients; ++i) {
@@ -67,7 +67,7 @@
     std::cout << "served " << served << ", refused " << refused << ", other " << other << "\n";
     stage.form->end();
     for (auto& wire : wires) wire->close();
-    stage.until_ended();
+    stage.until_exited();
 }
 
 }  // namespace
--- a/tests/door/door_test.cpp
+++ b/tests/door/door_test.cpp
@@ -51,8 +51,8 @@
 
 struct QueueTest {
     explicit QueueTest(const Terms& terms) : queue(terms, now, 7, {}) {}
-    Door::Arrival arrive(std::size_t tenant, int class_index = 1, const std::string& client = "c",
-                         const std::string& token = "", std::size_t bytes = 100) {
+    AdmissionQueue::Arrival arrive(std::size_t tenant, int class_index = 1, const std::string& client = "c",
+                                   const std::string& token = "", std::size_t bytes = 100) {
         Request request;
         request.tenant = tenant;
         request.client = client;
@@ -60,7 +60,7 @@
         request.deadline = now + 10s;
         request.bytes = bytes;
         request.token = token;
-        auto arrival = queue.arrive(now, request);
+        auto arrival = queue.enqueue(now, request);
         if (arrival.handed) handed.push_back(arrival.ticket);
         return arrival;
     }
@@ -78,15 +78,15 @@
         return all;
     }
     // Sends and ends the oldest dispatched request.
-    void serve_one(Window::End end = Window::End::served) {
-        queue.sending(handed.front(), now);
+    void serve_one(ConcurrencyWindow::End end = ConcurrencyWindow::End::served) {
+        queue.on_first_byte(handed.front(), now);
         now += 10ms;
         (void)queue.end(handed.front(), now, end);
         handed.erase(handed.begin());
     }
 
     Time now = 1000s;
-    Door queue;
+    AdmissionQueue queue;
     std::vector<Ticket> handed;
 };
 
@@ -151,7 +151,7 @@
     ASSERT_EQ(steps.size(), 2u);
     EXPECT_EQ(steps[0].ticket, waiting[7]) << "least worth, latest arrival";
     EXPECT_EQ(steps[1].ticket, waiting[6]);
-    EXPECT_EQ(steps[1].refused->reason, Reason::gave_way);
+    EXPECT_EQ(steps[1].refused->reason, Reason::evicted);
     EXPECT_EQ(test.queue.waiting(), 8u);
 }
 
@@ -180,7 +180,7 @@
     const auto steps = test.steps();
     ASSERT_EQ(steps.size(), 1u);
     EXPECT_EQ(steps[0].ticket, stays);
-    EXPECT_FALSE(test.queue.end(left_ticket, test.now, Window::End::no_room))
+    EXPECT_FALSE(test.queue.end(left_ticket, test.now, ConcurrencyWindow::End::no_room))
         << "the ticket is no longer valid";
 }
 
@@ -245,14 +245,14 @@
     QueueTest test(default_terms());
     for (int i = 0; i < 10; ++i) {
         ASSERT_TRUE(test.arrive(0).handed);
-        test.queue.sending(test.handed.back(), test.now);
+        test.queue.on_first_byte(test.handed.back(), test.now);
     }
-    const auto refusal = test.queue.end(test.handed.back(), test.now, Window::End::no_room);
+    const auto refusal = test.queue.end(test.handed.back(), test.now, ConcurrencyWindow::End::no_room);
     ASSERT_TRUE(refusal);
     EXPECT_EQ(refusal->reason, Reason::module);
     EXPECT_FALSE(refusal->token.empty());
     EXPECT_DOUBLE_EQ(test.queue.figures(test.now).window, 8);
-    EXPECT_FALSE(test.queue.end(test.handed.back(), test.now, Window::End::no_room));
+    EXPECT_FALSE(test.queue.end(test.handed.back(), test.now, ConcurrencyWindow::End::no_room));
 }
 
 TEST(Door, InconsistentTermsAreNamed) {
@@ -371,7 +371,7 @@
     request.client = "liar";
     request.deadline = test.now + 10s;
     request.cost_hint = 1h;
-    test.handed.push_back(test.queue.arrive(test.now, request).ticket);
+    test.handed.push_back(test.queue.enqueue(test.now, request).ticket);
     test.fill();
     std::vector<Ticket> own_tickets;
     for (int i = 0; i < 30; ++i) {
@@ -399,7 +399,7 @@
     ASSERT_TRUE(test.arrive(0, 1, "x").handed);
     test.fill();
     for (int i = 0; i < 240; ++i) ASSERT_NE(test.arrive(0, 1, std::to_string(i % 4)).ticket, 0u);
-    const auto refusal = test.queue.end(test.handed.front(), test.now, Window::End::no_room);
+    const auto refusal = test.queue.end(test.handed.front(), test.now, ConcurrencyWindow::End::no_room);
     ASSERT_TRUE(refusal);
     test.handed.erase(test.handed.begin());
     const Time back = test.now + refusal->retry_after;
@@ -456,7 +456,7 @@
 TEST(Token, ForgedExpiredAndForeignTokensAreInvalid) {
     QueueTest test(default_terms());
     test.fill();
-    const auto refusal = test.queue.end(test.handed.front(), test.now, Window::End::no_room);
+    const auto refusal = test.queue.end(test.handed.front(), test.now, ConcurrencyWindow::End::no_room);
     ASSERT_TRUE(refusal);
     const auto unheeded = [&](std::size_t tenant, int class_index, const std::string& client,
                               const std::string& token) {
@@ -483,9 +483,9 @@
     EXPECT_EQ(unheeded(1, 1, "c", refusal->token), 1u) << "another tenant";
     EXPECT_EQ(unheeded(0, 0, "c", refusal->token), 1u) << "another class";
     EXPECT_EQ(unheeded(0, 1, "d", refusal->token), 1u) << "another client";
-    Tokens::Secret other{};
+    RetryTokens::Secret other{};
     other[0] = 1;
-    EXPECT_EQ(unheeded(0, 1, "c", Tokens(other).sign({})), 1u) << "another key";
+    EXPECT_EQ(unheeded(0, 1, "c", RetryTokens(other).sign({})), 1u) << "another key";
     test.now += 2 * default_terms().book.slot;
     EXPECT_EQ(unheeded(0, 1, "c", refusal->token), 1u) << "expired";
 }
--- a/tests/door/fairness_test.cpp
+++ b/tests/door/fairness_test.cpp
@@ -149,7 +149,7 @@
     const Scenario& scenario = scenarios()[GetParam()];
     for (const std::uint64_t seed : {1u, 2u}) {
         SCOPED_TRACE(std::string(scenario.name) + ", seed " + std::to_string(seed));
-        const Result result = measure<Door>(scenario, seed);
+        const Result result = measure<AdmissionQueue>(scenario, seed);
         RecordProperty("bound", std::to_string(result.over_bound));
         EXPECT_LE(result.over_bound, 1);
         EXPECT_LE(result.off_weights, 0.05);
@@ -177,7 +177,7 @@
     const std::vector<Load> others{{1, 150, 10}, {2, 150, 10}, {3, 150, 10}};
     std::vector<Load> all = others;
     all.push_back({0, 2000, 1000});
-    World<Door> without(terms_of(scenario), 8, 3), beside(terms_of(scenario), 8, 3);
+    World<AdmissionQueue> without(terms_of(scenario), 8, 3), beside(terms_of(scenario), 8, 3);
     without.run(others, 10s);
     beside.run(all, 10s);
     for (std::size_t i = 1; i < 4; ++i) {
@@ -187,7 +187,7 @@
         };
         EXPECT_NEAR(rate(beside), rate(without), 0.03);
     }
-    World<Door> idle(terms_of(scenario), 8, 3);
+    World<AdmissionQueue> idle(terms_of(scenario), 8, 3);
     idle.run({{0, 300, 100}, {1, 200, 10}}, 10s);  // with spare capacity
     EXPECT_LT(idle.most_waiting, 40u);
     EXPECT_EQ(idle.idle_with_queue, 0u);
@@ -199,7 +199,7 @@
 TEST(Fairness, ModerateClientAmongAHundredThousandIsNotStarved) {
     for (const std::size_t names : {std::size_t{1}, std::size_t{100'000}}) {
         Scenario scenario{"", {1, 1}, {}};
-        World<Door> world(terms_of(scenario), 8, 5);
+        World<AdmissionQueue> world(terms_of(scenario), 8, 5);
         world.run({{0, 3000, names, 10ms, false, 0, 20s}, {0, 5, 1, 10ms, false, 0, 20s, 1h, 0s, 0, 2s}},
                   20s);
         std::size_t open_calls = 0;
--- a/tests/door/gate_test.cpp
+++ b/tests/door/gate_test.cpp
@@ -1,6 +1,6 @@
-// Tests of the admission queue between a front and a real core in virtual time: each call gets one answer
-// before its deadline, none is dispatched twice, a call whose client leaves is removed, and a drain answers
-// all.
+// Tests of the admission queue between a downstream and a real core in virtual time: each call gets one
+// answer before its deadline, none is dispatched twice, a call whose client leaves is removed, and a drain
+// answers all.
 #include "door/gate.h"
 
 #include <gtest/gtest.h>
@@ -9,7 +9,7 @@
 #include <random>
 
 #include "core/fakes.h"
-#include "engine/door_terms.h"
+#include "engine/admission_queue_options.h"
 #include "settings/product.h"
 #include "settings/reader.h"
 
@@ -17,7 +17,7 @@
 namespace {
 
 using namespace flaxdoor::core::test;
-using core::Taken;
+using core::AcceptResult;
 
 settings::Values values(const std::string& text) {
     return std::get<settings::Values>(settings::read_text(text, settings::product_schema()));
@@ -35,23 +35,23 @@
     explicit GateStage(const std::string& file = "[door]\nmax_waiting = 50\n")
         : back(make_back()), pool(add(*back, platform_settings())) {
         fleet(pool, 4);
-        gate = std::make_unique<door::Gate>(door::Gate::World{*core, clock, door_alarm},
-                                            door_terms(platform_settings(), values(file), [](const auto&) {}),
-                                            door::Gate::Options{true, seconds(30), false}, 7,
-                                            door::Tokens::Secret{});
+        gate = std::make_unique<door::QueuedCallAcceptor>(
+            door::QueuedCallAcceptor::Dependencies{*core, clock, door_alarm},
+            admission_queue_options(platform_settings(), values(file), [](const auto&) {}),
+            door::QueuedCallAcceptor::Options{true, seconds(30), false}, 7, door::RetryTokens::Secret{});
     }
     ~GateStage() override {
         core->remove_pool(pool);
         back->gone = true;
     }
-    Taken submit(std::uint64_t token, int tenant = 0, Micros budget = ms(1000), int class_index = 0) {
+    AcceptResult submit(std::uint64_t token, int tenant = 0, Micros budget = ms(1000), int class_index = 0) {
         core::Call c = call(pool, class_index, budget);
         c.payload = std::make_shared<core::test::Ticket>(token);
-        c.name = name_of("c", token);
+        c.call_id = name_of("c", token);
         c.tenant = {core::Tenant::Kind::known, tenant};
         ids[token] = 0;
         arrived_at[token] = clock.at;
-        const Taken taken = gate->take(std::move(c), front, token, &ids[token]);
+        const AcceptResult taken = gate->accept_call(std::move(c), front, token, &ids[token]);
         return taken;
     }
     // Advances the clock and serves both alarms.
@@ -75,7 +75,7 @@
     std::unique_ptr<FakeBack> back;
     core::PoolId pool;
     FakeAlarm door_alarm{trip};
-    std::unique_ptr<door::Gate> gate;
+    std::unique_ptr<door::QueuedCallAcceptor> gate;
     std::map<std::uint64_t, core::CallId> ids;
     std::map<std::uint64_t, Time> arrived_at;
 };
@@ -84,14 +84,14 @@
 // by its wait.
 TEST(Gate, WaitReducesTheTimeBudget) {
     GateStage world;
-    for (std::uint64_t i = 1; i <= 2; ++i) ASSERT_EQ(world.submit(i), Taken::yes);
+    for (std::uint64_t i = 1; i <= 2; ++i) ASSERT_EQ(world.submit(i), AcceptResult::accepted);
     world.advance(ms(10));
-    ASSERT_EQ(world.submit(3), Taken::yes);
-    EXPECT_EQ(world.core->figures().taken, 2u) << "the call is queued";
+    ASSERT_EQ(world.submit(3), AcceptResult::accepted);
+    EXPECT_EQ(world.core->figures().accepted, 2u) << "the call is queued";
     EXPECT_EQ(world.gate->figures().waiting, 1u);
     world.advance(ms(200));
     world.back->answer(world.back->sent.front().key);
-    EXPECT_EQ(world.core->figures().taken, 3u);
+    EXPECT_EQ(world.core->figures().accepted, 3u);
     EXPECT_LE(world.back->sent.back().expires, world.arrived_at[3] + ms(1000));
     world.back->answer(world.back->sent.back().key);
     EXPECT_EQ(world.front.finals(3), 1u);
@@ -99,24 +99,24 @@
 
 TEST(Gate, NameOfAQueuedCallIsOpen) {
     GateStage world;
-    for (std::uint64_t i = 1; i <= 2; ++i) ASSERT_EQ(world.submit(i), Taken::yes);
+    for (std::uint64_t i = 1; i <= 2; ++i) ASSERT_EQ(world.submit(i), AcceptResult::accepted);
     world.advance(ms(10));
-    ASSERT_EQ(world.submit(3), Taken::yes);
+    ASSERT_EQ(world.submit(3), AcceptResult::accepted);
     core::Call again = world.call(world.pool, 0);
-    again.name = "c3";
-    EXPECT_EQ(world.gate->take(again, world.front, 99, nullptr), Taken::name_open);
-    world.gate->leave(world.ids[3]);
+    again.call_id = "c3";
+    EXPECT_EQ(world.gate->accept_call(again, world.front, 99, nullptr), AcceptResult::name_in_use);
+    world.gate->abandon_call(world.ids[3]);
     EXPECT_EQ(world.gate->figures().waiting, 0u);
-    EXPECT_EQ(world.submit(3), Taken::yes) << "the call has left, so its name may be used again";
+    EXPECT_EQ(world.submit(3), AcceptResult::accepted) << "the call has left, so its name may be used again";
 }
 
 // A refusal by the queue states that nothing was executed. It must not be given for a name that is open or in
 // doubt at the core.
 TEST(Gate, NameThatMayHaveExecutedIsNotRefused) {
     GateStage world;
-    for (std::uint64_t i = 1; i <= 2; ++i) ASSERT_EQ(world.submit(i), Taken::yes);
+    for (std::uint64_t i = 1; i <= 2; ++i) ASSERT_EQ(world.submit(i), AcceptResult::accepted);
     world.advance(ms(10));
-    EXPECT_EQ(world.submit(1), Taken::name_open);
+    EXPECT_EQ(world.submit(1), AcceptResult::name_in_use);
     world.gate->stop();
     EXPECT_EQ(world.front.finals(1), 0u);
 }
@@ -124,16 +124,17 @@
 // The classes are reordered while calls are queued: each call keeps its class or is never executed.
 TEST(Gate, QueuedCallsKeepTheirClassAndTenantByName) {
     GateStage world;
-    for (std::uint64_t i = 1; i <= 2; ++i) ASSERT_EQ(world.submit(i), Taken::yes);
+    for (std::uint64_t i = 1; i <= 2; ++i) ASSERT_EQ(world.submit(i), AcceptResult::accepted);
     world.advance(ms(10));
     const Settings old_settings = platform_settings();
     ASSERT_GE(old_settings.classes.size(), 2u);
     for (int c = 0; c < 2; ++c)
-        ASSERT_EQ(world.submit(static_cast<std::uint64_t>(3 + c), 1, ms(1000), c), Taken::yes);
+        ASSERT_EQ(world.submit(static_cast<std::uint64_t>(3 + c), 1, ms(1000), c), AcceptResult::accepted);
     Settings next = old_settings;
     next.classes = {old_settings.classes[1]};  // the first class is removed
     next.tenants = {{"b", 0, 0}, {"a", 0, 0}};
-    world.gate->change(door_terms(next, values("[door]\n"), [](const auto&) {}), {true, seconds(30), false});
+    world.gate->change(admission_queue_options(next, values("[door]\n"), [](const auto&) {}),
+                       {true, seconds(30), false});
     world.core->change_pool(world.pool, next);
     for (int i = 0; i < 4 && !world.back->out.empty(); ++i) {
         world.back->answer(*world.back->out.begin());
@@ -147,13 +148,13 @@
     EXPECT_EQ(handed["b"], 2u);
 }
 
-// An exception of a front ends its own step only: all other queued calls are answered.
+// An exception of a downstream ends its own step only: all other queued calls are answered.
 TEST(Gate, ThrowingFrontAffectsNoOtherCall) {
     GateStage world;
-    for (std::uint64_t i = 1; i <= 2; ++i) ASSERT_EQ(world.submit(i), Taken::yes);
+    for (std::uint64_t i = 1; i <= 2; ++i) ASSERT_EQ(world.submit(i), AcceptResult::accepted);
     world.advance(ms(10));
     for (std::uint64_t i = 3; i <= 6; ++i)
-        ASSERT_EQ(world.submit(i, 0, ms(200 + 20 * static_cast<long>(i))), Taken::yes);
+        ASSERT_EQ(world.submit(i, 0, ms(200 + 20 * static_cast<long>(i))), AcceptResult::accepted);
     ASSERT_EQ(world.gate->figures().waiting, 4u);
     world.front.when_final = [](std::uint64_t token) {
         if (token == 3) throw std::runtime_error("no memory");
@@ -176,9 +177,10 @@
             const auto choice = random() % 10;
             if (choice < 5) {
                 ++token;
-                const Taken taken = world.submit(token, static_cast<int>(random() % 3),
-                                                 ms(50 + random() % 900), static_cast<int>(random() % 3));
-                ASSERT_EQ(taken, Taken::yes);
+                const AcceptResult taken =
+                    world.submit(token, static_cast<int>(random() % 3), ms(50 + random() % 900),
+                                 static_cast<int>(random() % 3));
+                ASSERT_EQ(taken, AcceptResult::accepted);
             } else if (choice < 8 && !world.back->out.empty()) {
                 auto at = world.back->out.begin();
                 std::advance(at, random() % world.back->out.size());
@@ -191,7 +193,7 @@
             } else if (choice == 8 && token > 0) {
                 const std::uint64_t left_call = 1 + random() % token;
                 if (world.front.finals(left_call) == 0 && left.insert(left_call).second)
-                    world.gate->leave(world.ids[left_call]);
+                    world.gate->abandon_call(world.ids[left_call]);
             }
             if (step == 300) world.gate->begin_drain();
             world.advance(ms(random() % 12));
@@ -209,11 +211,11 @@
             EXPECT_LE(answered.answer.retry_after, ms(500))
                 << "never beyond the longest delay that clients observe";
         }
-        EXPECT_LE(world.core->figures().taken, token) << "none was dispatched twice";
+        EXPECT_LE(world.core->figures().accepted, token) << "none was dispatched twice";
     }
 }
 
-// The same with reordered settings, throwing fronts, stalls, names that are reused while they may be
+// The same with reordered settings, throwing downstreams, stalls, names that are reused while they may be
 // executing, and the end of the drain.
 TEST(Gate, RandomEventsWithChanges) {
     for (std::uint32_t seed = 1; seed <= 60; ++seed) {
@@ -236,11 +238,12 @@
                     core::Call c = world.call(world.pool, static_cast<int>(random() % now.classes.size()),
                                               ms(50 + static_cast<int>(random() % 900)));
                     c.payload = std::make_shared<core::test::Ticket>(token);
-                    c.name = name_of("c", random() % 4 ? token : 1 + random() % token);
+                    c.call_id = name_of("c", random() % 4 ? token : 1 + random() % token);
                     c.tenant = {core::Tenant::Kind::known, static_cast<int>(random() % 3)};
                     world.arrived_at[token] = world.clock.at;
                     world.ids[token] = 0;
-                    if (world.gate->take(std::move(c), world.front, token, &world.ids[token]) != Taken::yes)
+                    if (world.gate->accept_call(std::move(c), world.front, token, &world.ids[token]) !=
+                        AcceptResult::accepted)
                         taken.erase(token);
                 } else if (choice < 15 && !world.back->out.empty()) {
                     auto at = world.back->out.begin();
@@ -255,22 +258,23 @@
                     const std::uint64_t left_call = 1 + random() % token;
                     if (taken.contains(left_call) && world.front.finals(left_call) == 0 &&
                         left.insert(left_call).second)
-                        world.gate->leave(world.ids[left_call]);
+                        world.gate->abandon_call(world.ids[left_call]);
                 } else if (choice == 16) {
                     std::shuffle(now.classes.begin(), now.classes.end(), random);
                     std::shuffle(now.tenants.begin(), now.tenants.end(), random);
                     if (random() % 3 == 0 && now.classes.size() > 1) now.classes.pop_back();
                     if (random() % 3 == 0) now = first;
                     world.gate->change(
-                        door_terms(now, values("[door]\nmax_waiting = " + std::to_string(1 + random() % 40)),
-                                   [](const auto&) {}),
+                        admission_queue_options(
+                            now, values("[door]\nmax_waiting = " + std::to_string(1 + random() % 40)),
+                            [](const auto&) {}),
                         {true, seconds(30), false});
                     world.core->change_pool(world.pool, now);
                 } else if (choice == 17) {
                     world.clock.at += ms(static_cast<int>(random() % 3000));
                 }
             } catch (const std::runtime_error&) {
-                // take() passes on an exception of its own front
+                // accept_call() passes on an exception of its own downstream
             }
             if (step == 350) world.gate->begin_drain();
             world.advance(ms(static_cast<int>(random() % 12)));
--- a/tests/door/world.h
+++ b/tests/door/world.h
@@ -30,13 +30,14 @@
     Micros from = 0s;
 };
 
-// First-in-first-out queue with the interface of Door, to show that the checks can fail.
+// First-in-first-out queue with the interface of AdmissionQueue, to show that the checks can fail.
 class FifoQueue {
 public:
-    FifoQueue(const Terms&, Time, std::uint64_t, const Tokens::Secret&) {}
-    Door::Arrival arrive(Time now, const Request& request) {
+    FifoQueue(const Terms&, Time, std::uint64_t, const RetryTokens::Secret&) {}
+    AdmissionQueue::Arrival enqueue(Time now, const Request& request) {
         const Ticket ticket = ++last_;
-        if (queue_.empty() && in_flight_ < limit) return ++in_flight_, Door::Arrival{ticket, true, {}};
+        if (queue_.empty() && in_flight_ < limit)
+            return ++in_flight_, AdmissionQueue::Arrival{ticket, true, {}};
         queue_.push_back({ticket, request.deadline});
         (void)now;
         return {ticket, false, {}};
@@ -52,8 +53,8 @@
         return Step{ticket, std::nullopt};
     }
     std::optional<Time> next_deadline(Time) const { return std::nullopt; }
-    void sending(Ticket, Time) {}
-    std::optional<Refusal> end(Ticket, Time, Window::End) { return --in_flight_, std::nullopt; }
+    void on_first_byte(Ticket, Time) {}
+    std::optional<Refusal> end(Ticket, Time, ConcurrencyWindow::End) { return --in_flight_, std::nullopt; }
     std::size_t waiting() const { return queue_.size(); }
 
 private:
@@ -187,7 +188,7 @@
             observed.error,
             std::abs(cost - (call.hinted_cost > 0 ? call.hinted_cost
                                                   : static_cast<double>(terms_.classes[0].service.count()))));
-        const auto arrival = front_.arrive(now_, request);
+        const auto arrival = front_.enqueue(now_, request);
         if (arrival.refused) {
             ++observed.refused[arrival.refused->reason];
             return;
@@ -210,7 +211,7 @@
 
     void start_call(Ticket ticket) {
         --free_servers_;
-        front_.sending(ticket, now_);
+        front_.on_first_byte(ticket, now_);
         const Call& call = open_.at(ticket);
         const double service = static_cast<double>(call.service.count()) * slowed;
         at(now_ + Micros(static_cast<long>(service)), [this, ticket, service] {
@@ -220,7 +221,7 @@
             ++free_servers_;
             --in_flight_;
             open_.erase(ticket);
-            (void)front_.end(ticket, now_, Window::End::served);
+            (void)front_.end(ticket, now_, ConcurrencyWindow::End::served);
             if (module_queue_.empty()) return;
             const Ticket first = module_queue_.front();
             module_queue_.pop_front();
--- a/tests/engine/engine_test.cpp
+++ b/tests/engine/engine_test.cpp
@@ -6,14 +6,14 @@
 
 #include <boost/asio.hpp>
 
-#include "../plain_config.h"
-#include "lines.h"
+#include "../minimal_config.h"
+#include "capturing_log.h"
 #include "settings/product.h"
 
 namespace flaxdoor::engine::test {
 namespace {
 
-using flaxdoor::test::plain;
+using flaxdoor::test::minimal_config;
 using nlohmann::json;
 
 TEST(Config, FlattensToLinesOfKeyAndValue) {
@@ -26,7 +26,7 @@
 }
 
 TEST(Config, KeepsNamesAsMessagesUseThem) {
-    const auto config = parse_config(plain().dump());
+    const auto config = parse_config(minimal_config().dump());
     EXPECT_EQ(config.settings.classes[1].name, "book it");
     EXPECT_EQ(config.known.version, 7U);
     EXPECT_EQ(config.known.kind, ListKind::cached);
@@ -38,7 +38,7 @@
     EXPECT_ANY_THROW((void)parse_config("{"));
     EXPECT_ANY_THROW((void)parse_config("[]"));
     for (const char* key : {"settings", "listen", "discovery", "seed"}) {
-        json config = plain();
+        json config = minimal_config();
         config.erase(key);
         EXPECT_ANY_THROW((void)parse_config(config.dump())) << key;
         config[key] = "nonsense";
@@ -88,7 +88,7 @@
               "settings.invariants.fall_multiple is missing, must be above 0 where invariants.fall is given"},
              {"/limits/sockets", -3, "limits.sockets is -3, must be a whole number above 0"},
              {"/limits/sockets", "many", "limits.sockets is \"many\", must be a whole number above 0"}}) {
-        json config = plain();
+        json config = minimal_config();
         config["settings"]["tenants"] = tenants;
         EXPECT_NO_THROW((void)parse_config(config.dump()));
         config[json::json_pointer(row.path)] = row.value;
@@ -102,17 +102,17 @@
 }
 
 EngineOptions options(const std::string& upstream = "127.0.0.1:1") {
-    return {parse_config(plain(upstream).dump()), settings::Values(settings::product_schema())};
+    return {parse_config(minimal_config(upstream).dump()), settings::Values(settings::product_schema())};
 }
 
-using flaxdoor::test::Lines;
+using flaxdoor::test::CapturingLog;
 
 // Destroys the engine with timers pending, calls open and connections in every state, and runs the loop on. Guards against
 // handlers that hold a bare `this` and use the destroyed engine; AddressSanitizer detects that.
 TEST(Life, CanBeDestroyedAtAnyTime) {
     for (int steps = 0; steps < 60; ++steps) {
         boost::asio::io_context io;
-        Lines log;
+        CapturingLog log;
         boost::asio::ip::tcp::acceptor silent(io, {boost::asio::ip::address_v4::loopback(), 0});
         auto engine =
             std::make_unique<Engine>(io.get_executor(), log, options(loop::text_of(silent.local_endpoint())));
@@ -137,7 +137,7 @@
 // A drain ends the engine's own work; the loop belongs to the caller and runs on.
 TEST(Life, DrainDoesNotStopTheLoop) {
     boost::asio::io_context io;
-    Lines log;
+    CapturingLog log;
     Engine engine(io.get_executor(), log, options());
     int drained = 0;
     engine.drain([&] { ++drained; });
@@ -156,7 +156,7 @@
     EXPECT_EQ(drained, 1);
     EXPECT_TRUE(loop_ran_on);
     EXPECT_TRUE(engine.drained());
-    const core::Figures figures = engine.figures();
+    const core::Stats figures = engine.figures();
     EXPECT_EQ(figures.open, 0U);
     EXPECT_EQ(figures.pools, 0U);
 }
--- a/tests/on_loop.h
+++ b/tests/event_loop_test.h
@@ -12,17 +12,17 @@
 
 namespace flaxdoor::standins {
 
-class OnLoop : public ::testing::Test {
+class EventLoopTest : public ::testing::Test {
 protected:
     boost::asio::io_context loop{1};  // destroyed last
 
     // Runs the loop until the condition holds. Returns false if it does not within the time limit.
     template <typename Condition>
-    bool until(Condition condition) {
+    bool wait_until(Condition condition) {
         return run_until(loop, condition);
     }
     // Runs all handlers that are ready, without waiting.
-    void settle() {
+    void run_ready() {
         if (loop.stopped()) loop.restart();
         while (loop.poll() > 0) {
         }
--- a/tests/gateway/budget_test.cpp
+++ b/tests/gateway/budget_test.cpp
@@ -1,11 +1,11 @@
 // Requests for which the fleet's budget has no permit, through a listener with routes.
-#include "quota.h"
+#include "fake_admission.h"
 #include "rig.h"
 
 namespace flaxdoor::gateway::test {
 namespace {
 
-using flaxdoor::test::Quota;
+using flaxdoor::test::FakeAdmission;
 
 struct GatewayBudget : testing::Test {
     GatewayBudget() : rig(&quota), backend(rig.add_backend("a")) {
@@ -14,14 +14,14 @@
         rig.begin();
         EXPECT_TRUE(rig.until([&] { return rig.runtime->address(80) && rig.ask(get("h", "/")) == "200 a"; }));
     }
-    Quota quota;
+    FakeAdmission quota;
     Rig rig;
     Backend& backend;
 };
 
 TEST_F(GatewayBudget, ARequestWithoutAPermitIsNotSentAndGetsARetryAfter) {
     const std::size_t before = backend.requests.size();
-    quota.calls = 0;
+    quota.remaining_calls = 0;
     const auto client = rig.send(get("h", "/x") + get("h", "/y"));
     ASSERT_TRUE(rig.until([&] { return client->answers.size() == 2 || client->ended; }));
     for (const std::size_t i : {0U, 1U}) {
@@ -29,7 +29,7 @@
         EXPECT_EQ(header(client->answers[i], "Retry-After"), "7");
     }
     EXPECT_EQ(backend.requests.size(), before);
-    quota.calls = Quota::no_limit;
+    quota.remaining_calls = FakeAdmission::no_limit;
     client->send(get("h", "/z"));
     ASSERT_TRUE(rig.until([&] { return client->answers.size() == 3 || client->ended; }));
     EXPECT_EQ(client->status(2), "200") << "the connection stays open";
@@ -39,14 +39,14 @@
 // permit for the retry the request fails.
 TEST(GatewayBudgetRepeat, ARetryWithoutAPermitIsNotSent) {
     for (const bool permitted : {true, false}) {
-        Quota quota;
+        FakeAdmission quota;
         Rig rig(&quota);
         Backend &a = rig.add_backend("a"), &b = rig.add_backend("b");
         a.hold = b.hold = true;
         ASSERT_TRUE(rig.serve(
             class_and_gateway() + service("a") + slice("a", {{a.port(), "pod-a"}, {b.port(), "pod-b"}}) +
             http_route("r", to_service("a"), ", annotations: {flaxdoor.dev/effect: safe}")));
-        if (!permitted) quota.further = 0;
+        if (!permitted) quota.remaining_retries = 0;
         const auto client = rig.send(get("h", "/"));
         ASSERT_TRUE(rig.until([&] { return a.held() + b.held() == 1; }));
         Backend& first = a.held() ? a : b;
--- a/tests/gateway/random_test.cpp
+++ b/tests/gateway/random_test.cpp
@@ -7,10 +7,10 @@
 #include <map>
 #include <random>
 
-#include "drawn.h"
 #include "gateway/controller.h"
 #include "gateway/status.h"
 #include "kube/reflector.h"
+#include "random_source.h"
 #include "standins/kube_api.h"
 #include "words.h"
 
@@ -78,10 +78,10 @@
     std::uint64_t version = 10, oldest = 0, uids = 0;
 };
 
-using flaxdoor::test::Drawn;
+using flaxdoor::test::RandomSource;
 
 // Applies a random change of the desired state. Some of the new objects are malformed.
-void change(Server& server, Drawn& drawn) {
+void change(Server& server, RandomSource& drawn) {
     const std::string n = std::to_string(drawn.below(4));
     const auto yaml = [&](KindOf kind, const std::string& text) {
         for (Json& each : standins::documents_of(text)) server.put(kind, std::move(each));
@@ -115,10 +115,10 @@
             yaml(KindOf::gateway,
                  "kind: Gateway\nmetadata: {name: front, namespace: booking}\nspec: {gatewayClassName: "
                  "flaxdoor, listeners: [{name: a, port: 8" +
-                     n + ", protocol: " + (drawn.once_in(4) ? "TCP" : "HTTP") + "}]}\n");
+                     n + ", protocol: " + (drawn.one_in(4) ? "TCP" : "HTTP") + "}]}\n");
             break;
         default:
-            if (drawn.once_in(6)) {
+            if (drawn.one_in(6)) {
                 server.erase(KindOf::gateway_class, "flaxdoor");
             } else {
                 yaml(KindOf::gateway_class,
@@ -173,7 +173,7 @@
 TEST(RandomWorlds, AnyOrderOfEventsLeadsToTheStateOfOneList) {
     const std::uint64_t seed = std::random_device{}();
     std::printf("seed %llu\n", static_cast<unsigned long long>(seed));
-    Drawn drawn(seed);
+    RandomSource drawn(seed);
     std::size_t changes = 0, cuts = 0, lists = 0, repeats = 0, holds = 0, writes = 0;
     for (int world = 0; world < 60; ++world) {
         Server server;
@@ -209,7 +209,7 @@
                 if (!call) return;
                 reflected.watch = call->watch;
                 reflected.bytes.clear();
-                if (may_fail && drawn.once_in(6)) {
+                if (may_fail && drawn.one_in(6)) {
                     const int codes[] = {429, 500, 503};
                     reflector.on_status(codes[drawn.below(3)], Micros{});
                     reflector.call_ended(now, true, "", drawn.chance());
@@ -226,7 +226,7 @@
             if (reflected.watch) {
                 reflected.bytes += server.events(reflected.kind, reflected.sent);
                 reflected.sent = std::max(reflected.sent, server.version);
-                if (may_fail && drawn.once_in(8) && !server.history.empty()) {
+                if (may_fail && drawn.one_in(8) && !server.history.empty()) {
                     // Repeats an old event.
                     const auto& event = server.history[drawn.below(server.history.size())];
                     if (event.kind == reflected.kind && reflected.bytes.empty()) {
@@ -246,7 +246,7 @@
                 return;
             }
             const bool complete = !reflected.watch && reflected.bytes.empty();
-            if (complete || (may_fail && drawn.once_in(10))) {
+            if (complete || (may_fail && drawn.one_in(10))) {
                 cuts += complete ? 0 : 1;
                 reflector.call_ended(now, complete, complete ? "" : "cut", drawn.chance());
                 deliver_changes(reflected);
@@ -282,11 +282,11 @@
 
         for (int turn = 0; turn < 300; ++turn) {
             now += Micros(static_cast<std::int64_t>(drawn.below(400'000)));
-            if (drawn.once_in(2)) {
+            if (drawn.one_in(2)) {
                 change(server, drawn);
                 ++changes;
             }
-            if (drawn.once_in(60)) {
+            if (drawn.one_in(60)) {
                 // The server discards its history. Events that open watches have not received yet are still
                 // delivered.
                 for (ReflectedKind& reflected : reflected_kinds) {
@@ -297,11 +297,11 @@
                 server.oldest = server.version;
                 server.history.clear();
             }
-            if (drawn.once_in(100)) {  // another history, perhaps without most of the objects
+            if (drawn.one_in(100)) {  // another history, perhaps without most of the objects
                 server.version = 10;
                 server.history.clear();
                 for (auto& [kind, all] : server.objects) {
-                    if (drawn.once_in(2)) all.clear();
+                    if (drawn.one_in(2)) all.clear();
                     for (auto& [key, object] : all)
                         object["metadata"]["resourceVersion"] = std::to_string(++server.version);
                 }
@@ -317,7 +317,7 @@
             controller.tick(now);
             step(reflected_kinds[drawn.below(reflected_kinds.size())], true);
             holds += controller.held().empty() ? 0 : 1;
-            if (drawn.once_in(3)) write();
+            if (drawn.one_in(3)) write();
         }
         // Final phase: nothing changes or fails any more, and the guard's hold expires.
         const auto settled = [&] {
--- a/tests/gateway/rig.h
+++ b/tests/gateway/rig.h
@@ -17,13 +17,13 @@
 #include <string>
 #include <vector>
 
+#include "capturing_log.h"
 #include "core/core.h"
+#include "fake_admission.h"
 #include "ingress/cluster.h"
 #include "ingress/runtime.h"
-#include "lines.h"
 #include "loop/alarm.h"
 #include "loop/clock.h"
-#include "quota.h"
 #include "standins/kube_api.h"
 #include "standins/peers.h"
 #include "standins/run_until.h"
@@ -36,7 +36,7 @@
 using boost::system::error_code;
 using namespace std::chrono_literals;
 
-using flaxdoor::test::Lines;
+using flaxdoor::test::CapturingLog;
 
 using standins::peers::Backend;
 using standins::peers::Client;
@@ -73,8 +73,8 @@
         runtime_options.settings.connect_timeout = 2s;
         runtime_options.settings.retry_after = true;
         runtime_options.settings.max_retry_after = 60s;
-        runtime_options.settings.fair_share = 64;
-        runtime_options.clients.request = 10s;
+        runtime_options.settings.min_in_flight_per_upstream = 64;
+        runtime_options.clients.request_timeout = 10s;
     }
     ~Rig() {
         cluster.reset();
@@ -194,7 +194,7 @@
     asio::io_context io{1};
     loop::Clock clock;
     loop::Alarm alarm;
-    Lines log;
+    CapturingLog log;
     core::Core core;
     standins::KubeApi api;
     ingress::ClusterOptions options;
--- a/tests/gateway/router_test.cpp
+++ b/tests/gateway/router_test.cpp
@@ -136,27 +136,27 @@
     EXPECT_EQ(message.fields["Idempotency-Key"], "k") << "the client's Connection field can't remove it";
 }
 
-core::Final failed(core::Cause cause) { return {core::Verdict::failed, cause, {}, true, nullptr}; }
+core::FinalAnswer failed(core::Cause cause) { return {core::Verdict::failed, cause, {}, true, nullptr}; }
 
 TEST(Router, MapsResultsToResponses) {
     auto destination = route(table_of(to_pool()), request("GET", "/"), {}, 0);
     Routed& routed = std::get<Routed>(destination);
     const http::Response refused =
-        client_response({core::Verdict::refused, core::Cause::no_room, 1500ms, false, nullptr}, routed);
+        client_response({core::Verdict::refused, core::Cause::no_capacity, 1500ms, false, nullptr}, routed);
     EXPECT_EQ(refused.status, 503);
     EXPECT_EQ(refused.fields["Retry-After"], "2") << "whole seconds, rounded up";
-    EXPECT_EQ(client_response(failed(core::Cause::overdue), routed).status, 504);
+    EXPECT_EQ(client_response(failed(core::Cause::watchdog), routed).status, 504);
     EXPECT_EQ(client_response(failed(core::Cause::timed_out), routed).status, 504);
     EXPECT_EQ(client_response(failed(core::Cause::broken), routed).status, 502);
     EXPECT_EQ(client_response(failed(core::Cause::error), routed).status, 502) << "the response was unusable";
     http::Response own;
     own.status = 500;
     own.body = "its own";
-    routed.payload->error_answer = own;
+    routed.payload->error_response = own;
     EXPECT_EQ(client_response(failed(core::Cause::error), routed).body, "its own");
     own.status = 503;
     own.fields.add("Retry-After", "9");
-    routed.payload->error_answer = own;
+    routed.payload->error_response = own;
     const http::Response bare = client_response(failed(core::Cause::error), routed);
     EXPECT_EQ(bare.status, 502) << "an upstream's 503 may follow an executed request";
     EXPECT_EQ(bare.fields.count("Retry-After"), 0U);
--- a/tests/http/front_test.cpp
+++ b/tests/http/listener_test.cpp
@@ -1,6 +1,6 @@
 // Tests of the HTTP listener over real connections. The event loop runs only when a test runs it, so that data can be
 // unread when the listener closes a connection.
-#include "http/front.h"
+#include "http/listener.h"
 
 #include <gtest/gtest.h>
 
@@ -16,21 +16,21 @@
 
 // Responds to each request with its target.
 struct Echo final : Handler {
-    std::variant<Answer, Ask> on_request(Request message, const From&) override {
-        Answer response;
+    std::variant<LocalResponse, Forward> on_request(Request message, const ConnectionInfo&) override {
+        LocalResponse response;
         response.message.status = 200;
         response.message.reason = "OK";
         response.message.body = message.target;
         return response;
     }
-    Response on_final(core::Final, Asked*) override { return {}; }
-    Answer on_not_taken(core::Taken, Asked*) override { return {}; }
+    Response on_final(core::FinalAnswer, RequestContext*) override { return {}; }
+    LocalResponse on_call_rejected(core::AcceptResult, RequestContext*) override { return {}; }
 };
 
 class FrontTest : public OnCore {
 protected:
-    void start(FrontLimits limits = {}) {
-        front = std::make_unique<Front>(loop.get_executor(), core, echo, clock, limits);
+    void start(ListenerLimits limits = {}) {
+        front = std::make_unique<Listener>(loop.get_executor(), core, echo, clock, limits);
         front->listen(standins::peers::loopback());
     }
     std::shared_ptr<Client> client() { return std::make_shared<Client>(loop, front->address()); }
@@ -40,20 +40,20 @@
     void serve(Client& from, const std::string& target) {
         const std::size_t n = from.answers.size();
         from.send(get(target));
-        ASSERT_TRUE(until([&] { return from.answers.size() > n; }));
+        ASSERT_TRUE(wait_until([&] { return from.answers.size() > n; }));
         EXPECT_EQ(from.body(n), target);
     }
 
     Echo echo;
-    std::unique_ptr<Front> front;
+    std::unique_ptr<Listener> front;
 };
 
 // When draining starts, a complete and a partial request are unread on idle connections, and another request on a
 // connection in the backlog. The listener serves all of them, and closes the idle connection without a request.
 TEST_F(FrontTest, UnreadRequestsAreServedWhenDrainingStarts) {
-    FrontLimits limits;
-    limits.request = std::chrono::milliseconds(800);  // swept every 100 ms
-    limits.linger = std::chrono::milliseconds(1);
+    ListenerLimits limits;
+    limits.request_timeout = std::chrono::milliseconds(800);  // swept every 100 ms
+    limits.linger_timeout = std::chrono::milliseconds(1);
     start(limits);
     const auto address = front->address();
     const auto complete = client(), partial = client(), idle = client();
@@ -63,22 +63,23 @@
     const auto in_backlog = client();
     in_backlog->send(get("/waits"));
     front->begin_drain();
-    EXPECT_TRUE(front->wind_down());
+    EXPECT_TRUE(front->drain_connections());
     partial->send(get("/half").substr(9));
-    ASSERT_TRUE(until([&] { return complete->ended && partial->ended && idle->ended && in_backlog->ended; }));
+    ASSERT_TRUE(
+        wait_until([&] { return complete->ended && partial->ended && idle->ended && in_backlog->ended; }));
     EXPECT_EQ(complete->body(1), "/whole");
     EXPECT_EQ(partial->body(1), "/half");
     EXPECT_EQ(in_backlog->body(0), "/waits");
     EXPECT_EQ(idle->answers.size(), 1U);
-    ASSERT_TRUE(until([&] { return !front->wind_down(); }));
+    ASSERT_TRUE(wait_until([&] { return !front->drain_connections(); }));
     EXPECT_TRUE(std::make_shared<Client>(loop, address)->refused);
 }
 
 // At the connection limit a new client replaces the connection idle longest, but not one whose next request is unread
 // or was received just before.
 TEST_F(FrontTest, AConnectionInUseIsNotEvicted) {
-    FrontLimits limits;
-    limits.most = 2;
+    ListenerLimits limits;
+    limits.max_connections = 2;
     start(limits);
     const auto older = client(), newer = client();
     serve(*older, "/first");
@@ -86,7 +87,7 @@
     older->send(get("/second"));
     const auto third = client();
     serve(*third, "/third");
-    ASSERT_TRUE(until([&] { return older->answers.size() == 2 && newer->ended; }));
+    ASSERT_TRUE(wait_until([&] { return older->answers.size() == 2 && newer->ended; }));
     EXPECT_FALSE(older->ended);
 }
 
--- a/tests/http/on_core.h
+++ b/tests/http/on_core.h
@@ -2,7 +2,7 @@
 // upstream connection pool over real connections.
 #pragma once
 
-#include "../on_loop.h"
+#include "../event_loop_test.h"
 #include "core/core.h"
 #include "loop/alarm.h"
 #include "loop/clock.h"
@@ -13,7 +13,7 @@
     void event(const core::Event&, std::span<const core::Value>) override {}
 };
 
-class OnCore : public standins::OnLoop {
+class OnCore : public standins::EventLoopTest {
 protected:
     OnCore() {
         alarm.on_due([this] { core.on_alarm(); });
--- a/tests/http/platform_test.cpp
+++ b/tests/http/platform_test.cpp
@@ -37,8 +37,8 @@
 }
 
 std::string why(Request input) {
-    const auto result = understand(std::move(input), settings());
-    const auto* wrong = std::get_if<NotUnderstood>(&result);
+    const auto result = parse_client_request(std::move(input), settings());
+    const auto* wrong = std::get_if<InvalidRequest>(&result);
     return wrong ? wrong->why : "";
 }
 
@@ -50,7 +50,7 @@
     input.fields.add("X-Again", "1");
     input.fields.add("X-Call-Cost", "1500");
     input.body = "body";
-    const auto result = understand(input, settings());
+    const auto result = parse_client_request(input, settings());
     const auto& request = std::get<ClientRequest>(result);
     EXPECT_EQ(request.facts.class_index, 1);
     EXPECT_EQ(request.facts.tenant, 1);
@@ -68,7 +68,7 @@
     input.fields.add("X-Call-Cost", "much");
     input.fields.add("X-Again", "0");
     input.fields.set("X-Budget-Ms", "4000000");
-    const auto result = understand(input, settings());
+    const auto result = parse_client_request(input, settings());
     const auto& request = std::get<ClientRequest>(result);
     EXPECT_FALSE(request.facts.tenant);
     EXPECT_FALSE(request.facts.cost_hint);
@@ -81,7 +81,7 @@
     const auto key = [](const char* cookies) {
         Request input = message("GET", "look");
         input.fields.add("Cookie", cookies);
-        return std::get<ClientRequest>(understand(input, settings())).facts.key;
+        return std::get<ClientRequest>(parse_client_request(input, settings())).facts.key;
     };
     EXPECT_EQ(key("key=ff"), 255U);
     EXPECT_EQ(key("monkey=1;key=a"), 10U);
@@ -168,7 +168,7 @@
     input.fields.add("Idempotency-Key", "k");
     input.fields.add("X-Hop", "1");
     input.fields.add("Connection", "X-Hop, x-call-id, IDEMPOTENCY-KEY");
-    make_onward(input);
+    prepare_upstream_request(input);
     EXPECT_EQ(input.fields["X-Call-Id"], "9b1f03aa5c7e2d41");
     EXPECT_EQ(input.fields["Idempotency-Key"], "k");
     EXPECT_EQ(input.fields.count("X-Hop"), 0U);
@@ -188,7 +188,7 @@
     response.fields.add("X-Other", "1");
     EXPECT_EQ(report_of(response, {"avg_ms", "active"}), (Report{2, 1}));
     EXPECT_TRUE(report_of(response, {}).empty());
-    make_homeward(response);
+    prepare_client_response(response);
     EXPECT_EQ(fields_of(response.fields), "X-Other=1|");
     EXPECT_TRUE(report_of(response, {"active"}).empty());
 }
@@ -225,12 +225,13 @@
 }
 
 TEST(Own, ResponsesAreSerialized) {
-    EXPECT_EQ(to_bytes(refusal(milliseconds(50))),
+    EXPECT_EQ(to_bytes(rejection_response(milliseconds(50))),
               "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.050\r\nContent-Length: 0\r\n\r\n");
-    EXPECT_EQ(to_bytes(refusal(Micros{0})), "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
-    EXPECT_EQ(to_bytes(failure(502)), "HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n");
-    EXPECT_EQ(readiness(true).status, 200);
-    EXPECT_EQ(readiness(false).status, 503);
+    EXPECT_EQ(to_bytes(rejection_response(Micros{0})),
+              "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
+    EXPECT_EQ(to_bytes(error_response(502)), "HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n");
+    EXPECT_EQ(readiness_response(true).status, 200);
+    EXPECT_EQ(readiness_response(false).status, 503);
 }
 
 }  // namespace
--- a/tests/http/back_test.cpp
+++ b/tests/http/upstream_connection_pool_test.cpp
@@ -1,14 +1,14 @@
 // Tests of the HTTP upstream connection pool over real connections, with a core and without a listener: which idle
 // connection it reuses, and how it treats unsolicited bytes. Time-outs that must not fire are set to an hour, so that
 // the tests do not depend on the machine's speed.
-#include "http/back.h"
+#include "http/upstream_connection_pool.h"
 
 #include <gtest/gtest.h>
 
 #include <chrono>
 #include <map>
 
-#include "../rig.h"
+#include "../policy_rig.h"
 #include "http/payload.h"
 #include "loop/sockets.h"
 #include "on_core.h"
@@ -23,9 +23,9 @@
 using standins::peers::Wire;
 using WirePtr = std::shared_ptr<Wire>;
 
-struct Answers final : core::Front {
+struct Answers final : core::Downstream {
     void on_started(std::uint64_t, std::unique_ptr<core::Payload>) override {}
-    void on_final(std::uint64_t token, core::Final answer) override {
+    void on_final(std::uint64_t token, core::FinalAnswer answer) override {
         verdicts[token] = answer.verdict;
         if (answer.answer) bodies[token] = static_cast<ResponsePayload&>(*answer.answer).message.body;
     }
@@ -33,13 +33,13 @@
     std::map<std::uint64_t, std::string> bodies;
 };
 
-// One upstream, and a pool with the given reuse delay (BackOptions::rest).
+// One upstream, and a pool with the given reuse delay (ConnectionPoolOptions::reuse_delay).
 class BackTest : public OnCore {
 protected:
     void start(Micros rest) {
-        BackOptions options;
-        options.rest = rest;
-        back = std::make_unique<Back>(loop.get_executor(), core, clock, budget, options);
+        ConnectionPoolOptions options;
+        options.reuse_delay = rest;
+        back = std::make_unique<UpstreamConnectionPool>(loop.get_executor(), core, clock, budget, options);
         Settings settings = flaxdoor::test::plain_settings();
         for (auto& class_settings : settings.classes)
             class_settings.aim = class_settings.deadline = std::chrono::hours(1);
@@ -61,9 +61,9 @@
         call.pool = pool;
         call.budget = std::chrono::hours(1);
         call.payload = std::make_shared<RequestPayload>(std::move(message));
-        EXPECT_EQ(core.take(std::move(call), answers, ++calls_sent), core::Taken::yes);
+        EXPECT_EQ(core.accept_call(std::move(call), answers, ++calls_sent), core::AcceptResult::accepted);
         WirePtr connection;
-        EXPECT_TRUE(until([&] {
+        EXPECT_TRUE(wait_until([&] {
             for (const WirePtr& wire : upstream.wires) {
                 if (!wire->take().empty()) connection = wire;
             }
@@ -72,15 +72,15 @@
         return connection;
     }
     void serve(const WirePtr& connection, std::uint64_t token, std::string_view extra = "") {
-        connection->say(ok("a" + std::to_string(token)) + std::string(extra));
-        EXPECT_TRUE(until([&] { return answers.verdicts.contains(token); }));
+        connection->send(ok("a" + std::to_string(token)) + std::string(extra));
+        EXPECT_TRUE(wait_until([&] { return answers.verdicts.contains(token); }));
         EXPECT_EQ(answers.bodies[token], "a" + std::to_string(token));
     }
 
-    ConnectionBudget budget;
+    ConnectionLimit budget;
     Answers answers;
     Listener upstream{loop};
-    std::unique_ptr<Back> back;
+    std::unique_ptr<UpstreamConnectionPool> back;
     core::PoolId pool = 0;
     std::uint64_t calls_sent = 0;
 };
@@ -109,12 +109,12 @@
     const WirePtr first = ask(), second = ask();
     serve(first, 1);
     serve(second, 2);
-    first->say(ok("a1"));
-    ASSERT_TRUE(until([&] { return first->ended; }));
+    first->send(ok("a1"));
+    ASSERT_TRUE(wait_until([&] { return first->ended; }));
     const WirePtr third = ask();
     EXPECT_NE(third, second);
-    second->say(ok("a2"));
-    ASSERT_TRUE(until([&] { return second->ended; }));
+    second->send(ok("a2"));
+    ASSERT_TRUE(wait_until([&] { return second->ended; }));
     serve(third, 3);
 }
 
@@ -124,21 +124,21 @@
     const WirePtr first = ask(), second = ask();
     serve(first, 1);
     serve(second, 2);
-    first->say(ok("a1"));  // in the socket's buffer; the event loop has not read it
+    first->send(ok("a1"));  // in the socket's buffer; the event loop has not read it
     const WirePtr third = ask();
     EXPECT_NE(third, first);
     EXPECT_NE(third, second);
     serve(third, 3);
 }
 
-// After take_no_more(), connections in the backlog can still be accepted, and no further connection is established.
+// After stop_accepting(), connections in the backlog can still be accepted, and no further connection is established.
 TEST(Sockets, AListenerThatTakesNoMoreKeepsItsBacklog) {
     boost::asio::io_context loop{1};
     loop::tcp::acceptor acceptor(loop, standins::peers::loopback());
     acceptor.non_blocking(true);
     loop::tcp::socket before(loop), after(loop), accepted(loop);
     before.connect(acceptor.local_endpoint());
-    loop::take_no_more(acceptor);
+    loop::stop_accepting(acceptor);
     after.async_connect(acceptor.local_endpoint(), [](const loop::error_code&) {});
     EXPECT_TRUE(
         standins::run_until(loop, [&] { return standins::connecting_to(acceptor.local_endpoint()); }));
--- a/tests/share.h
+++ b/tests/iterations.h
@@ -7,7 +7,7 @@
 namespace flaxdoor::test {
 
 template <typename Count>
-[[nodiscard]] Count share_of(Count whole, [[maybe_unused]] Count part) {
+[[nodiscard]] Count iterations(Count whole, [[maybe_unused]] Count part) {
 #ifdef __SANITIZE_ADDRESS__
     if (!std::getenv("FLAXDOOR_WHOLE")) return part;
 #endif
--- a/tests/lab/fleet_test.cpp
+++ b/tests/lab/fleet_test.cpp
@@ -348,7 +348,7 @@
     const settings::Fault& first = faults->first().front();
     EXPECT_EQ(first.at.line, bad.line) << first.what;
     EXPECT_NE((first.what + first.key).find(bad.what), std::string::npos) << first.what;
-    EXPECT_NE(first.mend.find(bad.mend), std::string::npos) << first.mend;
+    EXPECT_NE(first.remedy.find(bad.mend), std::string::npos) << first.remedy;
 }
 
 std::string small(const std::string& more) {
--- a/tests/lab/mutations.sh
+++ b/tests/lab/mutations.sh
@@ -23,30 +23,30 @@
 # Name, rule, source, tool, world, what sed does.
 rows() {
     cat <<END
-unsafe_again|2|$decide|hunt|hunt.toml|s/if (c.effect == Effect::unsafe) return false;//
-keyed_window|2|$decide|hunt|hunt.toml|s/if (now + s_.tick >= a.sent_at + r.window) return false;//
-keyed_group|2|$decide|hunt|hunt.toml|s/if (!same_group(c.group, a, upstreams_\[to\].entry)) return false;//
-reset_never_ran|2|$decide|hunt|hunt.toml|s/^\( *a.may_have_run = end.outcome != Outcome::full\) &&/\1 \&\& end.outcome != Outcome::reset \&\&/
-refusal|2|$decide|hunt|hunt.toml|s/^\( *\)if (c.effect == Effect::safe || (c.effect == Effect::keyed && c.group == Group::all)) return true;/\1if (true) return true;/
-cold_budget|4|$decide|hunt|hunt_cold.toml|s/if (share >= 1 || s_.fall_span <= Micros{0}) return true;/return true;/
-drain_unheard|3|$core|hunt|hunt.toml|s/const bool drains = addresses_.put(/const bool drains = false \&\& addresses_.put(/
-answered_twice|1|$core|hunt|hunt.toml|s/if (!open.answered && mine && sent->outcome == Outcome::ok)/if (mine \&\& sent->outcome == Outcome::ok)/
-reset_never_ran_in_order|2|$decide|explore|small.toml|s/^\( *a.may_have_run = end.outcome != Outcome::full\) &&/\1 \&\& end.outcome != Outcome::reset \&\&/
-drain_unheard_in_order|3|$core|explore|small.toml|s/const bool drains = addresses_.put(/const bool drains = false \&\& addresses_.put(/
+unsafe_again|2|$decide|hunt|hunt.toml|s/if (class_settings.effect == Effect::unsafe) return false;//
+keyed_window|2|$decide|hunt|hunt.toml|s/if (now + settings_.tick >= attempt.sent_at + open.dedup_window) return false;//
+keyed_group|2|$decide|hunt|hunt.toml|s/if (!in_same_group(class_settings.group, attempt, upstreams_\[target\].entry)) return false;//
+reset_never_ran|2|$decide|hunt|hunt.toml|s/^\( *attempt.may_have_executed = end.outcome != Outcome::full\) &&/\1 \&\& end.outcome != Outcome::reset \&\&/
+refusal|2|$decide|hunt|hunt.toml|s/^\( *\)if (class_settings.effect == Effect::safe ||$/\1if (true ||/
+cold_budget|4|$decide|hunt|hunt_cold.toml|s/if (fraction >= 1 || settings_.fall_span <= Micros{0}) return true;/return true;/
+drain_unheard|3|$core|hunt|hunt.toml|s/const bool drains = addresses_.update(/const bool drains = false \&\& addresses_.update(/
+answered_twice|1|$core|hunt|hunt.toml|s/if (!open.answered && may_answer && attempt->outcome == Outcome::ok)/if (may_answer \&\& attempt->outcome == Outcome::ok)/
+reset_never_ran_in_order|2|$decide|explore|small.toml|s/^\( *attempt.may_have_executed = end.outcome != Outcome::full\) &&/\1 \&\& end.outcome != Outcome::reset \&\&/
+drain_unheard_in_order|3|$core|explore|small.toml|s/const bool drains = addresses_.update(/const bool drains = false \&\& addresses_.update(/
 late_deadline|1|$core|hunt|hunt.toml|s/open.deadline = received + budget - std::min(unseen, budget \/ 2);/open.deadline = received + 2 * budget;/
-term_from_receipt|shares|$holder|budget|mixed|s/const Time until = asked + at_holder/const Time until = now + at_holder/
-lower_fence|shares|$holder|budget|mixed|s/if (fence <= taken_ || until <= now) return;/if (until <= now) return;/
+term_from_receipt|shares|$holder|budget|mixed|s/const Time until = sent_at + lease_term_at_holder/const Time until = now + lease_term_at_holder/
+lower_fence|shares|$holder|budget|mixed|s/if (fence <= accepted_fence_ || until <= now) return;/if (until <= now) return;/
 reply_before_write|shares|$journal|budget|authority|s/if (now_ < site.writes_fail_until) return;/;/;s/^\( *\)if (site.dies_after) return site_dies(site, site.how);/\1;/;s/if (site.dies_ahead) return site_dies(site, site.how);/const bool dies = site.dies_ahead; const Trouble how = site.how; if (dies) { site_dies(site, how); carry(process.name, false, [this, \&process, reply] { in(process, now_, [this, \&process, reply] { process.holder->on_reply(reply, local(process)); tell_shares(process, true); }); }); return; }/
-full_bucket|work|$allowance|budget|mixed|s/^    lease_ = share;/    lease_ = share; tokens_ = (share.size + reserve_.size - aside_) * permit;/
-places_back_at_once|places|$authority|budget|mixed|s/const Micros held_on = places ? at_authority(terms_.longest, terms_.drift) : Micros{0};/const Micros held_on{0};/
-grown_before_told|shares|$authority|budget|mixed|s/const Amount share = least(wanted, positive(left));/const Amount share = wanted;/
-aside_revived|work|$allowance|budget|mixed|s/^    gone_ += std::max.*;/    ;/
-no_wait_after_start|shares|$authority|budget|mixed|s/if (!start.current) wait(now);/;/
+full_bucket|work|$allowance|budget|mixed|s/^    lease_ = share;/    lease_ = share; tokens_ = (share.size + reserve_.size - reserved_) * tokens_per_permit;/
+places_back_at_once|places|$authority|budget|mixed|s/^\( *\)is_concurrency ? lengthened_by_drift(terms_.max_attempt_duration, terms_.max_clock_drift) : Micros{0};/\1Micros{0};/
+grown_before_told|shares|$authority|budget|mixed|s/const Amount share = component_min(wanted, positive(left));/const Amount share = wanted;/
+aside_revived|work|$allowance|budget|mixed|s/^    revoked_ += std::max.*;/    ;/
+no_wait_after_start|shares|$authority|budget|mixed|s/if (!start.complete) begin_waiting(now);/;/
 old_requests_heeded|shares|$authority|budget|mixed|s/request.number <= found->second.number/request.number == 0/
-superseded_by_grant|shares|$authority|budget|mixed|s/return g.fence < request.taken; })/return g.fence < request.taken || g.fence.seq + 1 < seq_; })/
-lease_never_looked_at|work|$allowance|budget|mixed|s/^    if (at_ < until_ \&\& until_ <= now) {/    if (at_ < until_ \&\& until_ + std::chrono::hours(1) <= now) {/
-fast_clocks_fill|work|$allowance|budget|mixed|s/tokens_ += static_cast<std::int64_t>(come \* pace_/tokens_ += static_cast<std::int64_t>(come * millionths/
-fast_clocks_free|places|$allowance|budget|mixed|s/longest_(drift > 0 ? at_authority(longest, drift) : longest)/longest_(longest)/
+superseded_by_grant|shares|$authority|budget|mixed|s/return g.fence < request.accepted; })/return g.fence < request.accepted || g.fence.seq + 1 < seq_; })/
+lease_never_looked_at|work|$allowance|budget|mixed|s/^    if (updated_at_ < lease_until_ && lease_until_ <= now) {/    if (updated_at_ < lease_until_ \&\& lease_until_ + std::chrono::hours(1) <= now) {/
+fast_clocks_fill|work|$allowance|budget|mixed|s/tokens_ += static_cast<std::int64_t>(accrued \* fill_factor_/tokens_ += static_cast<std::int64_t>(accrued * million/
+fast_clocks_free|places|$allowance|budget|mixed|s/longest_(drift > 0 ? lengthened_by_drift(longest, drift) : longest)/longest_(longest)/
 END
 }
 
--- a/tests/library/cancel_test.cpp
+++ b/tests/library/cancel_test.cpp
@@ -35,7 +35,7 @@
     // cancellation and the handler that it posts need.
     bool cancel(CancellableCall& cancellable, cancellation_type type) {
         cancellable.signal->emit(type);
-        for (int i = 0; i < 3; ++i) settle();
+        for (int i = 0; i < 3; ++i) run_ready();
         return cancellable.completion->completed();
     }
     // Before a byte of the call has been sent, every type cancels it, and nothing reaches the upstream.
@@ -72,7 +72,7 @@
     for (const auto type : types) {
         Balancer balancer(loop.get_executor(), balancer_options);
         auto cancellable = start_cancellable_call(balancer, check_in());
-        settle();  // no server is listed, so the call waits
+        run_ready();  // no server is listed, so the call waits
         ASSERT_FALSE(cancellable.completion->completed());
         expect_never_sent(cancellable, type);
         balancer.set_servers(listed);
@@ -88,7 +88,7 @@
         BalancerOptions balancer_options = options_for({text_of(node.address())});
         Balancer balancer(loop.get_executor(), balancer_options);
         auto cancellable = start_cancellable_call(balancer, check_in());
-        settle();
+        run_ready();
         ASSERT_FALSE(cancellable.completion->completed());
         expect_never_sent(cancellable, type);
         node.reappear(false);
@@ -105,12 +105,12 @@
         CallRequest request = check_in();
         request.body.assign(64 * 1024, 'x');
         auto cancellable = start_cancellable_call(balancer, request);
-        ASSERT_TRUE(until([&] { return peer.something_came(); }));
-        settle();
+        ASSERT_TRUE(wait_until([&] { return peer.something_came(); }));
+        run_ready();
         expect_sent(cancellable, type, name_of(type));
         // Neither the rest of the request nor the whole request again is sent.
         peer.read_all();
-        ASSERT_TRUE(until([&] { return peer.ended(); }));
+        ASSERT_TRUE(wait_until([&] { return peer.ended(); }));
         EXPECT_GT(peer.bytes().size(), 0U);
         EXPECT_LT(peer.bytes().size(), request.body.size());
         EXPECT_EQ(peer.accepted(), 1U);
@@ -130,8 +130,8 @@
             Balancer balancer(loop.get_executor(), options());
             auto cancellable = start_cancellable_call(balancer, check_in());
             const auto triggered = [&](const auto& node) { return node->count_of(Kind::fault) > 0; };
-            ASSERT_TRUE(until([&] { return triggered(nodes[0]) || triggered(nodes[1]); })) << spec;
-            settle();
+            ASSERT_TRUE(wait_until([&] { return triggered(nodes[0]) || triggered(nodes[1]); })) << spec;
+            run_ready();
             const std::string where = std::string(spec) + ", " + name_of(type);
             expect_sent(cancellable, type, where);
             const std::string id = cancellable.completion->result.id;
@@ -171,10 +171,10 @@
         Balancer balancer(loop.get_executor(), balancer_options);
         auto cancellable = start_cancellable_call(balancer, check_in());
         const auto before = nodes[0]->count_of(Kind::turned_away);
-        ASSERT_TRUE(until([&] {
+        ASSERT_TRUE(wait_until([&] {
             return cancellable.completion->completed() || nodes[0]->count_of(Kind::turned_away) > before;
         }));
-        settle();
+        run_ready();
         if (cancellable.completion->completed()) continue;  // the decision module gave the call up
         if (type == cancellation_type::total) {
             EXPECT_FALSE(cancel(cancellable, type)) << "bytes of it have been sent";
@@ -199,16 +199,16 @@
                             asio::bind_cancellation_slot(
                                 signal.slot(), asio::bind_executor(handler_loop, record_into(completion))));
         const auto answered = nodes[0]->counts().answered;
-        ASSERT_TRUE(until([&] { return nodes[0]->counts().answered > answered; }));
+        ASSERT_TRUE(wait_until([&] { return nodes[0]->counts().answered > answered; }));
         expect_served(balancer, look());
         EXPECT_EQ(completion->times, 0);
         signal.emit(type);
-        settle();
+        run_ready();
         handler_loop.run();
         EXPECT_EQ(completion->times, 1);
         EXPECT_EQ(completion->result.verdict, CallVerdict::served) << name_of(type);
         signal.emit(type);  // and after the handler has run
-        settle();
+        run_ready();
         EXPECT_EQ(completion->times, 1);
     }
 }
@@ -231,7 +231,7 @@
     auto open = start_cancellable_call(*second, check_in());
     second.reset();
     open.signal->emit(cancellation_type::terminal);
-    settle();
+    run_ready();
     open.signal->emit(cancellation_type::terminal);
     EXPECT_EQ(open.completion->times, 1);
     EXPECT_EQ(open.completion->result.cause, CallCause::closed);
@@ -315,7 +315,7 @@
     const auto second = std::make_shared<Completion>();
     balancer.async_call(call("none"), asio::bind_cancellation_slot(signal.slot(), record_into(first)));
     balancer.async_call(check_in(), asio::bind_cancellation_slot(signal.slot(), record_into(second)));
-    ASSERT_TRUE(until([&] { return first->completed() && nodes[0]->count_of(Kind::fault) > 0; }));
+    ASSERT_TRUE(wait_until([&] { return first->completed() && nodes[0]->count_of(Kind::fault) > 0; }));
     EXPECT_EQ(first->result.cause, CallCause::bad_request);
     signal.emit(cancellation_type::terminal);
     ASSERT_TRUE(wait_for_completion(second));
@@ -338,7 +338,7 @@
                          }));
     ASSERT_TRUE(wait_for_fault());
     signal.emit(cancellation_type::terminal);
-    ASSERT_TRUE(until([&] { return times > 0; }));
+    ASSERT_TRUE(wait_until([&] { return times > 0; }));
     EXPECT_EQ(answer.result.cause, CallCause::cancelled);
     EXPECT_TRUE(answer.result.may_have_run);
     EXPECT_EQ(answer.result.id, "client-1");
--- a/tests/library/handlers_test.cpp
+++ b/tests/library/handlers_test.cpp
@@ -24,7 +24,7 @@
     int caught = 0;
     while (!other_call->completed() || times < 3) {
         try {
-            ASSERT_TRUE(until([&] { return other_call->completed() && times == 3; }));
+            ASSERT_TRUE(wait_until([&] { return other_call->completed() && times == 3; }));
         } catch (const std::runtime_error& error) {
             EXPECT_STREQ(error.what(), "the host's own");
             ++caught;
@@ -89,11 +89,11 @@
     balancer_options.settings.max_attempts = 2;
     balancer->reconfigure(balancer_options);
     const auto completion = start_call(*balancer, look());
-    ASSERT_NO_THROW(until([&] { return completion->completed() && figures > 3; }));
+    ASSERT_NO_THROW(wait_until([&] { return completion->completed() && figures > 3; }));
     EXPECT_EQ(completion->result.verdict, CallVerdict::served) << text_of(completion->result);
     bool drained = false;
     balancer->async_drain([&] { drained = true; });
-    ASSERT_NO_THROW(until([&] { return drained; }));
+    ASSERT_NO_THROW(wait_until([&] { return drained; }));
     EXPECT_GT(lines, 0);
 }
 
@@ -136,7 +136,7 @@
     bool drained = false;
     balancer.async_drain([&] { drained = true; });
     refusing.refuse(true);
-    ASSERT_NO_THROW(until([&] { return other_call->completed() && drained; }));
+    ASSERT_NO_THROW(wait_until([&] { return other_call->completed() && drained; }));
     EXPECT_EQ(other_call->times, 1);
     EXPECT_TRUE(drained);
     EXPECT_NE(lines.find("a handler could not be posted"), std::string::npos) << lines;
@@ -200,7 +200,7 @@
     }
     handler_loop.poll();
     EXPECT_EQ(refused, 990);
-    ASSERT_TRUE(until([&] {
+    ASSERT_TRUE(wait_until([&] {
         handler_loop.poll();
         return handler_loop.stopped();
     }));
--- a/tests/library/input_test.cpp
+++ b/tests/library/input_test.cpp
@@ -68,7 +68,7 @@
     bad("method", [](auto& request) { request.method = "PO ST"; });
     bad("header", [](auto& request) { request.headers = {{"", "v"}}; });
     bad("header", [](auto& request) { request.headers = {{"a:b", "v"}}; });
-    settle();
+    run_ready();
     EXPECT_EQ(nodes[0]->counts().accepted, 0U);
     EXPECT_EQ(balancer.figures().faults, 0U);
     expect_served(balancer, check_in());
@@ -88,7 +88,7 @@
             ++times;
             answer = std::move(received);
         });
-        EXPECT_TRUE(until([&] { return times > 0; }));
+        EXPECT_TRUE(wait_until([&] { return times > 0; }));
         EXPECT_EQ(times, 1);
         return answer;
     };
@@ -132,7 +132,7 @@
         request.headers.emplace_back("Transfer-Encoding", "chunked");
         request.headers.emplace_back("Content-Length", "3");
     });
-    settle();
+    run_ready();
     EXPECT_EQ(nodes[0]->counts().accepted, 0U);
     // Headers that frame the client's connection are not forwarded. Conflicting ones are rejected, since they
     // may hide a second request.
@@ -201,7 +201,7 @@
     bool closed = false;
     balancer.async_close([&] { closed = true; });
     const auto while_closing = start_call(balancer, check_in());
-    ASSERT_TRUE(until([&] { return closed; }));
+    ASSERT_TRUE(wait_until([&] { return closed; }));
     const auto after_close = start_call(balancer, check_in());
     balancer.set_servers(options().servers);
     balancer.reconfigure(options());
@@ -251,7 +251,7 @@
     bad("servers: n0", [](auto& options) { options.servers.servers[0].weight = -1; });
     bad("operators", [](auto& options) { options.operators = "[http]\nno_such_key = 1\n"; });
     bad("operators", [](auto& options) { options.operators = "[[["; });
-    settle();
+    run_ready();
 }
 
 // A malformed configuration of the daemon throws std::invalid_argument with a one-line message.
@@ -306,7 +306,7 @@
         }
     }
     EXPECT_TRUE(options_from(config(good, "")).servers.servers.empty()) << "there are no zones";
-    settle();
+    run_ready();
 }
 
 TEST_F(Input, NoExecutor) {
@@ -319,7 +319,7 @@
     balancer_options.listen = text_of(taken.local_endpoint());
     EXPECT_THROW(Balancer(loop.get_executor(), balancer_options), boost::system::system_error);
     EXPECT_THROW(BlockingBalancer{balancer_options}, boost::system::system_error);
-    settle();
+    run_ready();
 }
 
 // set_servers() throws for an invalid list, instead of the host's loop, and the old list stays in use.
--- a/tests/library/life_test.cpp
+++ b/tests/library/life_test.cpp
@@ -315,7 +315,7 @@
     add_node(working(milliseconds(30)));
     Balancer balancer(loop.get_executor(), options());
     const auto open = start_call(balancer, check_in());
-    ASSERT_TRUE(until([&] { return nodes[0]->counts().started > 0; }));
+    ASSERT_TRUE(wait_until([&] { return nodes[0]->counts().started > 0; }));
     int drained = 0, closed = 0;
     balancer.async_drain([&] {
         ++drained;
@@ -323,13 +323,13 @@
     });
     balancer.async_drain([&] { ++drained; });
     const auto late = start_call(balancer, check_in());
-    ASSERT_TRUE(until([&] { return drained == 2; }));
+    ASSERT_TRUE(wait_until([&] { return drained == 2; }));
     EXPECT_EQ(open->result.verdict, CallVerdict::served);
     EXPECT_EQ(late->result.cause, CallCause::closed);
     EXPECT_FALSE(late->result.may_have_run);
     balancer.async_drain([&] { ++drained; });  // completes at once, since nothing is open
     balancer.async_close([&] { ++closed; });
-    ASSERT_TRUE(until([&] { return drained == 3 && closed == 1; }));
+    ASSERT_TRUE(wait_until([&] { return drained == 3 && closed == 1; }));
     EXPECT_EQ(nodes[0]->counts().started, 1U);
     EXPECT_EQ(balancer.figures().open, 0U);
     EXPECT_EQ(balancer.figures().served, 1U);
@@ -343,7 +343,7 @@
     int closed = 0;
     const auto fresh = start_call(balancer, check_in());
     balancer.async_close([&] { ++closed; });
-    ASSERT_TRUE(until([&] { return closed == 1; }));
+    ASSERT_TRUE(wait_until([&] { return closed == 1; }));
     EXPECT_EQ(sent->result.cause, CallCause::closed);
     EXPECT_TRUE(sent->result.may_have_run);
     EXPECT_EQ(fresh->result.cause, CallCause::closed);
@@ -359,12 +359,12 @@
     balancer_options.settings.max_attempts = 1000;
     Balancer balancer(loop.get_executor(), balancer_options);
     const auto open = start_call(balancer, check_in());
-    ASSERT_TRUE(until([&] { return nodes[0]->count_of(Kind::turned_away) > 0; }));
-    settle();
+    ASSERT_TRUE(wait_until([&] { return nodes[0]->count_of(Kind::turned_away) > 0; }));
+    run_ready();
     if (open->completed()) GTEST_SKIP() << "the decision module gave the call up";
     bool closed = false;
     balancer.async_close([&] { closed = true; });
-    ASSERT_TRUE(until([&] { return closed && open->completed(); }));
+    ASSERT_TRUE(wait_until([&] { return closed && open->completed(); }));
     EXPECT_EQ(open->result.cause, CallCause::closed);
     EXPECT_FALSE(open->result.may_have_run);
     EXPECT_EQ(effects->counts().ran, 0U);
@@ -379,10 +379,10 @@
     ASSERT_TRUE(wait_for_fault());
     int drained = 0;
     balancer->async_drain([&] { ++drained; });
-    settle();
+    run_ready();
     EXPECT_EQ(drained, 0);
     balancer.reset();
-    ASSERT_TRUE(until([&] { return drained > 0 && open->completed(); }));
+    ASSERT_TRUE(wait_until([&] { return drained > 0 && open->completed(); }));
     EXPECT_EQ(drained, 1);
     EXPECT_EQ(open->times, 1);
     EXPECT_EQ(open->result.cause, CallCause::closed);
--- a/tests/library/middleware_test.cpp
+++ b/tests/library/middleware_test.cpp
@@ -10,24 +10,25 @@
 namespace flaxdoor::test {
 
 // The stage requires a form. Each test replaces it by its own host.
-std::unique_ptr<Form> make_form(asio::io_context& loop) {
-    return std::make_unique<Hosted>(loop, [](asio::io_context& server_loop, const BalancerOptions& options) {
-        return std::make_unique<MiddlewareHost>(server_loop, options);
-    });
+std::unique_ptr<BalancerUnderTest> make_form(asio::io_context& loop) {
+    return std::make_unique<InProcessBalancer>(
+        loop, [](asio::io_context& server_loop, const BalancerOptions& options) {
+            return std::make_unique<MiddlewareHost>(server_loop, options);
+        });
 }
 
 namespace {
 
-class Site : public Stage {
+class Site : public BalancerFixture {
 public:
-    explicit Site(HostPlan plan = {}, int upstreams = 2) : Stage(upstreams) {
-        form = std::make_unique<Hosted>(
+    explicit Site(HostPlan plan = {}, int upstreams = 2) : BalancerFixture(upstreams) {
+        form = std::make_unique<InProcessBalancer>(
             loop, [plan = std::move(plan)](asio::io_context& server_loop, const BalancerOptions& options) {
                 return std::make_unique<MiddlewareHost>(server_loop, options, plan);
             });
         set_deadline(60000);  // longer than any test, so that only the test's own actions end a call
     }
-    Balancer& balancer() { return dynamic_cast<Hosted&>(*form).balancer(); }
+    Balancer& balancer() { return dynamic_cast<InProcessBalancer&>(*form).balancer(); }
 
     // Waits until `holds` returns true for the balancer's figures, and returns them.
     template <typename Holds>
@@ -62,7 +63,7 @@
     const auto request = site.once(60000);
     for (const std::size_t part : {std::size_t{1}, std::size_t{20}, request.size() - 6, request.size() - 1}) {
         const auto client = site.client();
-        client->say(request.substr(0, part));
+        client->send(request.substr(0, part));
         site.settle();
         disconnect(*client);
         site.settle();
@@ -79,12 +80,12 @@
             Site site;
             const auto client = site.start_with_client();
             const auto wire = site.send(*client, safe ? site.look(60000) : site.once(60000));
-            if (half) wire->say("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf");
+            if (half) wire->send("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf");
             site.settle();
             disconnect(*client);
             site.until([&] { return wire->ended; });
             site.expect_abandoned(1);
-            EXPECT_TRUE(site.nothing_sent());
+            EXPECT_TRUE(site.no_request_forwarded());
             EXPECT_EQ(site.connections(), 1U);
         }
     }
@@ -95,30 +96,30 @@
     Site site(HostPlan{}, 1);
     site.upstreams[0]->close();
     const auto client = site.start_with_client();
-    client->say(site.once(60000));
+    client->send(site.once(60000));
     site.wait_for_figures([](const BalancerFigures& now) { return now.attempts > 0; });
     disconnect(*client);
     site.expect_abandoned(1);
-    EXPECT_TRUE(site.nothing_sent());
+    EXPECT_TRUE(site.no_request_forwarded());
 }
 
 // The client disconnects while one request is served and a pipelined one waits.
 TEST_P(Disconnecting, WithAPipelinedRequest) {
     Site site;
     const auto client = site.start_with_client();
-    client->say(site.once(60000, "body", "first") + site.once(60000, "body", "second"));
+    client->send(site.once(60000, "body", "first") + site.once(60000, "body", "second"));
     const auto [wire, request] = site.request();
     EXPECT_EQ(header(request, "X-Call-Id"), "first");
     // RESTinio does not read a connection whose pipeline is full, so it notices the end only with the answer.
     disconnect(*client);
-    wire->say(ok());
+    wire->send(ok());
     site.wait_for_figures([](const BalancerFigures& now) { return now.open == 0 && now.taken >= 1; });
     site.settle();
-    site.drink();
+    site.drain_events();
     // The second request may have been started before the end was reported, and is then cancelled. It is sent
     // at most once.
     std::size_t second_requests = 0;
-    for (auto next = site.request_here(); next.first; next = site.request_here()) {
+    for (auto next = site.received_request(); next.first; next = site.received_request()) {
         EXPECT_EQ(header(next.second, "X-Call-Id"), "second");
         ++second_requests;
         site.until([&] { return next.first->ended; });
@@ -131,14 +132,14 @@
     Site site(HostPlan{}, 1);
     const auto client = site.start_with_client();
     const auto wire = site.send(*client, site.once(60000));
-    Hosted& host = dynamic_cast<Hosted&>(*site.form);
+    InProcessBalancer& host = dynamic_cast<InProcessBalancer&>(*site.form);
     host.hold();
-    wire->say(ok(std::string(64 * 1024, 'x')));
+    wire->send(ok(std::string(64 * 1024, 'x')));
     disconnect(*client);
     host.go_on();
     site.wait_for_figures(
         [](const BalancerFigures& now) { return now.open == 0 && now.served + now.left == 1; });
-    EXPECT_TRUE(site.nothing_sent());
+    EXPECT_TRUE(site.no_request_forwarded());
     const auto next = site.client();
     site.serve(*next);
 }
@@ -148,7 +149,7 @@
 TEST(HalfClose, IsAnsweredAndThenClosed) {
     Site site;
     const auto client = site.start_with_client();
-    client->say(site.once(60000));
+    client->send(site.once(60000));
     client->end_sending();
     const auto wire = site.request().first;
     site.settle();
@@ -165,9 +166,9 @@
     const auto client = site.start_with_client();
     std::string request = site.look(60000);
     request.replace(request.find("HTTP/1.1"), 8, "HTTP/1.0");
-    client->say(request);
+    client->send(request);
     client->end_sending();
-    site.request().first->say(ok("after all"));
+    site.request().first->send(ok("after all"));
     site.until([&] { return client->ended; });
     EXPECT_TRUE(client->in.starts_with("HTTP/1.1 200 ")) << client->in;
     EXPECT_EQ(body(client->take()), "after all");
@@ -190,15 +191,15 @@
     const auto client = site.start_with_client();
     std::string last_request = site.once(60000, "body", "last");
     last_request.insert(last_request.find("Content-Length"), "Connection: close\r\n");
-    client->say(last_request + site.once(60000, "body", "behind"));
+    client->send(last_request + site.once(60000, "body", "behind"));
     const auto [wire, request] = site.request();
     EXPECT_EQ(header(request, "X-Call-Id"), "last");
-    wire->say(ok("last"));
+    wire->send(ok("last"));
     const auto answer = site.answer(*client);
     EXPECT_EQ(body(answer), "last");
     EXPECT_EQ(header(answer, "Connection"), "close");
     site.until([&] { return client->ended; });
-    EXPECT_TRUE(site.nothing_sent());
+    EXPECT_TRUE(site.no_request_forwarded());
     EXPECT_EQ(site.wait_for_figures([](const BalancerFigures& now) { return now.served == 1; }).taken, 1U);
 }
 
@@ -208,9 +209,9 @@
 TEST(Bodies, FarTooLargeClosesTheConnection) {
     Site site;
     const auto client = site.start_with_client();
-    client->say(site.once(60000, std::string(300000, 'x')));
+    client->send(site.once(60000, std::string(300000, 'x')));
     site.until([&] { return client->ended; });
-    EXPECT_TRUE(site.nothing_sent());
+    EXPECT_TRUE(site.no_request_forwarded());
     EXPECT_EQ(site.balancer().figures().taken, 0U);
 }
 
@@ -226,9 +227,9 @@
                       "Transfer-Encoding: chunked\r\n\r\n5\r\n01234\r\n5\r\n56789\r\n0\r\n\r\n";
         }
         const auto client = site.client();
-        client->say(request.substr(0, request.size() - 8));
-        EXPECT_TRUE(site.nothing_sent());
-        client->say(request.substr(request.size() - 8));
+        client->send(request.substr(0, request.size() - 8));
+        EXPECT_TRUE(site.no_request_forwarded());
+        client->send(request.substr(request.size() - 8));
         const auto [wire, got] = site.request();
         EXPECT_EQ(body(got), "0123456789");
         EXPECT_EQ(header(got, "Content-Length"), "10");
@@ -273,7 +274,7 @@
     }
     site.serve(*client, site.look(), "node's");
     EXPECT_EQ(status(site.ask(*client, ready)), 200);
-    client->say(
+    client->send(
         "GET /api/below HTTP/1.1\r\nHost: x\r\n\r\n");  // the mount's path, but not one that upstreams have
     EXPECT_EQ(status(site.answer(*client)), 404);
 }
@@ -289,17 +290,17 @@
     const auto wire = site.send(*client, site.once(60000));
     for (int i = 0; i < 3; ++i) {
         const auto other = site.client();
-        other->say("GET /page HTTP/1.1\r\nHost: x\r\n\r\n");
+        other->send("GET /page HTTP/1.1\r\nHost: x\r\n\r\n");
         EXPECT_EQ(site.answer(*other), "");
     }
     // If the connection also has an open balancer call, that call is cancelled and not repeated.
     const auto shared = site.client();
     const auto second = site.send(*shared, site.once(60000));
-    shared->say("GET /page HTTP/1.1\r\nHost: x\r\n\r\n");
+    shared->send("GET /page HTTP/1.1\r\nHost: x\r\n\r\n");
     EXPECT_EQ(site.answer(*shared), "");
     site.until([&] { return second->ended; });
     site.pass(*wire, *client, "none the worse");
-    EXPECT_TRUE(site.nothing_sent());
+    EXPECT_TRUE(site.no_request_forwarded());
     site.expect_abandoned(1);
 }
 
@@ -323,23 +324,23 @@
         const auto client = site.start_with_client();
         const auto first = site.send(*client, site.once(60000));
         const auto slow = site.client();
-        slow->say("GET /page HTTP/1.1\r\nHost: x\r\n\r\n");
+        slow->send("GET /page HTTP/1.1\r\nHost: x\r\n\r\n");
         blocked->get_future().wait();
         if (own_loop) {
             // The call is retried at the other upstream, and served while the server's loop is blocked.
-            first->say("HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n");
-            site.request().first->say(ok("the answer"));
+            first->send("HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n");
+            site.request().first->send(ok("the answer"));
             site.wait_for_figures(
                 [](const BalancerFigures& now) { return now.served == 1 && now.attempts == 2; });
         } else {
-            first->say(ok("the answer"));
-            site.drink();
+            first->send(ok("the answer"));
+            site.drain_events();
         }
         EXPECT_TRUE(client->in.empty());
         unblock->set_value();
         EXPECT_EQ(body(site.answer(*client)), "the answer");
         EXPECT_EQ(body(site.answer(*slow)), "slow");
-        EXPECT_TRUE(site.nothing_sent());
+        EXPECT_TRUE(site.no_request_forwarded());
     }
 }
 
@@ -360,7 +361,7 @@
         for (const std::string path : {"/api", "/booking"}) {
             std::string request = site.look(60000);
             request.replace(request.find("/api"), 4, path);
-            client->say(request);
+            client->send(request);
             const auto [wire, got] = site.request();
             EXPECT_TRUE(got.starts_with("GET /api?q=1 HTTP/1.1\r\n")) << got;
             site.pass(*wire, *client, path);
@@ -454,7 +455,7 @@
     mount_->left(7);
     // A reused connection number inherits nothing from the previous connection.
     serve(request(7, "b"));
-    wait_for_request("b")->say(ok());
+    wait_for_request("b")->send(ok());
     until([&] { return answers_.size() == 1; });
     EXPECT_EQ(answers_, (Answers{{"b", 200}}));
 }
@@ -465,7 +466,7 @@
     serve(request(7, "a"));
     serve(request(7, "b"));
     const auto wire = wait_for_request("a");
-    wire->say(ok());
+    wire->send(ok());
     std::size_t open_calls = 0;
     until([&] {
         // Stops once the call has ended, with its handler still pending in the loop.
--- a/tests/library/process_test.cpp
+++ b/tests/library/process_test.cpp
@@ -72,7 +72,7 @@
                     static_cast<std::uint16_t>(std::stoi(balancer.address().substr(10)))});
     // A listener, a client connection, an upstream connection, and one or two to service discovery.
     std::vector<int> sockets;
-    ASSERT_TRUE(until([&] {
+    ASSERT_TRUE(wait_until([&] {
         sockets = sockets_of(balancer, {nodes[0]->address().port(), roster.address().port()});
         return sockets.size() >= 4;
     }));
@@ -198,7 +198,7 @@
         const auto completion = start_call(balancer, check_in(milliseconds(50)));
         ASSERT_TRUE(wait_for_completion(completion));
     }
-    settle();
+    run_ready();
     EXPECT_EQ(testing::internal::GetCapturedStdout(), "");
     EXPECT_EQ(testing::internal::GetCapturedStderr(), "");
     ::sigaction(SIGPIPE, nullptr, &after);
--- a/tests/library/rig.h
+++ b/tests/library/rig.h
@@ -12,7 +12,7 @@
 #include <utility>
 #include <vector>
 
-#include "../on_loop.h"
+#include "../event_loop_test.h"
 #include "flaxdoor/balancer.h"
 #include "standins/peers.h"
 
@@ -103,7 +103,7 @@
 }
 
 // Upstream stand-ins and instances on one loop, which the test runs.
-class LibraryTest : public standins::OnLoop {
+class LibraryTest : public standins::EventLoopTest {
 protected:
     std::shared_ptr<standins::Effects> effects = std::make_shared<standins::Effects>();
     std::vector<std::unique_ptr<BookingNode>> nodes;
@@ -133,14 +133,14 @@
     }
     // Waits until a stand-in has triggered its fault.
     bool wait_for_fault(std::size_t node = 0) {
-        return until([&] { return nodes[node]->count_of(Kind::fault) > 0; });
+        return wait_until([&] { return nodes[node]->count_of(Kind::fault) > 0; });
     }
     template <typename... Completions>
     bool wait_for_completion(const Completions&... completions) {
-        return until([&] { return (completions->completed() && ...); });
+        return wait_until([&] { return (completions->completed() && ...); });
     }
     bool wait_for_completion(const std::vector<CompletionPointer>& all) {
-        return until([&] {
+        return wait_until([&] {
             return std::all_of(all.begin(), all.end(),
                                [](const auto& completion) { return completion->completed(); });
         });
--- a/tests/library/tokens_test.cpp
+++ b/tests/library/tokens_test.cpp
@@ -31,10 +31,10 @@
                        asio::bind_cancellation_slot(signal.slot(), [&](std::exception_ptr) { over = true; }));
         EXPECT_TRUE(wait_for_fault());
         signal.emit(type);
-        for (int i = 0; i < 3; ++i) settle();
+        for (int i = 0; i < 3; ++i) run_ready();
         const auto result_of_first = result;
         if (and_terminal && !over) signal.emit(cancellation_type::terminal);
-        EXPECT_TRUE(until([&] { return over; }));
+        EXPECT_TRUE(wait_until([&] { return over; }));
         return result_of_first;
     }
 };
@@ -42,14 +42,14 @@
 TEST_F(Tokens, Future) {
     Balancer& balancer = make_balancer();
     auto future = balancer.async_call(check_in(), asio::use_future);
-    ASSERT_TRUE(until([&] { return future.wait_for(seconds(0)) == std::future_status::ready; }));
+    ASSERT_TRUE(wait_until([&] { return future.wait_for(seconds(0)) == std::future_status::ready; }));
     EXPECT_EQ(future.get().verdict, CallVerdict::served);
     // A failed call is reported as a result, not as an exception.
     auto bad = balancer.async_call(call("none"), asio::use_future);
-    ASSERT_TRUE(until([&] { return bad.wait_for(seconds(0)) == std::future_status::ready; }));
+    ASSERT_TRUE(wait_until([&] { return bad.wait_for(seconds(0)) == std::future_status::ready; }));
     EXPECT_EQ(bad.get().cause, CallCause::bad_request);
     auto drained = balancer.async_drain(asio::use_future);
-    ASSERT_TRUE(until([&] { return drained.wait_for(seconds(0)) == std::future_status::ready; }));
+    ASSERT_TRUE(wait_until([&] { return drained.wait_for(seconds(0)) == std::future_status::ready; }));
 }
 
 TEST_F(Tokens, Awaitable) {
@@ -64,7 +64,7 @@
             drained = true;
         },
         asio::detached);
-    ASSERT_TRUE(until([&] { return drained; }));
+    ASSERT_TRUE(wait_until([&] { return drained; }));
     EXPECT_EQ(result->verdict, CallVerdict::served);
 }
 
@@ -103,10 +103,10 @@
             result = co_await balancer.async_call(check_in(), asio::use_awaitable);
         },
         asio::bind_cancellation_slot(signal.slot(), asio::detached));
-    settle();
+    run_ready();
     ASSERT_FALSE(result);
     signal.emit(cancellation_type::total);
-    ASSERT_TRUE(until([&] { return result.has_value(); }));
+    ASSERT_TRUE(wait_until([&] { return result.has_value(); }));
     EXPECT_EQ(result->cause, CallCause::cancelled);
     EXPECT_FALSE(result->may_have_run);
 }
@@ -120,13 +120,13 @@
     auto operation = balancer->async_call(check_in(), asio::deferred);
     auto never_started = balancer->async_call(check_in(), asio::deferred);
     auto started_late = balancer->async_call(check_in(), asio::deferred);
-    settle();
+    run_ready();
     EXPECT_EQ(nodes[0]->counts().begun, 0U);
     std::move(operation)(record_into(completion));
     ASSERT_TRUE(wait_for_completion(completion));
     EXPECT_EQ(completion->result.verdict, CallVerdict::served);
     balancer.reset();
-    settle();
+    run_ready();
     std::move(started_late)(record_into(late));
     ASSERT_TRUE(wait_for_completion(late));
     EXPECT_EQ(late->result.cause, CallCause::closed);
@@ -149,7 +149,7 @@
                                 ++on_pool;
                             }));
     }
-    ASSERT_TRUE(until([&] { return on_pool == calls; }));
+    ASSERT_TRUE(wait_until([&] { return on_pool == calls; }));
     pool.join();
     EXPECT_EQ(on_test_thread, 0);
 }
@@ -162,7 +162,7 @@
     int seen = 0;
     balancer.async_call(look(),
                         [&seen, owned = std::move(owned), large](CallResult) { seen = *owned + large[0]; });
-    ASSERT_TRUE(until([&] { return seen != 0; }));
+    ASSERT_TRUE(wait_until([&] { return seen != 0; }));
     EXPECT_EQ(seen, 7);
 }
 
--- a/tests/log/log_test.cpp
+++ b/tests/log/log_test.cpp
@@ -200,7 +200,7 @@
     log.on_pending([&] { ++callbacks; });
     const std::string text(100, 'x');
     constexpr int lines = 3000;  // a pipe holds some 64 KiB
-    for (int i = 0; i < lines; ++i) log.tell(events::operators_fault, text);
+    for (int i = 0; i < lines; ++i) log.write(events::operators_fault, text);
     EXPECT_EQ(callbacks, 1);
     std::string all = pipe.read();
     log.retry();
@@ -212,7 +212,7 @@
     EXPECT_GT(written, 100U);
     EXPECT_EQ(all.substr(end), "log: " + std::to_string(lines - written) +
                                    " lines dropped because they were not read in time\n");
-    log.tell(events::draining);
+    log.write(events::draining);
     EXPECT_EQ(pipe.read(), "draining\n");
 }
 
@@ -229,7 +229,7 @@
     for (std::size_t i = 0; !log.has_pending(); ++i) {
         const std::string text(1 + i * 37 % 211, 'x');
         logged += "store: " + text + "\n";
-        log.tell(events::store_trouble, text);
+        log.write(events::store_trouble, text);
     }
     std::string shown;
     const auto read = [&] {
@@ -240,7 +240,7 @@
         }
     };
     for (; log.has_pending(); log.retry()) read();
-    log.tell(events::drained);
+    log.write(events::drained);
     while (!shown.ends_with("drained\n")) read();
     EXPECT_EQ(shown, logged + "drained\n");
     ::close(terminal);
@@ -258,12 +258,12 @@
         log.set(options);
         sink.remaining = 0;
         for (int i = 0; i < 10'000; ++i) {
-            log.tell(core::events::from_module, "flood");
+            log.write(core::events::from_module, "flood");
             clock.at += 1ms;
-            if (i % 2000 == 0) log.tell(events::discovery_call_failed, std::to_string(i));
+            if (i % 2000 == 0) log.write(events::discovery_call_failed, std::to_string(i));
         }
         sink.remaining = -1;
-        log.tell(events::draining);
+        log.write(events::draining);
         EXPECT_EQ(sink.count("discovery: call failed"), 5U);
         EXPECT_EQ(sink.lines.back(), "draining");
         if (!limited) {
@@ -280,17 +280,17 @@
         Options options;
         options.rate = {2, 3};
         log.set(options);
-        for (int i = 0; i < 10; ++i) log.tell(core::events::from_module, "m");
+        for (int i = 0; i < 10; ++i) log.write(core::events::from_module, "m");
         EXPECT_EQ(sink.count("m"), 3U);
         EXPECT_TRUE(log.has_pending());
-        log.tell(events::draining);
+        log.write(events::draining);
         EXPECT_EQ(sink.lines.back(), "draining")
             << "the suppressed lines of another event are not reported too early";
         clock.at += 500ms;
         log.retry();
         EXPECT_EQ(sink.lines.back(), "log: 7 lines of event module suppressed by the rate limit");
         EXPECT_FALSE(log.has_pending());
-        for (int i = 0; i < 3; ++i) log.tell(core::events::from_module, "m");
+        for (int i = 0; i < 3; ++i) log.write(core::events::from_module, "m");
         EXPECT_EQ(sink.count("m"), 4U);
     }
     EXPECT_EQ(sink.lines.back(), "log: 2 lines of event module suppressed by the rate limit")
@@ -325,9 +325,9 @@
         ASSERT_TRUE(std::holds_alternative<settings::Values>(reading));
         log.set(std::get<Options>(options_from(std::get<settings::Values>(reading))));
         sink.lines.clear();
-        log.tell(core::events::from_module, "m");
-        log.tell(events::discovery_watch_failed, "w");
-        log.tell(core::events::fault, "f");
+        log.write(core::events::from_module, "m");
+        log.write(events::discovery_watch_failed, "w");
+        log.write(core::events::fault, "f");
         EXPECT_EQ(sink.lines, each.written) << each.file;
     }
 }
@@ -367,9 +367,9 @@
                 clock.at += Micros(random() % 20'000);
                 const std::string text(random() % 900, 'x');
                 switch (random() % 3) {
-                    case 0: log.tell(events::draining); break;
-                    case 1: log.tell(events::operators_fault, text); break;
-                    case 2: log.tell(core::events::fault, text); break;
+                    case 0: log.write(events::draining); break;
+                    case 1: log.write(events::operators_fault, text); break;
+                    case 2: log.write(core::events::fault, text); break;
                 }
                 ++logged;
                 if (random() % 10 == 0) log.retry();
--- a/tests/membership/roster_machine_test.cpp
+++ b/tests/membership/discovery_parser_test.cpp
@@ -1,5 +1,5 @@
 // Tests the parser of discovery responses: every split and truncation of a response, and lists that cannot be used.
-#include "membership/roster_machine.h"
+#include "membership/discovery_parser.h"
 
 #include <gtest/gtest.h>
 
@@ -170,7 +170,7 @@
     EXPECT_EQ(parsed.members[0].entry.started_at, Time(5000));
     EXPECT_EQ(parsed.members[0].address, "127.0.0.1:7001");
     EXPECT_EQ(parsed.members[1].entry.state, UpstreamState::gone);
-    EXPECT_EQ(parsed.members[1].entry.id, id_of("b"));
+    EXPECT_EQ(parsed.members[1].entry.id, upstream_id_of("b"));
     for (const std::string& bad :
          {std::string("{"), std::string("[]"), std::string("null"), list(1, true, "7"), list(1, true, "[{}]"),
           list(1, true, "{}"), std::string(R"({"seq":1,"whole":true})"),
@@ -189,7 +189,7 @@
         std::string left_out;
         const auto parsed = parse_list(list(8, false, bad + "," + host("a", "leaving")), names, &left_out);
         ASSERT_EQ(parsed.members.size(), 2U) << bad;
-        EXPECT_EQ(parsed.members[0].entry.id, id_of("x")) << bad;
+        EXPECT_EQ(parsed.members[0].entry.id, upstream_id_of("x")) << bad;
         EXPECT_EQ(parsed.members[0].entry.state, UpstreamState::gone) << bad;
         EXPECT_EQ(parsed.members[1].entry.state, UpstreamState::draining) << bad;
         EXPECT_TRUE(left_out.starts_with("x: ")) << left_out;
@@ -198,9 +198,9 @@
 
 // All balancers must compute the same id for an upstream: the module orders upstreams by it.
 TEST(List, IdsDependOnNamesOnly) {
-    EXPECT_EQ(id_of("s-5be2a07c"), id_of("s-5be2a07c"));
-    EXPECT_NE(id_of("s-5be2a07c"), id_of("s-5be2a07d"));
-    EXPECT_EQ(id_of("a"), 0xaf63dc4c8601ec8cULL);
+    EXPECT_EQ(upstream_id_of("s-5be2a07c"), upstream_id_of("s-5be2a07c"));
+    EXPECT_NE(upstream_id_of("s-5be2a07c"), upstream_id_of("s-5be2a07d"));
+    EXPECT_EQ(upstream_id_of("a"), 0xaf63dc4c8601ec8cULL);
 }
 
 }  // namespace
--- a/tests/plain_config.h
+++ b/tests/minimal_config.h
@@ -14,7 +14,7 @@
             {"late_worth", 0.5}, {"group", "zone"}, {"window", 1500.0}};
 }
 
-inline json plain(const std::string& upstream = "127.0.0.1:1") {
+inline json minimal_config(const std::string& upstream = "127.0.0.1:1") {
     const json host = {
         {"host", "s-0"}, {"dial", upstream}, {"site", "here"}, {"class", "full node"}, {"health", "active"}};
     return {{"name", "n0"},
--- a/tests/pg/budget_test.cpp
+++ b/tests/pg/budget_test.cpp
@@ -1,19 +1,19 @@
 // A statement for which a fleet budget has no permit is rejected at once and never executed, and the session
 // continues.
-#include "quota.h"
+#include "fake_admission.h"
 #include "rig.h"
 
 namespace flaxdoor::pg::test {
 namespace {
 
-using flaxdoor::test::Quota;
+using flaxdoor::test::FakeAdmission;
 
 TEST(PgBudget, StatementWithoutPermitIsNotExecutedAndGetsARetryTime) {
-    Quota quota;
+    FakeAdmission quota;
     Rig rig(&quota);
     rig.start({"a"});
     const auto client = Client::logged_in(rig);
-    quota.calls = 0;
+    quota.remaining_calls = 0;
     for (const std::string& bytes : {simple(insert(1)), unit(insert(1))}) {
         const Answer refused = client->ask(bytes);
         EXPECT_EQ(refused.code, "53000") << refused.text;
@@ -22,7 +22,7 @@
         EXPECT_EQ(refused.status, 'I');
     }
     EXPECT_EQ(rig.journal.effects[1].executed, 0);
-    quota.calls = Quota::no_limit;
+    quota.remaining_calls = FakeAdmission::no_limit;
     EXPECT_EQ(client->ask(simple(insert(1))).errors, 0);
     EXPECT_EQ(rig.journal.effects[1].committed, 1);
 }
@@ -30,11 +30,11 @@
 // A transaction is one call, under the permit of its first statement, so none is aborted halfway for lack of
 // another permit.
 TEST(PgBudget, StartedTransactionNeedsNoFurtherPermit) {
-    Quota quota;
+    FakeAdmission quota;
     Rig rig(&quota);
     rig.start({"a"});
     const auto client = Client::logged_in(rig);
-    quota.calls = 1;
+    quota.remaining_calls = 1;
     EXPECT_EQ(client->ask(simple("BEGIN")).status, 'T');
     EXPECT_EQ(client->ask(simple(insert(1))).errors, 0);
     EXPECT_EQ(client->ask(unit(insert(2))).errors, 0);
@@ -49,11 +49,11 @@
 // The server is dead, and there is no permit for another attempt: the statement was not executed, and the
 // client is told so.
 TEST(PgBudget, RetryWithoutPermitIsRejected) {
-    Quota quota;
+    FakeAdmission quota;
     Rig rig(&quota);
     rig.start({"a", "b"});
     const auto client = Client::logged_in(rig);
-    quota.further = 0;
+    quota.remaining_retries = 0;
     std::size_t served = 0;
     for (long i = 1; i <= 20 && quota.refused == 0; ++i) {
         rig.servers[static_cast<std::size_t>(i % 2)]->die(true);
@@ -66,7 +66,7 @@
         rig.servers[static_cast<std::size_t>(i % 2)]->restart();
     }
     EXPECT_GT(quota.refused, 0) << served << " served";
-    quota.further = Quota::no_limit;
+    quota.remaining_retries = FakeAdmission::no_limit;
     EXPECT_EQ(client->ask(simple(insert(99))).errors, 0);
 }
 
--- a/tests/pg/hard_cases_test.cpp
+++ b/tests/pg/hard_cases_test.cpp
@@ -363,12 +363,12 @@
 
 TEST(BadClient, SlowClientsAreClosed) {
     struct {
-        Micros FrontLimits::*limit;
+        Micros ListenerLimits::*limit;
         string login, says, code;
     } const all[] = {
-        {&FrontLimits::login, "", "", "08P01"},
-        {&FrontLimits::message, "in", simple("SELECT 1").substr(0, 8), "08P01"},
-        {&FrontLimits::idle_transaction, "in", simple("BEGIN"), "25P03"},
+        {&ListenerLimits::login, "", "", "08P01"},
+        {&ListenerLimits::message, "in", simple("SELECT 1").substr(0, 8), "08P01"},
+        {&ListenerLimits::idle_transaction, "in", simple("BEGIN"), "25P03"},
     };
     for (const auto& each : all) {
         Rig rig;
--- a/tests/pg/pool_test.cpp
+++ b/tests/pg/pool_test.cpp
@@ -73,7 +73,7 @@
     pool.set_server(1, "x", true);
     pool.request_connection(key(1), 1, "u", start);
     pool.on_login(pull_all(pool).at(0).connection, LoginResult::local_failure, start);
-    EXPECT_EQ(pull_all(pool).at(0).outcome, Outcome::moot);
+    EXPECT_EQ(pull_all(pool).at(0).outcome, Outcome::inconclusive);
 }
 
 TEST(Pool, DrainClosesIdleConnectionsAndRejectsAttempts) {
@@ -88,7 +88,7 @@
     pool.request_connection(key(2), 1, "u", start);
     const auto actions = pull_all(pool);
     ASSERT_EQ(actions.size(), 1u);
-    EXPECT_EQ(actions[0].outcome, Outcome::moot);
+    EXPECT_EQ(actions[0].outcome, Outcome::inconclusive);
     pool.on_free(connection, start);
     EXPECT_EQ(pull_all(pool).at(0).kind, Kind::close);
 }
--- a/tests/pg/rig.h
+++ b/tests/pg/rig.h
@@ -14,10 +14,10 @@
 #include <vector>
 
 #include "core/core.h"
+#include "fake_admission.h"
 #include "loop/alarm.h"
 #include "loop/clock.h"
 #include "pg/service.h"
-#include "quota.h"
 #include "standins/pg_client.h"
 #include "standins/pg_server.h"
 #include "standins/pg_text.h"
@@ -76,7 +76,7 @@
         member.address = "127.0.0.1:" + std::to_string(servers[i]->port());
         member.entry.id = id_of(names[i]);
         member.entry.state = state;
-        member.entry.memory.emplace().limit = static_cast<double>(pool.connections);
+        member.entry.restored.emplace().concurrency_limit = static_cast<double>(pool.connections);
         return member;
     }
 
@@ -102,7 +102,7 @@
         db.settings.retry_after = true;
         db.settings.max_retry_after = 60s;
         db.settings.may_cancel = true;
-        db.settings.fair_share = static_cast<double>(pool.connections);
+        db.settings.min_in_flight_per_upstream = static_cast<double>(pool.connections);
         for (const Effect effect : {Effect::unsafe, Effect::safe}) {
             if (effect == Effect::safe && !safe) continue;
             ClassSettings class_settings;
--- a/tests/rig.h
+++ b/tests/policy_rig.h
@@ -1,4 +1,4 @@
-// A test harness for a Policy: Recorder records the actions that the Policy requests, and Rig sends it
+// A test harness for a Policy: Recorder records the actions that the Policy requests, and PolicyRig sends it
 // events.
 #pragma once
 
@@ -30,7 +30,7 @@
         submits.push_back({request, upstream, timeout});
         record("submit", request);
     }
-    void refuse(RequestId request, Micros) override {
+    void reject(RequestId request, Micros) override {
         refused.push_back(request);
         record("refuse", request);
     }
@@ -60,7 +60,7 @@
         closed.push_back(upstream);
         record("close", upstream);
     }
-    void tell(std::optional<int> peer, std::string_view payload) override {
+    void send_to_peer(std::optional<int> peer, std::string_view payload) override {
         peer_messages.emplace_back(peer, payload);
         record("tell", payload.size());
     }
@@ -100,7 +100,7 @@
     Settings settings;
     settings.zones = 2;
     settings.tick = milliseconds(1);
-    const auto add = [&](const char* name, Effect effect, Group group) {
+    const auto add = [&](const char* name, Effect effect, DeduplicationScope group) {
         ClassSettings class_settings;
         class_settings.name = name;
         class_settings.aim = milliseconds(100);
@@ -111,11 +111,11 @@
         class_settings.window = milliseconds(400);
         settings.classes.push_back(class_settings);
     };
-    add("safe", Effect::safe, Group::all);
-    add("keyed in the zone", Effect::keyed, Group::zone);
-    add("unsafe", Effect::unsafe, Group::all);
-    add("keyed everywhere", Effect::keyed, Group::all);
-    add("keyed in the cell", Effect::keyed, Group::cell);
+    add("safe", Effect::safe, DeduplicationScope::all);
+    add("keyed in the zone", Effect::keyed, DeduplicationScope::zone);
+    add("unsafe", Effect::unsafe, DeduplicationScope::all);
+    add("keyed everywhere", Effect::keyed, DeduplicationScope::all);
+    add("keyed in the cell", Effect::keyed, DeduplicationScope::cell);
     settings.max_attempts = 4;
     settings.may_cancel = true;
     settings.parallel_attempts = true;
@@ -126,9 +126,9 @@
     return settings;
 }
 
-class Rig {
+class PolicyRig {
 public:
-    explicit Rig(Settings settings = plain_settings(), std::uint64_t seed = 1)
+    explicit PolicyRig(Settings settings = plain_settings(), std::uint64_t seed = 1)
         : policy(std::make_unique<Policy>(settings, seed, now, sink)) {}
 
     static UpstreamEntry entry(UpstreamId id, int zone = 0, UpstreamState state = UpstreamState::ready,
@@ -190,7 +190,7 @@
         attempt_end.request = id;
         attempt_end.attempt = attempt;
         attempt_end.outcome = outcome;
-        attempt_end.closed = outcome == Outcome::ok;
+        attempt_end.request_answered = outcome == Outcome::ok;
         attempt_end.latency = latency;
         attempt_end.report = std::move(report);
         policy->on_attempt_end(now, attempt_end);
--- a/tests/program.h
+++ b/tests/program.h
@@ -17,13 +17,13 @@
     return {std::istreambuf_iterator<char>(in), {}};
 }
 
-struct Ended {
+struct ProgramResult {
     int status = -1;  // exit status; -1: ended by a signal
     std::string out, err;
 };
 
-inline Ended run_program(const std::string& program, const std::string& arguments,
-                         const std::filesystem::path& folder) {
+inline ProgramResult run_program(const std::string& program, const std::string& arguments,
+                                 const std::filesystem::path& folder) {
     const std::string out = folder / "out", err = folder / "err";
     const std::string command = "'" + program + "' " + arguments + " >'" + out + "' 2>'" + err + "'";
     const int status = std::system(command.c_str());
--- a/tests/property_test.cpp
+++ b/tests/property_test.cpp
@@ -8,7 +8,7 @@
 #include <random>
 #include <stdexcept>
 
-#include "rig.h"
+#include "policy_rig.h"
 
 namespace flaxdoor::test {
 namespace {
@@ -34,7 +34,7 @@
 class Checker : public Actions {
 public:
     Checker(const Settings& settings, std::uint32_t seed)
-        : settings(settings), random(seed), policy(settings, seed, now, *this) {}
+        : settings(settings), random(seed), policy_(settings, seed, now, *this) {}
 
     void submit(RequestId id, UpstreamId upstream, Micros timeout) override {
         TrackedRequest& tracked = requests.at(id);
@@ -51,10 +51,10 @@
             if (!attempt.may_have_executed || class_settings.effect == Effect::safe) continue;
             EXPECT_EQ(class_settings.effect, Effect::keyed) << "an unsafe request was sent twice";
             EXPECT_LT(now, attempt.at + class_settings.window);
-            if (class_settings.group == Group::zone) {
+            if (class_settings.group == DeduplicationScope::zone) {
                 EXPECT_EQ(attempt.to.zone, to.zone);
             }
-            if (class_settings.group == Group::cell) {
+            if (class_settings.group == DeduplicationScope::cell) {
                 EXPECT_EQ(attempt.to.cell, to.cell);
             }
         }
@@ -63,11 +63,12 @@
         tracked.attempts.back().reused = idle_connections[upstream] > 0;
         idle_connections[upstream] -= tracked.attempts.back().reused;
     }
-    void refuse(RequestId id, Micros) override {
+    void reject(RequestId id, Micros) override {
         const TrackedRequest& tracked = requests.at(id);
         const ClassSettings& class_settings = tracked.class_settings;
-        const bool harmless = class_settings.effect == Effect::safe ||
-                              (class_settings.effect == Effect::keyed && class_settings.group == Group::all);
+        const bool harmless =
+            class_settings.effect == Effect::safe ||
+            (class_settings.effect == Effect::keyed && class_settings.group == DeduplicationScope::all);
         for (const SentAttempt& attempt : tracked.attempts)
             EXPECT_TRUE(harmless || !attempt.may_have_executed) << "refused, but may have been executed";
         end(id, "refuse");
@@ -86,8 +87,8 @@
     void unwatch() override { record("unwatch", 0); }
     void fetch() override { record("fetch", 0); }
     void close_idle(UpstreamId upstream) override { idle_connections[upstream] = 0; }
-    void tell(std::optional<int>, std::string_view payload) override {
-        EXPECT_TRUE(settings.may_tell_peers);
+    void send_to_peer(std::optional<int>, std::string_view payload) override {
+        EXPECT_TRUE(settings.may_message_peers);
         EXPECT_LE(payload.size(), 256u);
     }
     void log(std::string_view) override {}
@@ -100,7 +101,7 @@
         for (UpstreamId id = 1; id <= 8; ++id) {
             UpstreamEntry& entry = listed[id];
             if (entry.id == 0)
-                entry = Rig::entry(id, id > 5, UpstreamState::ready, Time{}, static_cast<int>(id % 3));
+                entry = PolicyRig::entry(id, id > 5, UpstreamState::ready, Time{}, static_cast<int>(id % 3));
             if (below(5) == 0) {
                 entry.state = static_cast<UpstreamState>(below(3));
                 if (entry.state == UpstreamState::ready && below(2) == 0)
@@ -114,7 +115,7 @@
                 changed.push_back(entry);
             }
         }
-        policy.on_list(now, full ? ListKind::full : ListKind::delta, changed);
+        policy_.on_list(now, full ? ListKind::full : ListKind::delta, changed);
     }
     void request() {
         TrackedRequest tracked;
@@ -126,7 +127,7 @@
         if (below(4) == 0) tracked.request.pinned = 1 + below(9);  // 9 is never listed
         tracked.class_settings = settings.classes[static_cast<std::size_t>(tracked.request.class_index)];
         requests[last_id] = tracked;
-        policy.on_request(now, tracked.request);
+        policy_.on_request(now, tracked.request);
     }
     // Ends a random attempt in flight, or all attempts whose request is past its deadline.
     void end_attempts(bool overdue) {
@@ -144,20 +145,20 @@
                 attempt.in_flight = false;
                 attempt.may_have_executed = end.outcome != Outcome::full &&
                                             end.outcome != Outcome::connect_failed &&
-                                            end.outcome != Outcome::moot;
+                                            end.outcome != Outcome::inconclusive;
                 if (end.outcome == Outcome::ok) tracked.finished = true;
-                end.closed = tracked.finished;
+                end.request_answered = tracked.finished;
                 last_event[attempt.to.id] = now;
                 const bool opens = end.outcome != Outcome::connect_failed && end.outcome != Outcome::reset &&
-                                   end.outcome != Outcome::moot;
+                                   end.outcome != Outcome::inconclusive;
                 const bool left =
                     settings.drain_close <= Micros{0} && listed[attempt.to.id].state == UpstreamState::gone;
                 if (left) {
                     idle_connections[attempt.to.id] = 0;
-                } else if (opens || (end.outcome == Outcome::moot && attempt.reused)) {
+                } else if (opens || (end.outcome == Outcome::inconclusive && attempt.reused)) {
                     ++idle_connections[attempt.to.id];
                 }
-                policy.on_attempt_end(now, end);
+                policy_.on_attempt_end(now, end);
                 if (!overdue) return;
             }
         }
@@ -169,7 +170,7 @@
         for (auto& class_settings : next.classes) {
             if (below(6) == 0) class_settings.name += " anew";
             if (below(6) == 0) class_settings.effect = static_cast<Effect>(below(3));
-            if (below(6) == 0) class_settings.group = static_cast<Group>(below(3));
+            if (below(6) == 0) class_settings.group = static_cast<DeduplicationScope>(below(3));
             if (below(3) == 0) class_settings.window = ms(5 + below(600));
         }
         next.zone = static_cast<int>(below(2));
@@ -177,7 +178,7 @@
         if (broken) next.classes[0].aim = Micros{0};
         bool accepted = true;
         try {
-            policy.on_settings(now, next);
+            policy_.on_settings(now, next);
         } catch (const std::invalid_argument&) {
             accepted = false;
         }
@@ -188,7 +189,7 @@
         for (auto& [id, tracked] : requests) {
             if (tracked.finished || below(8) != 0) continue;
             tracked.finished = true;
-            policy.on_client_gone(now, id);
+            policy_.on_client_gone(now, id);
             return;
         }
     }
@@ -198,7 +199,7 @@
             const auto [at, token] = *timers.begin();
             timers.erase(timers.begin());
             now = std::max(now, at);
-            policy.on_timer(now, token);
+            policy_.on_timer(now, token);
         }
         now = until;
         end_attempts(true);
@@ -233,7 +234,7 @@
         record(how, id);
     }
 
-    Policy policy;
+    Policy policy_;
 };
 
 Settings settings_of(std::uint32_t seed) {
@@ -244,7 +245,7 @@
     settings.may_probe = bit(2);
     settings.drain_close = bit(3) ? ms(50) : ms(0);
     settings.warm_keys = bit(4);
-    settings.must_ask_list = bit(5);
+    settings.must_request_list = bit(5);
     settings.ask_within = ms(500);
     settings.max_attempts = bit(6) ? 4 : 1;
     settings.balancers = bit(7) ? 40 : 1;
--- a/tests/drawn.h
+++ b/tests/random_source.h
@@ -8,18 +8,18 @@
 
 namespace flaxdoor::test {
 
-class Drawn {
+class RandomSource {
 public:
-    explicit Drawn(std::uint64_t seed) : random_(seed) {}
+    explicit RandomSource(std::uint64_t seed) : random_(seed) {}
 
     // Returns a number from 0 to n - 1.
     std::size_t below(std::size_t n) { return std::uniform_int_distribution<std::size_t>(0, n - 1)(random_); }
     // Returns true with probability 1 / n.
-    bool once_in(std::size_t n) { return below(n) == 0; }
+    bool one_in(std::size_t n) { return below(n) == 0; }
     // Returns a number from 0 to 1.
     double chance() { return std::uniform_real_distribution<double>(0, 1)(random_); }
     // Returns one of the texts.
-    std::string of(std::initializer_list<const char*> all) { return all.begin()[below(all.size())]; }
+    std::string pick(std::initializer_list<const char*> all) { return all.begin()[below(all.size())]; }
 
 private:
     std::mt19937_64 random_;
--- a/tests/recovery/daemon_test.cpp
+++ b/tests/recovery/daemon_test.cpp
@@ -48,14 +48,14 @@
 
 // A started daemon whose configuration lists only upstream 0, and whose store holds list 9 with only the
 // upstreams 1 and 2.
-struct StageWithStoredList : Stage {
-    StageWithStoredList() : Stage(3) {
+struct StageWithStoredList : BalancerFixture {
+    StageWithStoredList() : BalancerFixture(3) {
         config["known"]["hosts"] = json::array({upstream(0)});
         operators = store_folder.operators();
         start();
         json update = list(9, true);
         update["hosts"] = {upstream(1), upstream(2, "leaving")};
-        watch()->say(watch_head + chunk(update.dump() + "\n"));
+        watch()->send(watch_head + chunk(update.dump() + "\n"));
         until_stored(9);
     }
     void until_stored(int version) {
@@ -65,13 +65,13 @@
 };
 
 // Kills the daemon and starts it again.
-void restart(Stage& stage) {
+void restart(BalancerFixture& stage) {
     stage.form.reset();
     stage.form = make_form(stage.loop);
     stage.start();
 }
 
-std::size_t served_by(Stage& stage, std::size_t upstream) {
+std::size_t served_by(BalancerFixture& stage, std::size_t upstream) {
     const auto client = stage.client();
     const auto before = stage.upstreams[upstream]->wires.size();
     stage.serve(*client);
@@ -97,7 +97,7 @@
     EXPECT_TRUE(has(watch->in, "index=9 ")) << watch->in;
     json update = stage.list(10, false);
     update["hosts"] = json::array({stage.upstream(2)});
-    watch->say(watch_head + chunk(update.dump() + "\n"));
+    watch->send(watch_head + chunk(update.dump() + "\n"));
     stage.until_stored(10);
     stage.discovery.close();
     restart(stage);
@@ -126,7 +126,7 @@
 TEST(Recovery, AStoreDamagedBeforeItsTailIsNotUsedAndItsFilesAreKept) {
     StageWithStoredList stage;
     for (int version = 10; version < 14; ++version) {
-        stage.discovery.wires[0]->say(chunk(stage.list(version, true).dump() + "\n"));
+        stage.discovery.wires[0]->send(chunk(stage.list(version, true).dump() + "\n"));
         stage.until_stored(version);
     }
     stage.form.reset();
@@ -147,10 +147,10 @@
     EXPECT_TRUE(has(line, "its files stay as they are")) << line;
     EXPECT_EQ(served_by(stage, 0), 1U);
     stage.watch(stage.discovery, 2)
-        ->say(watch_head + chunk(stage.list(20, true).dump() + "\n") + chunk("\n"));
+        ->send(watch_head + chunk(stage.list(20, true).dump() + "\n") + chunk("\n"));
     stage.settle();
-    stage.end();
-    stage.until_ended();
+    stage.shut_down();
+    stage.until_exited();
     EXPECT_EQ(stage.logged("store: "), 1U);
     EXPECT_EQ(stage.store_folder.files(), before);
 }
@@ -174,7 +174,7 @@
 struct UnusableStore {
     std::string name;
     std::string message;
-    std::function<void(Stage&, const StoreFolder&)> prepare;
+    std::function<void(BalancerFixture&, const StoreFolder&)> prepare;
 };
 
 TEST(Recovery, AStoreThatIsNotItsOwnIsNotUsedAndNotChanged) {
@@ -188,22 +188,22 @@
     };
     const std::vector<UnusableStore> cases = {
         {"another's", "another's store: it is ",
-         [](Stage& stage, const StoreFolder& store_folder) {
+         [](BalancerFixture& stage, const StoreFolder& store_folder) {
              stage.operators = store_folder.operators("identity = \"00112233445566778899aabbccddeeff\"\n");
          }},
         {"a newer format", "written by a newer version",
-         [&](Stage&, const StoreFolder& store_folder) {
+         [&](BalancerFixture&, const StoreFolder& store_folder) {
              // Format versions are covered by a hash; the store's own tests write valid hashes for other
              // versions. Here only the identity has an unknown version.
              change(store_folder, "IDENTITY", 8, 2);
          }},
         {"no store", "no store: the folder holds ",
-         [](Stage&, const StoreFolder& store_folder) {
+         [](BalancerFixture&, const StoreFolder& store_folder) {
              fs::remove_all(store_folder.folder());
              store_folder.write("notes.txt", "mine");
          }},
         {"a file", "Not a directory",
-         [](Stage&, const StoreFolder& store_folder) {
+         [](BalancerFixture&, const StoreFolder& store_folder) {
              fs::remove_all(store_folder.folder());
              std::ofstream(store_folder.folder()) << "mine";
          }},
@@ -220,8 +220,8 @@
             EXPECT_TRUE(has(line, unusable.message)) << unusable.name << ": " << line;
         }
         EXPECT_EQ(served_by(stage, 0), 1U) << unusable.name;
-        stage.end();
-        stage.until_ended();
+        stage.shut_down();
+        stage.until_exited();
         EXPECT_EQ(stage.logged("store: "), 1U) << unusable.name;
         EXPECT_EQ(stage.store_folder.files(), before) << unusable.name;
     }
@@ -229,7 +229,7 @@
 
 TEST(Recovery, AFolderOfAnotherProcessIsNotUsed) {
     StageWithStoredList stage;
-    Stage other(3);
+    BalancerFixture other(3);
     other.operators = stage.operators;
     other.start();
     other.line("store: not used: another process has the store open");
@@ -239,7 +239,7 @@
 
 // The store is off unless the operator's file has its table.
 TEST(Recovery, WithoutTheTableNothingIsLoggedOrWritten) {
-    Stage stage;
+    BalancerFixture stage;
     stage.operators = "[http]\nidle_timeout = \"1m\"\n";
     stage.start();
     stage.settle();
--- a/tests/recovery/herd_test.cpp
+++ b/tests/recovery/herd_test.cpp
@@ -9,8 +9,8 @@
 #include <random>
 
 #include "core/core.h"
+#include "iterations.h"
 #include "samples.h"
-#include "share.h"
 
 namespace flaxdoor::recovery::test {
 namespace {
@@ -55,14 +55,14 @@
 
 class World {
 public:
-    explicit World(std::uint32_t seed) : random_(seed), fall_settings_(settings_of(0)) {
+    explicit World(std::uint32_t seed) : random(seed), fall_settings(settings_of(0)) {
         for (int i = 0; i < balancers; ++i) nodes_.push_back(std::make_unique<Node>(*this, i, seed));
-        list_.kind = ListKind::full;
-        list_.version = 1;
-        for (int i = 0; i < servers; ++i) list_.members.push_back(member(id(i)));
-        servers_[dead_server].alive = false;
-        for (auto& node : nodes_) node->start({}, now_);
-        for (auto& node : nodes_) node->receive_list(list_);
+        list.kind = ListKind::full;
+        list.version = 1;
+        for (int i = 0; i < servers; ++i) list.members.push_back(member(id(i)));
+        all_servers[dead_server].alive = false;
+        for (auto& node : nodes_) node->start({}, now);
+        for (auto& node : nodes_) node->receive_list(list);
         arrive();
     }
 
@@ -81,44 +81,44 @@
         while (!events_.empty() && events_.top().when <= until) {
             const TimedEvent next = events_.top();
             events_.pop();
-            now_ = std::max(now_, next.when);
+            now = std::max(now, next.when);
             next.action();
         }
-        now_ = until;
+        now = until;
     }
 
     void restart(int server) {
-        servers_[server].started_at = now_;
-        list_.members[static_cast<std::size_t>(server)].entry.started_at = now_;
-        ++list_.version;
-        for (auto& node : nodes_) node->receive_list(list_);
+        all_servers[server].started_at = now;
+        list.members[static_cast<std::size_t>(server)].entry.started_at = now;
+        ++list.version;
+        for (auto& node : nodes_) node->receive_list(list);
     }
     // Crashes half of the balancers at once, and restarts them together with the snapshot of the first one.
     void crash_half(Micros downtime) {
         StoredSnapshot snapshot = nodes_[0]->map_store.read();
         ASSERT_TRUE(snapshot.list);
         EXPECT_GT(snapshot.remembered.size(), 4U);
-        restart_at_ = now_ + downtime;
+        restart_at = now + downtime;
         for (int i = 0; i < balancers / 2; ++i) {
             nodes_[static_cast<std::size_t>(i)]->stop();
-            const auto delay = Micros(std::uniform_int_distribution<int>(0, 49'999)(random_));
-            schedule(restart_at_ + delay, [this, i, snapshot] {
+            const auto delay = Micros(std::uniform_int_distribution<int>(0, 49'999)(random));
+            schedule(restart_at + delay, [this, i, snapshot] {
                 Node& node = *nodes_[static_cast<std::size_t>(i)];
-                node.start(snapshot, now_);
+                node.start(snapshot, now);
             });
         }
     }
 
-    Time now_ = start_time;
-    std::mt19937 random_;
-    const Settings fall_settings_;
-    std::array<Server, servers> servers_;
-    core::MemberList list_;
-    std::uint64_t served_ = 0, answered_ = 0, calls_ = 0;
-    Time restart_at_{};
+    Time now = start_time;
+    std::mt19937 random;
+    const Settings fall_settings;
+    std::array<Server, servers> all_servers;
+    core::MemberList list;
+    std::uint64_t served = 0, answered = 0, calls = 0;
+    Time restart_at{};
     // For each restarted balancer: its first choices, and the time of its first probe of the dead server.
-    std::vector<std::pair<int, int>> first_choices_;  // balancer, server
-    std::vector<Time> probe_times_;
+    std::vector<std::pair<int, int>> first_choices;  // balancer, server
+    std::vector<Time> probe_times;
 
 private:
     struct TimedEvent {
@@ -130,7 +130,7 @@
         }
     };
 
-    struct Node final : core::Clock, core::Alarm, core::Log, core::Front, core::Back {
+    struct Node final : core::Clock, core::Alarm, core::Log, core::Downstream, core::UpstreamConnectionPool {
         Node(World& owner, int balancer_rank, std::uint32_t world_seed)
             : world(owner),
               rank(balancer_rank),
@@ -139,12 +139,12 @@
         void start(StoredSnapshot stored, Time when) {
             ++incarnation;
             started = when;
-            const History history{"d", "api", "n"};
+            const ListOrigin history{"d", "api", "n"};
             core::MemberList configured;
             configured.kind = ListKind::cached;
             const Settings settings = settings_of(rank);
             const auto restored =
-                believe(configured, std::move(stored), history, settings, when, minutes(10));
+                restore(configured, std::move(stored), history, settings, when, minutes(10));
             recorder.emplace(history, restored.list, when);
             core = std::make_unique<core::Core>(*this, *this, *this);
             pool = core->add_pool({"api", settings, seed + static_cast<std::uint64_t>(incarnation) * 7919},
@@ -159,27 +159,26 @@
         }
         void receive_list(const core::MemberList& list) {
             if (!core) return;
-            map_store.receive_list(*recorder, world.now_, list);
+            map_store.receive_list(*recorder, world.now, list);
             core->on_list(pool, list);
         }
         void tick(int captured_incarnation) {
             if (captured_incarnation != incarnation) return;
             map_store.apply(recorder->take_memory_changes(
-                world.now_, [&](UpstreamId upstream) { return core->learned(pool, upstream); }));
-            world.schedule(world.now_ + ms(200),
-                           [this, captured_incarnation] { tick(captured_incarnation); });
+                world.now, [&](UpstreamId upstream) { return core->learned_state(pool, upstream); }));
+            world.schedule(world.now + ms(200), [this, captured_incarnation] { tick(captured_incarnation); });
         }
         void call() {
-            ++world.calls_;
+            ++world.calls;
             if (!core) return;
             core::Call new_call;
             new_call.pool = pool;
             new_call.class_index = 0;
             new_call.budget = ms(1000);
-            (void)core->take(std::move(new_call), *this, 0);
+            (void)core->accept_call(std::move(new_call), *this, 0);
         }
 
-        Time now() const override { return world.now_; }
+        Time now() const override { return world.now; }
         void set(Time at) override {
             const int captured_incarnation = incarnation;
             const std::uint64_t alarm_number = ++last_alarm;
@@ -189,9 +188,9 @@
         }
         void event(const core::Event&, std::span<const core::Value>) override {}
         void on_started(std::uint64_t, std::unique_ptr<core::Payload>) override {}
-        void on_final(std::uint64_t, core::Final answer) override {
-            ++world.answered_;
-            world.served_ += answer.verdict == core::Verdict::served;
+        void on_final(std::uint64_t, core::FinalAnswer answer) override {
+            ++world.answered;
+            world.served += answer.verdict == core::Verdict::served;
         }
         void set_upstream(UpstreamId, const std::string&, bool) override {}
         void remove_upstream(UpstreamId) override {}
@@ -199,20 +198,20 @@
             active_attempts.insert(attempt.key);
             const int server = server_of(attempt.upstream);
             if (incarnation > 1) {
-                auto& choices = world.first_choices_;
+                auto& choices = world.first_choices;
                 if (std::count_if(choices.begin(), choices.end(),
                                   [&](auto& choice) { return choice.first == rank; }) < 10) {
                     choices.emplace_back(rank, server);
                 }
             }
             const int captured_incarnation = incarnation;
-            const Time sent = world.now_;
+            const Time sent = world.now;
             const auto key = attempt.key;
             const auto end = [this, captured_incarnation, key, sent](Outcome outcome) {
-                if (captured_incarnation == incarnation) end_attempt(key, outcome, world.now_ - sent);
+                if (captured_incarnation == incarnation) end_attempt(key, outcome, world.now - sent);
             };
-            if (!world.servers_[static_cast<std::size_t>(server)].alive) {
-                if (incarnation > 1 && !std::exchange(probed, true)) world.probe_times_.push_back(sent);
+            if (!world.all_servers[static_cast<std::size_t>(server)].alive) {
+                if (incarnation > 1 && !std::exchange(probed, true)) world.probe_times.push_back(sent);
                 world.schedule(sent + ms(1), [end] { end(Outcome::connect_failed); });
                 return;
             }
@@ -224,7 +223,7 @@
             core::AttemptResult result;
             result.key = key;
             result.outcome = outcome;
-            result.whole = outcome == Outcome::ok;
+            result.fully_sent = outcome == Outcome::ok;
             result.latency = latency;
             core->on_attempt_end(std::move(result));
         }
@@ -248,14 +247,14 @@
 
     void arrive() {
         const double interarrival_us =
-            -std::log(1 - std::generate_canonical<double, 30>(random_)) / rate * 1e6;
-        schedule(now_ + Micros(static_cast<std::int64_t>(interarrival_us)), [this] {
+            -std::log(1 - std::generate_canonical<double, 30>(random)) / rate * 1e6;
+        schedule(now + Micros(static_cast<std::int64_t>(interarrival_us)), [this] {
             // Clients use the balancers that are running.
             std::vector<Node*> running;
             for (auto& node : nodes_) {
                 if (node->core) running.push_back(node.get());
             }
-            running[std::uniform_int_distribution<std::size_t>(0, running.size() - 1)(random_)]->call();
+            running[std::uniform_int_distribution<std::size_t>(0, running.size() - 1)(random)]->call();
             arrive();
         });
     }
@@ -263,12 +262,12 @@
     // Checks for overload: a server must not get more than fall_multiple times its present capacity within
     // fall_span.
     void arrive_at(int number, std::function<void(Micros)> done) {
-        Server& server = servers_[static_cast<std::size_t>(number)];
-        server.sent.push_back(now_);
-        while (now_ - server.sent.front() > fall_settings_.fall_span) server.sent.pop_front();
-        const double share = server.capacity_share(now_, fall_settings_);
-        if (share < 1 && now_ - server.started_at >= fall_settings_.fall_span) {
-            const double span_s = static_cast<double>(fall_settings_.fall_span.count()) / 1e6;
+        Server& server = all_servers[static_cast<std::size_t>(number)];
+        server.sent.push_back(now);
+        while (now - server.sent.front() > fall_settings.fall_span) server.sent.pop_front();
+        const double share = server.capacity_share(now, fall_settings);
+        if (share < 1 && now - server.started_at >= fall_settings.fall_span) {
+            const double span_s = static_cast<double>(fall_settings.fall_span.count()) / 1e6;
             const double capacity = share * 500 * span_s;
             server.max_load_ratio =
                 std::max(server.max_load_ratio, static_cast<double>(server.sent.size()) / capacity);
@@ -280,13 +279,13 @@
         serve(number, std::move(done));
     }
     void serve(int number, std::function<void(Micros)> done) {
-        Server& server = servers_[static_cast<std::size_t>(number)];
+        Server& server = all_servers[static_cast<std::size_t>(number)];
         ++server.busy;
-        const double factor = 0.5 + std::generate_canonical<double, 30>(random_);
+        const double factor = 0.5 + std::generate_canonical<double, 30>(random);
         const auto time =
             Micros(static_cast<std::int64_t>(static_cast<double>(service_time.count()) * factor));
-        schedule(now_ + time, [this, number, time, done = std::move(done)] {
-            Server& finished = servers_[static_cast<std::size_t>(number)];
+        schedule(now + time, [this, number, time, done = std::move(done)] {
+            Server& finished = all_servers[static_cast<std::size_t>(number)];
             --finished.busy;
             done(time);
             if (finished.queue.empty() || finished.busy >= workers) return;
@@ -302,26 +301,26 @@
 };
 
 TEST(Herd, HalfOfTheBalancersRestartWithTheSameSnapshot) {
-    for (std::uint32_t seed = 1; seed <= flaxdoor::test::share_of(20U, 5U); ++seed) {
+    for (std::uint32_t seed = 1; seed <= flaxdoor::test::iterations(20U, 5U); ++seed) {
         SCOPED_TRACE("seed " + std::to_string(seed));
         World world(seed);
         world.run(start_time + seconds(20));
         world.restart(5);  // all balancers are notified: its slow start takes half a minute
         world.run(start_time + seconds(22));
-        const auto served = world.served_, answered = world.answered_;
+        const auto served = world.served, answered = world.answered;
         world.crash_half(seconds(1));
         world.run(start_time + seconds(31));
-        const double max_load_ratio = world.servers_[5].max_load_ratio;
-        EXPECT_LT(max_load_ratio, world.fall_settings_.fall_multiple)
+        const double max_load_ratio = world.all_servers[5].max_load_ratio;
+        EXPECT_LT(max_load_ratio, world.fall_settings.fall_multiple)
             << "a server was overloaded during its slow start";
         const double share =
-            static_cast<double>(world.served_ - served) / static_cast<double>(world.answered_ - answered);
+            static_cast<double>(world.served - served) / static_cast<double>(world.answered - answered);
         EXPECT_GT(share, 0.97);
 
         // The first ten requests of each restarted balancer.
         std::map<int, int> by_server, first;
         std::set<int> restarted;
-        for (const auto& [balancer, server] : world.first_choices_) {
+        for (const auto& [balancer, server] : world.first_choices) {
             ++by_server[server];
             if (restarted.insert(balancer).second) ++first[server];
         }
@@ -329,15 +328,15 @@
         for (const auto& [server, count] : first)
             EXPECT_LE(count, 4) << "too many balancers begin with server " << server;
         for (const auto& [server, count] : by_server) {
-            EXPECT_LE(count, static_cast<int>(world.first_choices_.size()) * 2 / 5) << "server " << server;
+            EXPECT_LE(count, static_cast<int>(world.first_choices.size()) * 2 / 5) << "server " << server;
         }
         // The ejected server gets no ordinary traffic, and is not probed by all balancers at once.
-        EXPECT_GE(world.probe_times_.size(), 3U);
+        EXPECT_GE(world.probe_times.size(), 3U);
         std::size_t max_simultaneous = 0;
-        for (const Time probe_time : world.probe_times_) {
+        for (const Time probe_time : world.probe_times) {
             max_simultaneous = std::max<std::size_t>(
                 max_simultaneous, static_cast<std::size_t>(std::count_if(
-                                      world.probe_times_.begin(), world.probe_times_.end(), [&](Time other) {
+                                      world.probe_times.begin(), world.probe_times.end(), [&](Time other) {
                                           return other >= probe_time && other - probe_time < ms(100);
                                       })));
         }
--- a/tests/recovery/record_test.cpp
+++ b/tests/recovery/record_test.cpp
@@ -34,21 +34,21 @@
 TEST(Record, RoundTripPreservesAllValues) {
     std::mt19937_64 random(11);
     std::vector<core::Member> members;
-    std::map<UpstreamId, UpstreamMemory> memories;
+    std::map<UpstreamId, LearnedState> memories;
     for (int i = 0; i < 300; ++i) {
         members.push_back(odd_member(random()));
-        UpstreamMemory learned;
+        LearnedState learned;
         learned.latency_us = static_cast<double>(random() % 100000) / 7;
-        learned.idle_us = learned.latency_us / 3;
-        learned.ours = 1.0 / 3 + i;
-        learned.limit = 1 + static_cast<double>(random() % 1000) / 9;
-        learned.limited = i % 2;
-        learned.strikes = i % 7;
-        learned.out = i % 3 == 0;
-        learned.died = i % 6 == 0;
-        learned.out_until = now0 + ms(i);
+        learned.unloaded_latency_us = learned.latency_us / 3;
+        learned.own_in_flight = 1.0 / 3 + i;
+        learned.concurrency_limit = 1 + static_cast<double>(random() % 1000) / 9;
+        learned.limit_was_reduced = i % 2;
+        learned.consecutive_failures = i % 7;
+        learned.ejected = i % 3 == 0;
+        learned.connect_failed = i % 6 == 0;
+        learned.ejected_until = now0 + ms(i);
         learned.answered_at = now0 - ms(i);
-        learned.cold_since = i % 4 == 0 ? Time{} : now0 - seconds(i);
+        learned.cold_start_at = i % 4 == 0 ? Time{} : now0 - seconds(i);
         memories[members.back().entry.id] = learned;
     }
     const StoredSnapshot decoded = stored_snapshot(~0ULL, members, memories, now0);
--- a/tests/recovery/recorder_test.cpp
+++ b/tests/recovery/recorder_test.cpp
@@ -83,7 +83,7 @@
             if (below(3) == 0) continue;  // written together with the next list
             const auto changes = recorder.take_list_changes();
             if (below(5) == 0) {
-                recorder.on_lost();  // a write is applied completely or not at all: here not at all
+                recorder.on_write_lost();  // a write is applied completely or not at all: here not at all
                 map_store.apply(recorder.take_list_changes());
             } else {
                 map_store.apply(changes);
@@ -111,15 +111,15 @@
     (void)take_all_slices(recorder, now0, always_learned(memory()));
     EXPECT_TRUE(take_all_slices(recorder, now0 + seconds(1), always_learned(memory())).empty());
     auto slightly_changed = memory(8400, 18.9);
-    slightly_changed.strikes = 2;  // of an upstream that is not ejected
+    slightly_changed.consecutive_failures = 2;  // of an upstream that is not ejected
     slightly_changed.answered_at = now0 + seconds(1);
     EXPECT_TRUE(take_all_slices(recorder, now0 + seconds(1), always_learned(slightly_changed)).empty());
-    const auto with_one_changed = [](UpstreamMemory changed_memory) {
+    const auto with_one_changed = [](LearnedState changed_memory) {
         return
             [changed_memory](UpstreamId id) { return std::optional(id == 70 ? changed_memory : memory()); };
     };
     auto ejected = memory();
-    ejected.out = true;
+    ejected.ejected = true;
     for (const auto& changed : {memory(20000, 18), memory(8000, 30), ejected}) {
         const auto changes = take_all_slices(recorder, now0 + seconds(2), with_one_changed(changed));
         ASSERT_EQ(changes.size(), 1U);
@@ -131,7 +131,7 @@
     auto recent = memory();
     recent.answered_at = now0 + minutes(2);
     EXPECT_EQ(take_all_slices(recorder, now0 + minutes(2), always_learned(recent)).size(), parts);
-    recorder.on_lost();
+    recorder.on_write_lost();
     EXPECT_EQ(take_all_slices(recorder, now0 + minutes(2), always_learned(recent)).size(), parts);
 }
 
@@ -141,7 +141,7 @@
     MapStore map_store;
     map_store.receive_list(recorder, now0, list(1, {}, ListKind::delta));
     map_store.apply(take_all_slices(recorder, now0, [](UpstreamId id) {
-        return id == 1 ? std::optional(UpstreamMemory{}) : std::nullopt;
+        return id == 1 ? std::optional(LearnedState{}) : std::nullopt;
     }));
     EXPECT_TRUE(map_store.read().remembered.empty());
     EXPECT_TRUE(map_store.read().list);
@@ -197,7 +197,7 @@
     MapStore map_store;
     Recorder recorder(default_origin, {}, now0);
     map_store.receive_list(recorder, now0, list(5, {member(1)}, ListKind::full));
-    recorder.move_to("127.0.0.1:9");
+    recorder.set_discovery("127.0.0.1:9");
     EXPECT_FALSE(recorder.has_list_changes());  // the new service has sent no list
     map_store.receive_list(recorder, now0, list(6, {}, ListKind::delta));
     ASSERT_TRUE(map_store.read().list);
@@ -211,7 +211,7 @@
     invalid.name = "\xff\xfe";
     recorder.on_list(now0, list(5, {invalid}, ListKind::full));
     EXPECT_ANY_THROW((void)recorder.take_list_changes());
-    recorder.on_lost();
+    recorder.on_write_lost();
     recorder.on_list(now0, list(6, {member(1)}, ListKind::full));
     MapStore map_store;
     map_store.apply(recorder.take_list_changes());
@@ -225,14 +225,14 @@
     Recorder previous(default_origin, {}, now0);
     map_store.receive_list(previous, now0, list(9, {member(1), member(2)}, ListKind::full));
     map_store.write_memory(previous, now0, always_learned(memory()));
-    History other = default_origin;
+    ListOrigin other = default_origin;
     other.configuration = "n1";
-    auto restored = believe(list(3, {member(1)}), map_store.read(), other, settings(), now0, minutes(10));
-    ASSERT_TRUE(restored.other_history);
+    auto restored = restore(list(3, {member(1)}), map_store.read(), other, settings(), now0, minutes(10));
+    ASSERT_TRUE(restored.different_origin);
     EXPECT_EQ(restored.remembered, 0U);
-    EXPECT_EQ(history_of("api", {map_store.values.begin(), map_store.values.end()}), default_origin);
+    EXPECT_EQ(origin_of("api", {map_store.values.begin(), map_store.values.end()}), default_origin);
     Recorder recorder(other, restored.list, now0);
-    recorder.forget_stored();
+    recorder.discard_stored_state();
     // State that this recorder has written is kept.
     for (int slice = 0; slice < 2; ++slice) {  // the slice of upstream 1, not that of upstream 2
         map_store.apply(recorder.take_memory_changes(now0, always_learned(memory())));
@@ -242,7 +242,7 @@
     EXPECT_TRUE(stored.faults.empty());
     EXPECT_TRUE(stored.remembered.contains(1));
     EXPECT_FALSE(stored.remembered.contains(2));
-    restored = believe(list(3, {member(1)}), map_store.read(), other, settings(), now0, minutes(10));
+    restored = restore(list(3, {member(1)}), map_store.read(), other, settings(), now0, minutes(10));
     EXPECT_EQ(restored.remembered, 1U);
 }
 
