--- a/tests/recovery/belief_test.cpp
+++ b/tests/recovery/restored_state_test.cpp
@@ -1,5 +1,5 @@
-// Tests of the restored state, one for each rule of recovery/belief.h.
-#include "recovery/belief.h"
+// Tests of the restored state, one for each rule of recovery/restored_state.h.
+#include "recovery/restored_state.h"
 
 #include <limits>
 #include <set>
@@ -15,17 +15,17 @@
     }
     return nullptr;
 }
-UpstreamMemory memory_of(const Belief& restored, UpstreamId id) {
+LearnedState memory_of(const RestoredState& restored, UpstreamId id) {
     const auto* const member = find(restored.list, id);
-    if (!member || !member->entry.memory) {
+    if (!member || !member->entry.restored) {
         ADD_FAILURE() << "no learned state of " << id;
         return {};
     }
-    return *member->entry.memory;
+    return *member->entry.restored;
 }
-bool remembered(const Belief& restored, UpstreamId id) {
+bool remembered(const RestoredState& restored, UpstreamId id) {
     const auto* const member = find(restored.list, id);
-    return member && member->entry.memory;
+    return member && member->entry.restored;
 }
 
 TEST(Belief, WithoutASnapshotTheConfiguredListIsUsed) {
@@ -38,13 +38,13 @@
 
 // Rule 1.
 TEST(Belief, AListFromAnotherOriginIsNotUsedNorIsItsLearnedState) {
-    const History others[] = {{"127.0.0.1:8501", "api", "n0"}, {"127.0.0.1:8500", "api", "n1"}};
-    for (const History& other : others) {
+    const ListOrigin others[] = {{"127.0.0.1:8501", "api", "n0"}, {"127.0.0.1:8500", "api", "n1"}};
+    for (const ListOrigin& other : others) {
         const auto restored =
             restore_at(now0, list(7, {member(1)}),
                        stored_snapshot(99, {member(1), member(2)}, {{1, memory()}}, now0, other));
         EXPECT_FALSE(restored.stored);
-        EXPECT_TRUE(restored.other_history);
+        EXPECT_TRUE(restored.different_origin);
         EXPECT_EQ(restored.list.version, 7U);
         EXPECT_EQ(restored.list.members.size(), 1U);
         EXPECT_FALSE(remembered(restored, 1));
@@ -125,19 +125,19 @@
                          1);
     };
     EXPECT_DOUBLE_EQ(after(Micros{0}).latency_us, 8000);
-    EXPECT_DOUBLE_EQ(after(Micros{0}).limit, 18);
+    EXPECT_DOUBLE_EQ(after(Micros{0}).concurrency_limit, 18);
     EXPECT_DOUBLE_EQ(after(minutes(10)).latency_us, 4000);
-    EXPECT_DOUBLE_EQ(after(minutes(10)).idle_us, 2000);
-    EXPECT_DOUBLE_EQ(after(minutes(10)).limit, 10);  // halfway to the limit of a new upstream
-    EXPECT_DOUBLE_EQ(after(minutes(30)).limit, 4);
+    EXPECT_DOUBLE_EQ(after(minutes(10)).unloaded_latency_us, 2000);
+    EXPECT_DOUBLE_EQ(after(minutes(10)).concurrency_limit, 10);  // halfway to the limit of a new upstream
+    EXPECT_DOUBLE_EQ(after(minutes(30)).concurrency_limit, 4);
     double last = 1e9;
     for (int age = 0; age <= 60; ++age) {
         const auto memory_after = after(minutes(age));
-        EXPECT_LE(memory_after.limit, last);
-        last = memory_after.limit;
+        EXPECT_LE(memory_after.concurrency_limit, last);
+        last = memory_after.concurrency_limit;
     }
-    EXPECT_EQ(after(minutes(41)), UpstreamMemory{});
-    EXPECT_EQ(after(std::chrono::hours(24 * 365)), UpstreamMemory{});
+    EXPECT_EQ(after(minutes(41)), LearnedState{});
+    EXPECT_EQ(after(std::chrono::hours(24 * 365)), LearnedState{});
 }
 
 // State that was restored, and not changed since, neither decays twice nor becomes newer by being written
@@ -151,7 +151,7 @@
     map_store.write_memory(recorder, now0 + minutes(8),
                            [&](UpstreamId id) { return std::optional(memory_of(first, id)); });
     const auto second = memory_of(restore_at(now0 + minutes(10), list(1, {}), map_store.read()), 1);
-    EXPECT_NEAR(second.limit, 10, 1e-6);
+    EXPECT_NEAR(second.concurrency_limit, 10, 1e-6);
     EXPECT_NEAR(second.latency_us, 4000, 1e-6);
 }
 
@@ -175,64 +175,64 @@
     };
     for (const Case& test_case : cases) {
         auto before = memory();
-        before.cold_since = test_case.found_cold;
+        before.cold_start_at = test_case.found_cold;
         const auto memory_after =
             memory_of(restore_at(now0 + test_case.age, test_case.configured,
                                  stored_snapshot(9, {member(1, UpstreamState::ready, test_case.stored_start)},
                                                  {{1, before}}, now0)),
                       1);
-        EXPECT_EQ(memory_after.cold_since, test_case.cold_since) << test_case.description;
-        EXPECT_EQ(memory_after.limit == UpstreamMemory{}.limit, test_case.as_new)
-            << test_case.description << ": " << memory_after.limit;
+        EXPECT_EQ(memory_after.cold_start_at, test_case.cold_since) << test_case.description;
+        EXPECT_EQ(memory_after.concurrency_limit == LearnedState{}.concurrency_limit, test_case.as_new)
+            << test_case.description << ": " << memory_after.concurrency_limit;
     }
 }
 
 // Rule 8.
 TEST(Belief, AnEjectedUpstreamStaysEjected) {
     auto failing = memory();
-    failing.out = true;
-    failing.strikes = 5;
+    failing.ejected = true;
+    failing.consecutive_failures = 5;
     failing.answered_at = now0;
-    failing.out_until = now0 + seconds(2);
+    failing.ejected_until = now0 + seconds(2);
     auto dead = failing;
-    dead.died = true;
+    dead.connect_failed = true;
     const auto after = [&](Micros age, UpstreamId id) {
         return memory_of(
             restore_at(now0 + age, list(1, {}),
                        stored_snapshot(9, {member(1), member(2)}, {{1, failing}, {2, dead}}, now0)),
             id);
     };
-    EXPECT_TRUE(after(seconds(1), 1).out);
-    EXPECT_EQ(after(seconds(1), 1).out_until, now0 + seconds(2));  // not earlier
-    EXPECT_EQ(after(seconds(1), 1).strikes, 5);
-    EXPECT_TRUE(after(minutes(30), 1).out);
-    EXPECT_EQ(after(minutes(30), 1).out_until, now0 + minutes(30));  // its time has passed: it is probed
-    EXPECT_FALSE(after(minutes(50), 1).out);
-    EXPECT_EQ(after(minutes(50), 1).strikes, 0);
-    EXPECT_TRUE(after(std::chrono::hours(100), 2).out);
-    EXPECT_TRUE(after(std::chrono::hours(100), 2).died);
+    EXPECT_TRUE(after(seconds(1), 1).ejected);
+    EXPECT_EQ(after(seconds(1), 1).ejected_until, now0 + seconds(2));  // not earlier
+    EXPECT_EQ(after(seconds(1), 1).consecutive_failures, 5);
+    EXPECT_TRUE(after(minutes(30), 1).ejected);
+    EXPECT_EQ(after(minutes(30), 1).ejected_until, now0 + minutes(30));  // its time has passed: it is probed
+    EXPECT_FALSE(after(minutes(50), 1).ejected);
+    EXPECT_EQ(after(minutes(50), 1).consecutive_failures, 0);
+    EXPECT_TRUE(after(std::chrono::hours(100), 2).ejected);
+    EXPECT_TRUE(after(std::chrono::hours(100), 2).connect_failed);
 }
 
 TEST(Belief, BalancersProbeAnEjectedUpstreamAtDifferentTimes) {
     auto dead = memory();
-    dead.out = dead.died = true;
-    dead.out_until = now0 - seconds(1);
+    dead.ejected = dead.connect_failed = true;
+    dead.ejected_until = now0 - seconds(1);
     std::set<Time> times;
     for (int rank = 0; rank < 12; ++rank) {
         Settings changed = settings();
         changed.rank = rank;
         const auto memory_after = memory_of(
             restore_at(now0, list(1, {}), stored_snapshot(9, {member(1)}, {{1, dead}}, now0), changed), 1);
-        EXPECT_GE(memory_after.out_until, now0);
-        EXPECT_LE(memory_after.out_until, now0 + changed.ramp_time);
-        times.insert(memory_after.out_until);
+        EXPECT_GE(memory_after.ejected_until, now0);
+        EXPECT_LE(memory_after.ejected_until, now0 + changed.ramp_time);
+        times.insert(memory_after.ejected_until);
     }
     EXPECT_EQ(times.size(), 12U);
     // An impossible time is limited to the longest ejection.
-    dead.out_until = now0 + std::chrono::hours(1000);
+    dead.ejected_until = now0 + std::chrono::hours(1000);
     const auto memory_after =
         memory_of(restore_at(now0, list(1, {}), stored_snapshot(9, {member(1)}, {{1, dead}}, now0)), 1);
-    EXPECT_LE(memory_after.out_until, now0 + settings().ramp_time);
+    EXPECT_LE(memory_after.ejected_until, now0 + settings().ramp_time);
 }
 
 // Rule 9, with a clock that was set back by an hour. The server had run for two seconds when the list was
@@ -240,8 +240,8 @@
 // time in the future, and thus in slow start for an hour.
 TEST(Belief, IfTheClockWasSetBackNoTimeHasPassed) {
     auto dead = memory();
-    dead.out = dead.died = true;
-    dead.out_until = now0 + seconds(3);
+    dead.ejected = dead.connect_failed = true;
+    dead.ejected_until = now0 + seconds(3);
     const Time set_back = now0 - std::chrono::hours(1);
     const auto restored =
         restore_at(set_back, list(1, {}),
@@ -253,24 +253,24 @@
     EXPECT_TRUE(restored.stored);
     EXPECT_EQ(restored.list.age, Micros{0});
     EXPECT_EQ(find(restored.list, 1)->entry.started_at, set_back - seconds(2));
-    EXPECT_EQ(memory_of(restored, 1).cold_since, set_back - seconds(2));
-    EXPECT_EQ(memory_of(restored, 1).limit, UpstreamMemory{}.limit);
+    EXPECT_EQ(memory_of(restored, 1).cold_start_at, set_back - seconds(2));
+    EXPECT_EQ(memory_of(restored, 1).concurrency_limit, LearnedState{}.concurrency_limit);
     EXPECT_EQ(find(restored.list, 2)->entry.state, UpstreamState::draining);
-    EXPECT_TRUE(memory_of(restored, 3).out);
-    EXPECT_EQ(memory_of(restored, 3).out_until, set_back + seconds(3));
+    EXPECT_TRUE(memory_of(restored, 3).ejected);
+    EXPECT_EQ(memory_of(restored, 3).ejected_until, set_back + seconds(3));
     // The elapsed time is unknown: values that decay are dropped.
-    EXPECT_EQ(memory_of(restored, 4).limit, UpstreamMemory{}.limit);
+    EXPECT_EQ(memory_of(restored, 4).concurrency_limit, LearnedState{}.concurrency_limit);
     EXPECT_EQ(memory_of(restored, 4).latency_us, 0);
     for (const auto& member : restored.list.members) {
-        if (!member.entry.memory) continue;
-        EXPECT_LE(member.entry.memory->answered_at, set_back);
-        EXPECT_LE(member.entry.memory->cold_since, set_back);
+        if (!member.entry.restored) continue;
+        EXPECT_LE(member.entry.restored->answered_at, set_back);
+        EXPECT_LE(member.entry.restored->cold_start_at, set_back);
     }
     // A small correction of the clock does not count.
     const auto small_step =
         restore_at(now0 - ms(300), list(1, {}), stored_snapshot(9, {member(1)}, {{1, memory()}}, now0));
     EXPECT_FALSE(small_step.clock_went_back);
-    EXPECT_EQ(memory_of(small_step, 1).limit, memory().limit);
+    EXPECT_EQ(memory_of(small_step, 1).concurrency_limit, memory().concurrency_limit);
 }
 
 // A snapshot with a valid hash may still hold values that no policy writes. All restored values must be
@@ -279,21 +279,22 @@
     constexpr auto max_count = std::numeric_limits<std::int64_t>::max();
     for (const double value : {-1e9, -1.0, 0.0, 0.5, 1e300}) {
         for (const Time time : {Time(max_count), Time(-max_count), Time(-1)}) {
-            UpstreamMemory absurd = memory(value, value);
-            absurd.strikes = std::numeric_limits<int>::max();
-            absurd.out = true;
-            absurd.out_until = absurd.answered_at = absurd.cold_since = time;
+            LearnedState absurd = memory(value, value);
+            absurd.consecutive_failures = std::numeric_limits<int>::max();
+            absurd.ejected = true;
+            absurd.ejected_until = absurd.answered_at = absurd.cold_start_at = time;
             const auto restored =
                 restore_at(now0, list(1, {}),
                            stored_snapshot(9, {member(1, UpstreamState::ready, time)}, {{1, absurd}}, now0));
             const auto memory_after = memory_of(restored, 1);
-            EXPECT_GE(memory_after.limit, 1);
-            EXPECT_LE(memory_after.limit, 65'535);
+            EXPECT_GE(memory_after.concurrency_limit, 1);
+            EXPECT_LE(memory_after.concurrency_limit, 65'535);
             EXPECT_GE(memory_after.latency_us, 0);
-            EXPECT_GE(memory_after.idle_us, 0);
-            EXPECT_LE(memory_after.strikes, 1000);
-            for (const Time time_after : {restored.list.members[0].entry.started_at, memory_after.out_until,
-                                          memory_after.answered_at, memory_after.cold_since}) {
+            EXPECT_GE(memory_after.unloaded_latency_us, 0);
+            EXPECT_LE(memory_after.consecutive_failures, 1000);
+            for (const Time time_after :
+                 {restored.list.members[0].entry.started_at, memory_after.ejected_until,
+                  memory_after.answered_at, memory_after.cold_start_at}) {
                 EXPECT_GE(time_after, Time{});
                 EXPECT_LE(time_after, Time(max_count / 4 + 1));
             }
--- a/tests/recovery/samples.h
+++ b/tests/recovery/samples.h
@@ -9,9 +9,9 @@
 #include <utility>
 #include <vector>
 
-#include "recovery/belief.h"
+#include "policy_rig.h"
 #include "recovery/recorder.h"
-#include "rig.h"
+#include "recovery/restored_state.h"
 
 namespace flaxdoor::recovery::test {
 
@@ -20,7 +20,7 @@
 using std::chrono::seconds;
 
 inline constexpr Time now0 = std::chrono::hours(500'000);  // some Unix time
-inline const History default_origin{"127.0.0.1:8500", "api", "n0"};
+inline const ListOrigin default_origin{"127.0.0.1:8500", "api", "n0"};
 
 inline core::Member member(UpstreamId id, UpstreamState state = UpstreamState::ready,
                            Time started_at = Time{}, std::string address = {}) {
@@ -43,12 +43,12 @@
     return result;
 }
 
-inline UpstreamMemory memory(double latency_us = 8000, double limit = 18) {
-    UpstreamMemory result;
+inline LearnedState memory(double latency_us = 8000, double limit = 18) {
+    LearnedState result;
     result.latency_us = latency_us;
-    result.idle_us = latency_us / 2;
-    result.ours = 3;
-    result.limit = limit;
+    result.unloaded_latency_us = latency_us / 2;
+    result.own_in_flight = 3;
+    result.concurrency_limit = limit;
     return result;
 }
 
@@ -80,19 +80,19 @@
 
 // Returns the snapshot that a recorder writes for a list and learned state that it received at the time `at`.
 inline StoredSnapshot stored_snapshot(std::uint64_t version, std::vector<core::Member> members,
-                                      std::map<UpstreamId, UpstreamMemory> memories, Time at,
-                                      const History& history = default_origin) {
+                                      std::map<UpstreamId, LearnedState> memories, Time at,
+                                      const ListOrigin& history = default_origin) {
     MapStore map_store;
     Recorder recorder(history, {}, at);
     map_store.receive_list(recorder, at, list(version, std::move(members), ListKind::full));
-    map_store.write_memory(recorder, at, [&](UpstreamId id) -> std::optional<UpstreamMemory> {
+    map_store.write_memory(recorder, at, [&](UpstreamId id) -> std::optional<LearnedState> {
         const auto found = memories.find(id);
         return found == memories.end() ? std::nullopt : std::optional(found->second);
     });
     return map_store.read(history.pool);
 }
 
-inline Recorder::Learned always_learned(UpstreamMemory memory) {
+inline Recorder::Learned always_learned(LearnedState memory) {
     return [memory](UpstreamId) { return std::optional(memory); };
 }
 
@@ -102,9 +102,9 @@
     return result;
 }
 
-inline Belief restore_at(Time now, core::MemberList configured, StoredSnapshot snapshot,
-                         const Settings& used_settings = settings()) {
-    return believe(std::move(configured), std::move(snapshot), default_origin, used_settings, now,
+inline RestoredState restore_at(Time now, core::MemberList configured, StoredSnapshot snapshot,
+                                const Settings& used_settings = settings()) {
+    return restore(std::move(configured), std::move(snapshot), default_origin, used_settings, now,
                    minutes(10));
 }
 
--- a/tests/recovery/store_cli_test.cpp
+++ b/tests/recovery/store_cli_test.cpp
@@ -22,13 +22,13 @@
 namespace fs = std::filesystem;
 using namespace flaxdoor::store;
 using flaxdoor::test::content_of;
-using flaxdoor::test::Ended;
+using flaxdoor::test::ProgramResult;
 using nlohmann::json;
 
 class StoreProgram : public testing::Test {
 protected:
     std::string path(const std::string& name = "store") const { return root_.path() + "/" + name; }
-    Ended run(const std::string& arguments) const {
+    ProgramResult run(const std::string& arguments) const {
         return flaxdoor::test::run_program(PROGRAM, "store " + arguments, root_.path());
     }
     std::map<std::string, std::string> files() const {
@@ -73,7 +73,7 @@
 TEST_F(StoreProgram, StatVerifyAndDumpChangeNothing) {
     fill(*open(), 1000);
     const auto before = files();
-    Ended ended = run("stat " + path());
+    ProgramResult ended = run("stat " + path());
     EXPECT_EQ(ended.status, 0) << ended.err;
     EXPECT_NE(ended.out.find("in use       no\n"), std::string::npos) << ended.out;
     ended = run("stat --json " + path());
@@ -109,7 +109,7 @@
         created.set_value();
     });
     created.get_future().wait();
-    Ended ended = run("stat " + path());
+    ProgramResult ended = run("stat " + path());
     EXPECT_EQ(ended.status, 0) << ended.err;
     EXPECT_NE(ended.out.find("in use       yes\n"), std::string::npos) << ended.out;
     EXPECT_EQ(run("verify " + path()).status, 0);
@@ -135,7 +135,7 @@
     for (int i = 0; i < 4; ++i) fill(*open(), 600);
     const auto runs = [&] { return json::parse(run("stat --json " + path()).out).at("runs").get<int>(); };
     const int before = runs();
-    const Ended ended = run("compact " + path());
+    const ProgramResult ended = run("compact " + path());
     EXPECT_EQ(ended.status, 0) << ended.err;
     EXPECT_LE(runs(), before);
     EXPECT_EQ(run("verify " + path()).status, 0);
@@ -151,7 +151,7 @@
         damaged[damaged.size() / 3] = static_cast<char>(damaged[damaged.size() / 3] ^ 1);
         std::ofstream(fs::path(path()) / name, std::ios::binary) << damaged;
         const auto before = files();
-        const Ended ended = run("verify " + path());
+        const ProgramResult ended = run("verify " + path());
         EXPECT_EQ(ended.status, 1) << name;
         EXPECT_NE(ended.err.find(name + ", offset "), std::string::npos) << ended.err;
         EXPECT_EQ(files(), before);
@@ -164,7 +164,7 @@
 // does not change the old files.
 TEST_F(StoreProgram, SalvageCopiesReadableDataIntoANewStore) {
     fill(*open(), 1000);
-    Ended ended = run("salvage " + path() + " " + path("whole"));
+    ProgramResult ended = run("salvage " + path() + " " + path("whole"));
     EXPECT_EQ(ended.status, 0) << ended.out << ended.err;
     EXPECT_EQ(run("dump " + path("whole")).out, run("dump " + path()).out);
     for (const auto& [name, bytes] : files()) {
@@ -189,7 +189,7 @@
 }
 
 TEST_F(StoreProgram, AFolderWithoutAStoreIsReportedAndNothingIsCreated) {
-    Ended ended = run("stat " + path("nowhere"));
+    ProgramResult ended = run("stat " + path("nowhere"));
     EXPECT_EQ(ended.status, 3);
     EXPECT_NE(ended.err.find("No such file or directory"), std::string::npos) << ended.err;
     EXPECT_FALSE(fs::exists(path("nowhere")));
--- a/tests/recovery/keeper_test.cpp
+++ b/tests/recovery/warm_restart_test.cpp
@@ -1,6 +1,6 @@
 // Tests of the store behind the engine, with a disk that the test blocks. A blocked disk must never delay a
 // request.
-#include "engine/keeper.h"
+#include "engine/warm_restart.h"
 
 #include <gtest/gtest.h>
 
@@ -10,9 +10,9 @@
 #include <mutex>
 #include <thread>
 
+#include "capturing_log.h"
 #include "engine/engine.h"
-#include "lines.h"
-#include "plain_config.h"
+#include "minimal_config.h"
 #include "recovery/recorder.h"
 #include "settings/product.h"
 #include "settings/reader.h"
@@ -24,8 +24,8 @@
 namespace flaxdoor::engine::test {
 namespace {
 
-using flaxdoor::test::Lines;
-using flaxdoor::test::plain;
+using flaxdoor::test::CapturingLog;
+using flaxdoor::test::minimal_config;
 using flaxdoor::test::service;
 using nlohmann::json;
 using namespace std::chrono_literals;
@@ -122,7 +122,7 @@
 };
 
 struct Stage {
-    Stage() : node(loop, node_settings()), config(plain(loop::text_of(node.address()))) {
+    Stage() : node(loop, node_settings()), config(minimal_config(loop::text_of(node.address()))) {
         config["settings"]["services"] = json::array({service("look", "idempotent", 500, 3000)});
     }
     ~Stage() {
@@ -143,7 +143,7 @@
                                  open_within + "\"\nremember_every = \"100ms\"\nsoon = \"1ms\"\n";
         EngineOptions options{parse_config(config.dump()), std::get<settings::Values>(settings::read_text(
                                                                text, settings::product_schema()))};
-        options.asks_roster = false;
+        options.uses_discovery = false;
         options.open_folder = open_blockable_folder();
         engine = std::make_unique<Engine>(loop.get_executor(), log, std::move(options));
     }
@@ -163,31 +163,31 @@
         engine.reset();
         return in_time;
     }
-    // Makes a keeper without an engine.
-    std::unique_ptr<Keeper> keeper(Micros remember_every) {
-        Keeper::Options options;
+    // Makes a WarmRestart without an engine.
+    std::unique_ptr<WarmRestart> keeper(Micros remember_every) {
+        WarmRestart::Options options;
         options.folder = folder.path();
         options.open_within = 5s;
-        options.remember_every = remember_every;
+        options.snapshot_interval = remember_every;
         options.half_life = 10min;
         options.open_folder = open_blockable_folder();
-        return std::make_unique<Keeper>(loop.get_executor(), log, clock, options,
-                                        recovery::History{"d", "api", "n0"});
+        return std::make_unique<WarmRestart>(loop.get_executor(), log, clock, options,
+                                             recovery::ListOrigin{"d", "api", "n0"});
     }
-    bool under_way(const Keeper& keeper, std::size_t writes) {
-        return run_until(loop, [&] { return keeper.under_way() == writes; });
+    bool under_way(const WarmRestart& keeper, std::size_t writes) {
+        return run_until(loop, [&] { return keeper.pending_writes() == writes; });
     }
-    bool finished(Keeper& keeper) {
+    bool finished(WarmRestart& keeper) {
         bool done = false;
         keeper.finish([&] { done = true; });
         disk->release();
-        return run_until(loop, [&] { return done; }) && keeper.under_way() == 0;
+        return run_until(loop, [&] { return done; }) && keeper.pending_writes() == 0;
     }
     void receive_list(std::uint64_t version) {
         core::MemberList list = parse_config(config.dump()).known;
         list.kind = ListKind::full;
         list.version = version;
-        engine->take_list(std::move(list));
+        engine->apply_list(std::move(list));
     }
     // Sends the given number of requests, with a new list after every 20 of them. Returns whether all were
     // served.
@@ -248,7 +248,7 @@
     std::shared_ptr<Disk> disk = std::make_shared<Disk>();
     standins::BookingNode node;
     json config;
-    Lines log;
+    CapturingLog log;
     std::unique_ptr<Engine> engine;
     std::uint64_t version = 100, seed = 0;
     std::string open_within = "1m";  // longer than opening takes on any machine
@@ -290,11 +290,11 @@
     Stage stage;
     core::MemberList list = parse_config(stage.config.dump()).known;
     auto keeper = stage.keeper(10ms);
-    (void)keeper->begin(list, {});
+    (void)keeper->restore(list, {});
     double limit = 2;
-    keeper->remember([&](UpstreamId) {
-        UpstreamMemory memory;
-        memory.limit = limit *= 1.5;
+    keeper->start_recording([&](UpstreamId) {
+        LearnedState memory;
+        memory.concurrency_limit = limit *= 1.5;
         return std::optional(memory);
     });
     stage.disk->hold(Disk::Hold::all);
@@ -305,7 +305,7 @@
         keeper->on_list(list);
         stage.loop.restart();
         stage.loop.run_one_for(20ms);
-        max_writes = std::max(max_writes, keeper->under_way());
+        max_writes = std::max(max_writes, keeper->pending_writes());
     }
     EXPECT_EQ(max_writes, 4U);
     ASSERT_TRUE(stage.finished(*keeper));
@@ -479,20 +479,21 @@
 TEST(Keeper, AFailedWriteLeavesNoMixtureOfTwoLists) {
     Stage stage;
     auto keeper = stage.keeper(1h);
-    (void)keeper->begin({}, {});
+    (void)keeper->restore({}, {});
     keeper->on_list(make_list(1, 2));
     ASSERT_TRUE(stage.under_way(*keeper, 1) && stage.under_way(*keeper, 0));
     stage.disk->hold(Disk::Hold::all);
     auto list = make_list(2, 2);
     list.members[0].entry.state = UpstreamState::draining;
     keeper->on_list(list);
-    ASSERT_TRUE(run_until(stage.loop, [&] { return keeper->under_way() == 1 && stage.held_calls() == 1; }));
+    ASSERT_TRUE(
+        run_until(stage.loop, [&] { return keeper->pending_writes() == 1 && stage.held_calls() == 1; }));
     list.version = 3;
     list.members[1].entry.state = UpstreamState::draining;
     keeper->on_list(list);
     // The write need not have been queued yet.
     (void)run_until(
-        stage.loop, [&] { return keeper->under_way() == 2; }, 500ms);
+        stage.loop, [&] { return keeper->pending_writes() == 2; }, 500ms);
     stage.disk->fail(&Disk::fail_once, ENOSPC);
     stage.disk->release();
     ASSERT_TRUE(stage.under_way(*keeper, 0));
@@ -511,27 +512,27 @@
     auto list = make_list(1, recovery::Recorder::max_members);
     for (auto& member : list.members) member.name.resize(100, 'n');
     auto keeper = stage.keeper(100ms);
-    (void)keeper->begin({}, {});
+    (void)keeper->restore({}, {});
     keeper->on_list(list);
-    keeper->remember([&](UpstreamId id) {
-        UpstreamMemory memory;
-        memory.limit = 20 + 1.0 / static_cast<double>(id);
-        memory.ours = 3 + 1.0 / static_cast<double>(id);
-        memory.latency_us = memory.idle_us = 9000 + 1.0 / static_cast<double>(id);
-        memory.out = memory.died = true;
-        memory.cold_since = memory.out_until = memory.answered_at = stage.clock.now();
+    keeper->start_recording([&](UpstreamId id) {
+        LearnedState memory;
+        memory.concurrency_limit = 20 + 1.0 / static_cast<double>(id);
+        memory.own_in_flight = 3 + 1.0 / static_cast<double>(id);
+        memory.latency_us = memory.unloaded_latency_us = 9000 + 1.0 / static_cast<double>(id);
+        memory.ejected = memory.connect_failed = true;
+        memory.cold_start_at = memory.ejected_until = memory.answered_at = stage.clock.now();
         return std::optional(memory);
     });
-    ASSERT_TRUE(run_until(stage.loop, [&] { return keeper->under_way() > 0; }));
+    ASSERT_TRUE(run_until(stage.loop, [&] { return keeper->pending_writes() > 0; }));
     ASSERT_TRUE(stage.finished(*keeper));
     keeper.reset();
     keeper = stage.keeper(100ms);
     core::MemberList empty;
     empty.kind = ListKind::cached;
-    const auto restored = keeper->begin(empty, {});
+    const auto restored = keeper->restore(empty, {});
     EXPECT_EQ(restored.members.size(), list.members.size());
     EXPECT_TRUE(std::all_of(restored.members.begin(), restored.members.end(),
-                            [](const auto& member) { return member.entry.memory.has_value(); }));
+                            [](const auto& member) { return member.entry.restored.has_value(); }));
 }
 
 // The stored form of some names takes more bytes than the recorder assumes. Parts that were not written must
@@ -539,7 +540,7 @@
 TEST(Keeper, AListTooLargeToWriteLeavesNoMixtureOfTwoLists) {
     Stage stage;
     auto keeper = stage.keeper(10ms);
-    (void)keeper->begin({}, {});
+    (void)keeper->restore({}, {});
     keeper->on_list(make_list(1, 8000));
     ASSERT_TRUE(stage.under_way(*keeper, 1) && stage.under_way(*keeper, 0));
     auto large = make_list(2, 8000);
@@ -553,7 +554,7 @@
     large.members[0].name = "another";
     keeper->on_list(large);
     (void)run_until(
-        stage.loop, [&] { return keeper->under_way() == 1; }, 500ms);
+        stage.loop, [&] { return keeper->pending_writes() == 1; }, 500ms);
     ASSERT_TRUE(stage.under_way(*keeper, 0));
     keeper.reset();
     const auto snapshot = stage.stored_snapshot();
--- a/tests/routes/matcher_property_test.cpp
+++ b/tests/routes/matcher_property_test.cpp
@@ -9,8 +9,8 @@
 #include <regex>
 #include <tuple>
 
-#include "drawn.h"
 #include "make.h"
+#include "random_source.h"
 
 namespace flaxdoor::routes {
 namespace {
@@ -118,18 +118,18 @@
         ->pool;
 }
 
-class RandomRoutes : public flaxdoor::test::Drawn {
+class RandomRoutes : public flaxdoor::test::RandomSource {
 public:
-    using flaxdoor::test::Drawn::Drawn;
+    using flaxdoor::test::RandomSource::RandomSource;
 
     std::string path() {
         std::string out;
-        for (std::size_t n = below(4); n > 0; --n) out += "/" + of({"a", "A", "b", "ab", "1"});
-        if (out.empty() || once_in(4)) out += "/";
+        for (std::size_t n = below(4); n > 0; --n) out += "/" + pick({"a", "A", "b", "ab", "1"});
+        if (out.empty() || one_in(4)) out += "/";
         return out;
     }
     std::string host() {
-        return of({"x.example.com", "y.example.com", "x.a.example.com", "a.example.com", "example.com"});
+        return pick({"x.example.com", "y.example.com", "x.a.example.com", "a.example.com", "example.com"});
     }
 
     Match match() {
@@ -137,16 +137,16 @@
         switch (below(4)) {
             case 0: out.path = {PathKind::exact, path()}; break;
             case 1:
-                out.path = {PathKind::regex, of({"/a.*", "/[ab]/1", "/(a|ab)/?", ".*", "/a/b/[0-9]+"})};
+                out.path = {PathKind::regex, pick({"/a.*", "/[ab]/1", "/(a|ab)/?", ".*", "/a/b/[0-9]+"})};
                 break;
             default: out.path = {PathKind::prefix, path()}; break;
         }
-        if (once_in(3)) out.method = of({"GET", "POST"});
+        if (one_in(3)) out.method = pick({"GET", "POST"});
         for (const char* name : {"h1", "h2"}) {
-            if (once_in(4)) out.headers.push_back({once_in(3), name, of({"u", "v"})});
+            if (one_in(4)) out.headers.push_back({one_in(3), name, pick({"u", "v"})});
         }
         for (const char* name : {"q1", "q2"}) {
-            if (once_in(4)) out.queries.push_back({once_in(3), name, of({"u", "v"})});
+            if (one_in(4)) out.queries.push_back({one_in(3), name, pick({"u", "v"})});
         }
         return out;
     }
@@ -171,8 +171,9 @@
             }
             std::vector<std::string> hosts;
             for (std::size_t h = drawn.below(3); h > 0; --h) {
-                const std::string host =
-                    drawn.once_in(2) ? drawn.host() : drawn.of({"*.example.com", "*.a.example.com", "*.com"});
+                const std::string host = drawn.one_in(2)
+                                             ? drawn.host()
+                                             : drawn.pick({"*.example.com", "*.a.example.com", "*.com"});
                 if (std::find(hosts.begin(), hosts.end(), host) == hosts.end()) hosts.push_back(host);
             }
             listener.routes.push_back(route("r" + std::to_string(n), hosts, std::move(rules),
@@ -182,14 +183,14 @@
         const auto built = Table::build(std::move(spec));
         const auto& table = *std::get<std::shared_ptr<const Table>>(built);
         for (int i = 0; i < 150; ++i) {
-            TestRequest request{drawn.host(), drawn.path(), drawn.of({"GET", "POST", "PUT"}), {}, {}};
+            TestRequest request{drawn.host(), drawn.path(), drawn.pick({"GET", "POST", "PUT"}), {}, {}};
             std::string target = request.path;
             for (const char* name : {"h1", "h2"}) {
-                if (drawn.once_in(2)) request.headers.emplace_back(name, drawn.of({"u", "v", "w"}));
+                if (drawn.one_in(2)) request.headers.emplace_back(name, drawn.pick({"u", "v", "w"}));
             }
             for (const char* name : {"q1", "q2"}) {
-                if (!drawn.once_in(2)) continue;
-                request.queries.emplace_back(name, drawn.of({"u", "v", "w"}));
+                if (!drawn.one_in(2)) continue;
+                request.queries.emplace_back(name, drawn.pick({"u", "v", "w"}));
                 target += (target.find('?') == std::string::npos ? "?" : "&") + std::string(name) + "=" +
                           request.queries.back().second;
             }
--- a/tests/settings/budget_rows_test.cpp
+++ b/tests/settings/budget_rows_test.cpp
@@ -121,11 +121,11 @@
         "longest_deadline = \"5s\"\nmax_processes = 7\n[[budget_limit]]\nname = \"a\"\ncounts = \"retries\"\n"
         "tenant = \"t\"\nclass = \"c\"\npool = \"p\"\nrate = 1\n",
         product_schema()));
-    EXPECT_EQ(terms.expected, 3);
-    EXPECT_EQ(terms.term, std::chrono::seconds(1));
-    EXPECT_EQ(terms.drift, 0.01);
-    EXPECT_EQ(terms.longest, std::chrono::seconds(5));
-    EXPECT_EQ(terms.holders_most, 7u);
+    EXPECT_EQ(terms.expected_balancers, 3);
+    EXPECT_EQ(terms.lease_term, std::chrono::seconds(1));
+    EXPECT_EQ(terms.max_clock_drift, 0.01);
+    EXPECT_EQ(terms.max_attempt_duration, std::chrono::seconds(5));
+    EXPECT_EQ(terms.max_holders, 7u);
     const flaxdoor::budget::Budget& only = terms.budgets.at(0);
     EXPECT_EQ(only.name, "a");
     EXPECT_EQ(only.counts, flaxdoor::budget::Counts::retries);
--- a/tests/settings/cli_test.cpp
+++ b/tests/settings/cli_test.cpp
@@ -9,14 +9,14 @@
 namespace {
 
 using flaxdoor::test::content_of;
-using flaxdoor::test::Ended;
+using flaxdoor::test::ProgramResult;
 
 class Program : public testing::Test {
 protected:
     std::string file(const std::string& name, const std::string& text) const {
         return folder_.write(name, text);
     }
-    Ended run(const std::string& arguments) const {
+    ProgramResult run(const std::string& arguments) const {
         return flaxdoor::test::run_program(PROGRAM, arguments, folder_.path());
     }
 
@@ -26,7 +26,7 @@
 
 TEST_F(Program, AcceptsAValidFile) {
     const std::string path = file("fine.toml", "[http]\nidle_timeout = \"9s\"\nclient_share = 0.4\n");
-    const Ended ended = run("check " + path);
+    const ProgramResult ended = run("check " + path);
     EXPECT_EQ(ended.status, 0);
     EXPECT_EQ(ended.out, path + ": ok (2 settings)\n");
     EXPECT_EQ(ended.err, "");
@@ -37,7 +37,7 @@
 
 TEST_F(Program, PrintsFaultsToStandardError) {
     const std::string path = file("bad.toml", "[http]\nidle_timeot = \"9s\"\nsend_timeout = 4\n");
-    const Ended ended = run("check " + path);
+    const ProgramResult ended = run("check " + path);
     EXPECT_EQ(ended.status, 1);
     EXPECT_EQ(ended.out, "");
     EXPECT_EQ(ended.err,
@@ -47,26 +47,27 @@
 }
 
 TEST_F(Program, ReportsAMissingFile) {
-    const Ended ended = run("check /nowhere/at_all.toml");
+    const ProgramResult ended = run("check /nowhere/at_all.toml");
     EXPECT_EQ(ended.status, 1);
     EXPECT_EQ(ended.err, "/nowhere/at_all.toml: cannot be read: No such file or directory\n");
 }
 
 TEST_F(Program, PrintsFaultsAsJson) {
     const std::string path = file("bad.toml", "[http]\nidle_timeot = \"9s\"\n");
-    const Ended ended = run("check --json " + path);
+    const ProgramResult ended = run("check --json " + path);
     EXPECT_EQ(ended.status, 1);
     EXPECT_EQ(ended.err, "");
     EXPECT_EQ(nlohmann::json::parse(ended.out),
               nlohmann::json::parse(R"({"file": ")" + path + R"(", "ok": false,
         "more": 0, "faults": [{"line": 2, "column": 1, "what": "unknown key", "key": "http.idle_timeot",
                                "mend": "did you mean idle_timeout?"}]})"));
-    const Ended fine = run("check --json " + file("fine.toml", "[http]\n"));
+    const ProgramResult fine = run("check --json " + file("fine.toml", "[http]\n"));
     EXPECT_EQ(fine.status, 0);
     EXPECT_EQ(nlohmann::json::parse(fine.out).at("ok"), true);
     EXPECT_EQ(nlohmann::json::parse(fine.out).at("settings"), 0);
     // JSON has to be UTF-8. The output must be valid JSON even if the file is not UTF-8.
-    const Ended bytes = run("check --json " + file("bytes.toml", "[http]\nidle_timeout = \"\xff\"\n"));
+    const ProgramResult bytes =
+        run("check --json " + file("bytes.toml", "[http]\nidle_timeout = \"\xff\"\n"));
     EXPECT_EQ(bytes.status, 1);
     EXPECT_TRUE(nlohmann::json::accept(bytes.out)) << bytes.out;
 }
@@ -74,7 +75,7 @@
 TEST_F(Program, RejectsInvalidCommands) {
     for (const char* words : {"", "chek x", "check", "check a b", "check --jsn a",
                               "settings --page --example", "settings x", "version x"}) {
-        const Ended ended = run(words);
+        const ProgramResult ended = run(words);
         EXPECT_EQ(ended.status, 2) << words;
         EXPECT_EQ(ended.out, "") << words;
         EXPECT_NE(ended.err, "") << words;
--- a/tests/settings/corpus_test.cpp
+++ b/tests/settings/corpus_test.cpp
@@ -2,9 +2,9 @@
 #include <algorithm>
 #include <random>
 
+#include "iterations.h"
 #include "samples.h"
 #include "settings/product.h"
-#include "share.h"
 
 namespace flaxdoor::settings {
 namespace {
@@ -115,7 +115,7 @@
     for (const std::uint64_t seed : {1, 2, 3}) {
         SCOPED_TRACE("seed " + std::to_string(seed));
         Mutator mutator(seed);
-        for (int i = 0; i < flaxdoor::test::share_of(8000, 1000); ++i) {
+        for (int i = 0; i < flaxdoor::test::iterations(8000, 1000); ++i) {
             const std::string text = mutator.mutate(texts[static_cast<std::size_t>(i) % texts.size()]);
             SCOPED_TRACE("number " + std::to_string(i) + ":\n" + text);
             ASSERT_NO_FATAL_FAILURE(expect_accepted_or_valid_faults(text, product));
--- a/tests/settings/product_test.cpp
+++ b/tests/settings/product_test.cpp
@@ -177,7 +177,7 @@
                     return fault.what == "unknown key" && fault.at == Position{2, 1};
                 });
                 ASSERT_NE(found, faults.end()) << misspelling;
-                EXPECT_EQ(found->mend, "did you mean " + setting.name + "?") << misspelling;
+                EXPECT_EQ(found->remedy, "did you mean " + setting.name + "?") << misspelling;
             }
         }
     }
--- a/tests/standins/client_test.cpp
+++ b/tests/standins/client_test.cpp
@@ -23,7 +23,7 @@
         results.clear();
         LoadClient client(loop, std::move(settings));
         client.start();
-        EXPECT_TRUE(until([&] { return client.done(); }));
+        EXPECT_TRUE(wait_until([&] { return client.done(); }));
         return client.report();
     }
     // What becomes of one call under a fault.
@@ -93,7 +93,7 @@
     settings.connections = 2;
     LoadClient client(loop, settings);
     client.start();
-    ASSERT_TRUE(until([&] { return n->counts().answered == 1 && client.report().surplus == 1; }));
+    ASSERT_TRUE(wait_until([&] { return n->counts().answered == 1 && client.report().surplus == 1; }));
     EXPECT_EQ(of(client.report(), Outcome::served), 1U);
 }
 
@@ -108,7 +108,7 @@
     while (std::chrono::steady_clock::now() - begun < milliseconds(100)) {
         // The client's own process stands still.
     }
-    ASSERT_TRUE(until([&] { return client.done(); }));
+    ASSERT_TRUE(wait_until([&] { return client.done(); }));
     ASSERT_EQ(results.size(), 20U);
     for (const auto& result : results) EXPECT_GE(result.ended - result.intended, milliseconds(80));
     EXPECT_GE(client.report().lag_most, milliseconds(80));
@@ -139,7 +139,7 @@
     const auto report = run(settings);
     EXPECT_EQ(of(report, Outcome::unanswered), 1U);
     EXPECT_GE(results[0].ended - results[0].intended, milliseconds(15));
-    EXPECT_TRUE(until([&] { return n->counts().open == 0; }));
+    EXPECT_TRUE(wait_until([&] { return n->counts().open == 0; }));
 }
 
 TEST_F(ClientTest, LeavingIsItsOwnOutcomeAndStopsNothing) {
@@ -148,7 +148,7 @@
     settings.connections = 4;
     settings.leaves = 1;
     EXPECT_EQ(of(run(settings), Outcome::left), 4U);
-    ASSERT_TRUE(until([&] { return n->counts().open == 0; }));
+    ASSERT_TRUE(wait_until([&] { return n->counts().open == 0; }));
     EXPECT_EQ(n->counts().answered, 0U);
 }
 
@@ -325,10 +325,10 @@
     settings.duration = std::chrono::hours(1);
     LoadClient client(loop, settings);
     client.start();
-    ASSERT_TRUE(until([&] { return client.report().total().calls >= 10; }));
+    ASSERT_TRUE(wait_until([&] { return client.report().total().calls >= 10; }));
     client.stop();
-    ASSERT_TRUE(until([&] { return client.done(); }));
-    EXPECT_TRUE(until([&] { return n->counts().open == 0; }));
+    ASSERT_TRUE(wait_until([&] { return client.done(); }));
+    EXPECT_TRUE(wait_until([&] { return n->counts().open == 0; }));
 }
 
 TEST_F(ClientTest, SettingsThatCannotBeFollowedAreNamed) {
--- a/tests/standins/node_effects_test.cpp
+++ b/tests/standins/node_effects_test.cpp
@@ -111,7 +111,7 @@
         by_reset ? c->reset() : c->leave();
         ASSERT_TRUE(happened(*n, Kind::given_up));
         ASSERT_TRUE(happened(*n, Kind::finished));
-        settle();
+        run_ready();
         EXPECT_EQ(n->counts().answered, 0U);
         EXPECT_EQ(n->effects().find(asked.call_id)->runs, 1U);
         EXPECT_EQ(n->effects().find(asked.call_id)->answers, 0U);
--- a/tests/standins/node_fault_test.cpp
+++ b/tests/standins/node_fault_test.cpp
@@ -27,12 +27,12 @@
         const auto c = connect(*n);
         const auto asked = call(CallKind::unsafe);
         c->send(asked);
-        ASSERT_TRUE(until([&] {
+        ASSERT_TRUE(wait_until([&] {
             return c->answers().size() == (expected.status != 0 ? 1U : 0U) &&
                    (c->end() != End::open) == (expected.end != End::open) &&
                    n->counts().faults == (*expected.fault ? 1U : 0U);
         }));
-        settle();
+        run_ready();
         EXPECT_EQ(c->end(), expected.end);
         ASSERT_EQ(c->answers().size(), expected.status != 0 ? 1U : 0U);
         if (expected.status != 0) {
@@ -95,8 +95,8 @@
     const auto c = connect(*n);
     const auto asked = call();
     c->send(asked);
-    ASSERT_TRUE(until([&] { return c->all_sent() && n->count_of(Kind::fault) == 1; }));
-    settle();
+    ASSERT_TRUE(wait_until([&] { return c->all_sent() && n->count_of(Kind::fault) == 1; }));
+    run_ready();
     EXPECT_EQ(n->counts().accepted, 0U);
     EXPECT_EQ(c->end(), End::open);
     n->listen();
@@ -148,7 +148,7 @@
     fault(*n, "refuse,for=10");
     auto c = connect(*n);
     expect_end(*c, End::refused);
-    EXPECT_TRUE(until([&] {
+    EXPECT_TRUE(wait_until([&] {
         if (c->end() == End::refused) c = connect(*n);
         return c->connected();
     }));
@@ -165,7 +165,7 @@
         const auto c = connect(*n);
         c->send(text.substr(0, bytes - 1));
         ASSERT_TRUE(happened(*n, Kind::first_byte));
-        settle();
+        run_ready();
         EXPECT_EQ(c->end(), End::open);
         EXPECT_EQ(n->count_of(Kind::fault), 0U);
         c->send(text.substr(bytes - 1, 1));
@@ -236,7 +236,7 @@
     const auto c = connect(*n);
     const auto asked = call();
     c->send(asked);
-    ASSERT_TRUE(until([&] { return !c->raw().empty(); }));
+    ASSERT_TRUE(wait_until([&] { return !c->raw().empty(); }));
     EXPECT_TRUE(c->answers().empty());
     EXPECT_EQ(n->count_of(Kind::answered), 0U);
     ASSERT_TRUE(answered(*c));
@@ -347,8 +347,8 @@
     a->send(asked);
     const auto b = connect(*n);
     b->send(other);
-    ASSERT_TRUE(until([&] { return a->all_sent() && b->all_sent(); }));
-    settle();
+    ASSERT_TRUE(wait_until([&] { return a->all_sent() && b->all_sent(); }));
+    run_ready();
     EXPECT_EQ(n->counts().begun, 1U);
     EXPECT_EQ(n->counts().accepted, 1U);
     n->resume();
--- a/tests/standins/relay_test.cpp
+++ b/tests/standins/relay_test.cpp
@@ -38,7 +38,7 @@
         relay.cut(cut);
         const auto cut_off = client();
         cut_off->send(call());
-        ASSERT_TRUE(until([&] { return relay.counts().lost > lost; }));
+        ASSERT_TRUE(wait_until([&] { return relay.counts().lost > lost; }));
         EXPECT_EQ(server->counts().ran - before, ran);
         EXPECT_EQ(cut_off->end(), End::open);
         EXPECT_TRUE(cut_off->answers().empty());
@@ -61,7 +61,7 @@
 
     relay.chances({.doubled = 1});
     expect_served(*client(), call());
-    EXPECT_TRUE(until([&] { return server->counts().ran == 4; }));
+    EXPECT_TRUE(wait_until([&] { return server->counts().ran == 4; }));
 
     relay.chances({.repeated = 1});
     expect_served(*client(), call());
@@ -79,7 +79,7 @@
             const auto asking = connect(by_seed.address());
             const auto asked = call();
             asking->send(asked);
-            EXPECT_TRUE(until([&] { return !asking->answers().empty() || asking->end() != End::open; }));
+            EXPECT_TRUE(wait_until([&] { return !asking->answers().empty() || asking->end() != End::open; }));
             all += asking->answers().empty() ? 'x' : '.';
         }
         return all;
--- a/tests/standins/rig.h
+++ b/tests/standins/rig.h
@@ -4,7 +4,7 @@
 #include <memory>
 #include <string>
 
-#include "../on_loop.h"
+#include "../event_loop_test.h"
 #include "standins/scripted_client.h"
 
 namespace flaxdoor::standins {
@@ -14,7 +14,7 @@
 using Kind = NodeEvent::Kind;
 using End = ScriptedClient::End;
 
-class Rig : public OnLoop {
+class Rig : public EventLoopTest {
 protected:
     std::unique_ptr<BookingNode> node(BookingNode::Settings settings = {}) {
         return std::make_unique<BookingNode>(loop, std::move(settings));
@@ -33,7 +33,7 @@
         return made;
     }
     bool answered(const ScriptedClient& client, std::size_t answers = 1) {
-        return until([&] { return client.answers().size() >= answers; });
+        return wait_until([&] { return client.answers().size() >= answers; });
     }
     // Sends the call and waits for what answers it.
     Answer ask(ScriptedClient& client, const Call& asked) {
@@ -53,14 +53,14 @@
     // A new client's call is served.
     void expect_serves(const BookingNode& to) { expect_served(*connect(to), call()); }
     bool ended(const ScriptedClient& client) {
-        return until([&] { return client.end() != End::open; });
+        return wait_until([&] { return client.end() != End::open; });
     }
     void expect_end(const ScriptedClient& client, End end) {
         EXPECT_TRUE(ended(client));
         EXPECT_EQ(client.end(), end);
     }
     bool happened(const BookingNode& on, Kind kind, std::size_t times = 1) {
-        return until([&] { return on.count_of(kind) >= times; });
+        return wait_until([&] { return on.count_of(kind) >= times; });
     }
 
 private:
--- a/tests/standins/roster_test.cpp
+++ b/tests/standins/roster_test.cpp
@@ -36,7 +36,7 @@
         return lines;
     }
     bool has_lines(const ScriptedClient& client, std::size_t many) {
-        return until([&] { return lines(client).size() >= many; });
+        return wait_until([&] { return lines(client).size() >= many; });
     }
     // A watch that has been told the whole list.
     std::unique_ptr<ScriptedClient> told(const Roster& roster, std::uint64_t index = 0) {
@@ -100,7 +100,8 @@
     EXPECT_EQ(lines(*told(roster, 3))[0], said(6, false, text("s-5", "leaving") + "," + text("s-4")));
     for (const std::uint64_t beyond_the_log : {2, 9})
         EXPECT_TRUE(lines(*told(roster, beyond_the_log))[0].starts_with(R"({"seq":6,"whole":true)"));
-    ASSERT_TRUE(until([&] { return all_lines(*newest).size() >= 3; }));  // empty ones, as nothing changes
+    ASSERT_TRUE(
+        wait_until([&] { return all_lines(*newest).size() >= 3; }));  // empty ones, as nothing changes
     EXPECT_TRUE(lines(*newest).empty());
     EXPECT_GE(roster.counts().heartbeats, 3U);
 }
@@ -128,7 +129,7 @@
     roster.split(0, 10, milliseconds(1));
     const auto c = watch(roster, 0);
     // A few writes may be read as one, not all of them.
-    ASSERT_TRUE(until([&] { return !c->part().body.empty(); }));
+    ASSERT_TRUE(wait_until([&] { return !c->part().body.empty(); }));
     EXPECT_TRUE(lines(*c).empty());
     ASSERT_TRUE(has_lines(*c, 1));
 }
@@ -182,13 +183,13 @@
     roster.set(entry("s-1"));
     const auto c = told(roster);
     roster.silent(true);
-    settle();
+    run_ready();
     const auto before = c->raw().size();
     const auto beats = roster.counts().heartbeats;
     roster.drain("s-1");
     const auto asked = list(roster);
-    ASSERT_TRUE(until([&] { return roster.counts().lists == 1; }));
-    settle();
+    ASSERT_TRUE(wait_until([&] { return roster.counts().lists == 1; }));
+    run_ready();
     EXPECT_EQ(c->raw().size(), before);
     EXPECT_TRUE(asked->raw().empty());
     EXPECT_EQ(roster.counts().heartbeats, beats);
@@ -203,7 +204,7 @@
     Roster roster(loop);
     roster.set(entry("s-1"));
     const auto c = watch(roster, 1);
-    ASSERT_TRUE(until([&] { return roster.counts().watches_open == 1; }));
+    ASSERT_TRUE(wait_until([&] { return roster.counts().watches_open == 1; }));
     roster.raw_line("{\"seq\":2,\"whole\":fal");
     ASSERT_TRUE(has_lines(*c, 1));
     EXPECT_EQ(lines(*c)[0], "{\"seq\":2,\"whole\":fal");
@@ -249,7 +250,7 @@
     Roster roster(loop);
     roster.set({entry("s-1"), entry("s-2")});
     const auto c = watch(roster, 1);
-    ASSERT_TRUE(until([&] { return roster.counts().watches_open == 1; }));
+    ASSERT_TRUE(wait_until([&] { return roster.counts().watches_open == 1; }));
     roster.replace_all({entry("s-2"), entry("s-3")});
     ASSERT_TRUE(has_lines(*c, 1));
     EXPECT_EQ(lines(*c)[0], said(2, false, text("s-3") + "," + text("s-2") + "," + text("s-1", "left")));
@@ -280,7 +281,7 @@
     const std::string large(512 * 1024, 'x');
     for (int i = 0; i < 200 && roster.counts().slow_reset == 0; ++i) {
         roster.raw_line(large);
-        settle();
+        run_ready();
     }
     EXPECT_EQ(roster.counts().slow_reset, 1U);
     EXPECT_EQ(roster.counts().watches_open, 0U);
--- a/tests/suite/form.h
+++ b/tests/suite/balancer_under_test.h
@@ -27,9 +27,9 @@
     std::vector<std::pair<std::string, std::string>> environment;
 };
 
-class Form {
+class BalancerUnderTest {
 public:
-    virtual ~Form() = default;
+    virtual ~BalancerUnderTest() = default;
 
     // The balancer's process, once started: its own, or the test's.
     virtual pid_t process() const = 0;
@@ -61,7 +61,7 @@
 };
 
 // Defined once by each form.
-std::unique_ptr<Form> make_form(boost::asio::io_context& loop);
+std::unique_ptr<BalancerUnderTest> make_form(boost::asio::io_context& loop);
 std::vector<UnsupportedTest> unsupported_tests();
 
 }  // namespace flaxdoor::test
--- a/tests/suite/configuration_test.cpp
+++ b/tests/suite/configuration_test.cpp
@@ -6,7 +6,7 @@
 
 // An invalid configuration makes the balancer log one line with the error and exit.
 TEST(Configuration, AnInvalidConfigurationPreventsTheStart) {
-    Stage valid;
+    BalancerFixture valid;
     json missing_key = valid.config;
     missing_key["settings"].erase("siblings");
     json address_in_use = valid.config;
@@ -15,7 +15,7 @@
     invalid_value["settings"]["services"][0]["worth"] = -1;
     for (const std::string& text : {std::string("{\"settings\":"), std::string("[]"), std::string(),
                                     missing_key.dump(), address_in_use.dump(), invalid_value.dump()}) {
-        Stage fixture;
+        BalancerFixture fixture;
         EXPECT_FALSE(fixture.form->start({text, {}, {}}));
         EXPECT_EQ(fixture.form->status(), 1) << text;
         EXPECT_EQ(fixture.form->log().size(), 1U) << text;
@@ -26,7 +26,7 @@
 // An invalid new configuration changes nothing and logs one line; the previous one stays active, and the next valid
 // one is applied.
 TEST(Configuration, AnInvalidConfigurationKeepsThePreviousOne) {
-    Stage fixture;
+    BalancerFixture fixture;
     Listener other(fixture.loop);
     fixture.start();
     const auto watch = fixture.watch();
@@ -46,7 +46,7 @@
     EXPECT_FALSE(watch->ended);
     fixture.pass(*wire, *client);
     fixture.config["discovery"] = text_of(other.address());
-    fixture.take();
+    fixture.reconfigure();
     EXPECT_TRUE(has(fixture.watch(other)->in, "index=7 "));
 }
 
--- a/tests/suite/crossings_test.cpp
+++ b/tests/suite/crossings_test.cpp
@@ -12,7 +12,7 @@
 using standins::peers::DeafPeer;
 
 // Waits for this time. The balancer uses the system clock.
-void wait_for(Stage& fixture, std::chrono::milliseconds length, int where = __builtin_LINE()) {
+void wait_for(BalancerFixture& fixture, std::chrono::milliseconds length, int where = __builtin_LINE()) {
     bool elapsed = false;
     asio::steady_timer clock(fixture.loop, length);
     clock.async_wait([&](auto) { elapsed = true; });
@@ -24,28 +24,30 @@
 // A keyed request that may have executed at the first upstream and is to be retried at the second one, which is
 // listed only then.
 struct RetryScenario {
-    RetryScenario(Stage& stage, const json& second, std::string_view body = "body") : fixture(stage) {
+    RetryScenario(BalancerFixture& stage, const json& second, std::string_view body = "body")
+        : fixture(stage) {
         fixture.config["settings"]["services"][1]["window"] = window.count();
         fixture.config["known"]["hosts"] = json::array({fixture.upstream(0)});
         client = fixture.start_with_client();
         first = fixture.send(*client, fixture.keyed(5000, {}, body));
-        fixture.watch()->say(watch_head + Stage::news(8, false, json::array({second})) + chunk("\n"));
+        fixture.watch()->send(watch_head + BalancerFixture::watch_update(8, false, json::array({second})) +
+                              chunk("\n"));
         fixture.settle();
-        first->say("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n");
+        first->send("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n");
     }
     void expect_client_failure() {
         const auto answer = fixture.answer(*client);
         EXPECT_TRUE(failed(answer)) << answer;
     }
 
-    Stage& fixture;
+    BalancerFixture& fixture;
     std::shared_ptr<Wire> client, first;
 };
 
 // The retry's connection is established after the idempotency window has ended. Servers may have forgotten the first
 // attempt by then and would execute the request again, so nothing is sent.
 TEST(Crossings, AConnectionIsEstablishedAfterTheWindow) {
-    Stage fixture(2);
+    BalancerFixture fixture(2);
     fixture.upstreams[1]->vanish();
     RetryScenario scenario(fixture, fixture.upstream(1));
     fixture.until([&] { return connecting_to(fixture.upstreams[1]->address()); });
@@ -59,10 +61,10 @@
 // The retry's connection is established in time, but the server accepts the bytes slowly: the last ones are not sent
 // after the window.
 TEST(Crossings, TheLastBytesBecomeWritableAfterTheWindow) {
-    Stage fixture(1);
+    BalancerFixture fixture(1);
     DeafPeer slow(fixture.loop);
     const std::string body(60000, 'x');
-    RetryScenario scenario(fixture, Stage::entry("s-1", slow.endpoint()), body);
+    RetryScenario scenario(fixture, BalancerFixture::entry("s-1", slow.endpoint()), body);
     fixture.until([&] { return slow.something_came(); });
     wait_for(fixture, window);
     slow.read_all();
@@ -73,10 +75,10 @@
 
 // When a connection takes long to be established, X-Budget-Ms is the time left at that point.
 TEST(Crossings, TheBudgetSentIsTheTimeLeftOnceConnected) {
-    Stage fixture(1);
+    BalancerFixture fixture(1);
     fixture.upstreams[0]->vanish();
     const auto client = fixture.start_with_client();
-    client->say(fixture.once(5000));
+    client->send(fixture.once(5000));
     fixture.until([&] { return connecting_to(fixture.upstreams[0]->address()); });
     wait_for(fixture, std::chrono::milliseconds(300));
     fixture.upstreams[0]->reappear();
@@ -87,12 +89,12 @@
 
 // A response without a declared length is forwarded once its connection has ended in order, however late that is.
 TEST(Crossings, AResponseWithoutLengthIsCompleteAtItsEnd) {
-    Stage fixture(1);
+    BalancerFixture fixture(1);
     const auto client = fixture.start_with_client();
     const auto wire = fixture.send(*client, fixture.once());
-    wire->say("HTTP/1.1 200 OK\r\n\r\nser");
+    wire->send("HTTP/1.1 200 OK\r\n\r\nser");
     fixture.settle();
-    wire->say("ved");
+    wire->send("ved");
     fixture.settle();
     EXPECT_EQ(client->in, "") << "nothing is forwarded before the end of the response";
     wire->close();
@@ -108,30 +110,31 @@
     enum class Awaited { an_upstream, a_connection, a_retry };
     for (const auto awaited : {Awaited::an_upstream, Awaited::a_connection, Awaited::a_retry}) {
         SCOPED_TRACE(static_cast<int>(awaited));
-        Stage fixture(2);
+        BalancerFixture fixture(2);
         fixture.config["known"]["hosts"] = json::array();
         if (awaited != Awaited::an_upstream) fixture.config["known"]["hosts"].push_back(fixture.upstream(0));
         if (awaited == Awaited::a_connection) fixture.upstreams[0]->vanish();
         const auto client = fixture.start_with_client();
-        client->say(fixture.look());
+        client->send(fixture.look());
         if (awaited == Awaited::a_connection) {
             fixture.until([&] { return connecting_to(fixture.upstreams[0]->address()); });
         } else if (awaited == Awaited::a_retry) {
-            fixture.request().first->say("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
+            fixture.request().first->send("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n");
         }
         fixture.settle();
         client->close();
         fixture.settle();
         fixture.settle();  // by now the balancer's probe of the client has caused a reset
         if (awaited == Awaited::a_connection) fixture.upstreams[0]->reappear();
-        fixture.watch()->say(watch_head +
-                             Stage::news(9, true, json::array({fixture.upstream(0), fixture.upstream(1)})) +
-                             chunk("\n"));
+        fixture.watch()->send(
+            watch_head +
+            BalancerFixture::watch_update(9, true, json::array({fixture.upstream(0), fixture.upstream(1)})) +
+            chunk("\n"));
         // Longer than any back-off of the class, and than a retransmitted connection request takes.
         const auto other = fixture.client();
         const auto held = fixture.send(*other, fixture.once(1500));
         EXPECT_TRUE(failed(fixture.answer(*other)));
-        EXPECT_TRUE(fixture.nothing_sent());
+        EXPECT_TRUE(fixture.no_request_forwarded());
     }
 }
 
@@ -140,7 +143,7 @@
 // Requests that are in the backlog, or unread on an idle connection, when shutdown starts are served, although no
 // further connection is accepted from then on.
 TEST(Crossings, WhatLayUnreadAtTheEndIsServed) {
-    Stage fixture(1);
+    BalancerFixture fixture(1);
     fixture.operators = "[drain]\nkeep_accepting = \"0s\"\n";
     fixture.start();
     const auto idle = fixture.client();
@@ -148,13 +151,13 @@
     const std::string first = fixture.once(), second = fixture.once();
     fixture.form->hold();
     const auto fresh = fixture.client();
-    fresh->say(first);
-    idle->say(second);
+    fresh->send(first);
+    idle->send(second);
     fixture.form->end();
     fixture.form->go_on();
     for (const auto& client : {fresh, idle}) {
         const auto wire = fixture.request().first;
-        wire->say(ok("served"));
+        wire->send(ok("served"));
         (void)client;
     }
     for (const auto& client : {fresh, idle}) {
@@ -162,21 +165,21 @@
         fixture.until([&c = client] { return c->ended; });
         client->close();
     }
-    fixture.until_ended();
+    fixture.until_exited();
 }
 
 // A balancer that is killed right after an accept, with a complete, partial or missing request: the client sees the
 // end of its connection and no response byte, and the next process serves. (tests/library/life_test covers a library
 // that is closed immediately.)
 TEST(Crossings, AKillRightAfterAnAccept) {
-    Stage fixture(1);
+    BalancerFixture fixture(1);
     fixture.start();
     if (fixture.form->process() == ::getpid()) return;  // only a separate process can be killed
     const std::string request = fixture.once();
     std::vector<std::shared_ptr<Wire>> clients;
     for (const std::size_t sent_bytes : {request.size(), std::size_t{30}, std::size_t{0}}) {
         clients.push_back(fixture.client());
-        clients.back()->say(request.substr(0, sent_bytes));
+        clients.back()->send(request.substr(0, sent_bytes));
     }
     fixture.form.reset();
     for (const auto& client : clients) {
@@ -194,7 +197,7 @@
 // requests are answered.
 TEST(Crossings, AConfigurationAndAShutdownArriveTogether) {
     for (const bool end_first : {true, false}) {
-        Stage fixture(1);
+        BalancerFixture fixture(1);
         Listener other(fixture.loop);
         const auto client = fixture.start_with_client();
         const auto wire = fixture.send(*client, fixture.once());
@@ -207,7 +210,7 @@
         fixture.form->go_on();
         fixture.pass(*wire, *client, "held");
         client->close();
-        fixture.until_ended();
+        fixture.until_exited();
     }
 }
 
@@ -216,7 +219,7 @@
 // Silent clients occupy all client connections while discovery does not respond and is retried. Pending calls and
 // upstream connections keep their descriptors, and everything continues once discovery responds again.
 TEST(Crossings, SilentClientsFillTheDescriptorsWhileDiscoveryIsDown) {
-    Stage fixture(2);
+    BalancerFixture fixture(2);
     fixture.config["limits"]["sockets"] = 96;
     fixture.config["known"]["hosts"] = json::array({fixture.upstream(0)});
     fixture.operators = "[membership]\nanswer_timeout = \"100ms\"\n";
@@ -231,8 +234,9 @@
     fixture.until([&] {
         return !fixture.discovery.wires.empty() && has(fixture.discovery.wires.back()->in, "\r\n\r\n");
     });
-    fixture.discovery.wires.back()->say(
-        watch_head + Stage::news(9, true, json::array({fixture.upstream(1)})) + chunk("\n"));
+    fixture.discovery.wires.back()->send(
+        watch_head + BalancerFixture::watch_update(9, true, json::array({fixture.upstream(1)})) +
+        chunk("\n"));
     fixture.until([&] { return held->ended; });  // the new list omits its upstream
     fixture.serve(*client, fixture.once());
     EXPECT_EQ(fixture.upstreams[1]->wires.size(), 1U);
@@ -242,25 +246,25 @@
 // message is a complete list without that upstream. The upstream gets no further request, neither on its idle
 // connection nor on one that is being established.
 TEST(Crossings, ACompleteListAfterAResetOmitsADrainingUpstream) {
-    Stage fixture(2);
+    BalancerFixture fixture(2);
     Listener moved(fixture.loop);
     fixture.config["known"]["hosts"] = json::array({fixture.upstream(0)});
     const auto client = fixture.start_with_client();
     const auto late = fixture.client();
-    fixture.watch()->say(watch_head + chunk("\n"));
+    fixture.watch()->send(watch_head + chunk("\n"));
     const auto kept = fixture.serve(*client);
     fixture.upstreams[0]->vanish();
     // Occupies the idle connection, so that the next request needs a new one.
     const auto busy = fixture.send(*client, fixture.look());
-    late->say(fixture.once());
+    late->send(fixture.once());
     fixture.until([&] { return connecting_to(fixture.upstreams[0]->address()); });
     fixture.watch()->reset();
     fixture.config["discovery"] = text_of(moved.address());
-    fixture.take();
+    fixture.reconfigure();
     const std::string text =
         json{{"seq", 9}, {"whole", true}, {"hosts", json::array({fixture.upstream(1)})}}.dump(2) + "\n";
     const auto watch = fixture.watch(moved);
-    watch->say(watch_head + chunk(text.substr(0, 40)) + chunk(text.substr(40)) + chunk("\n"));
+    watch->send(watch_head + chunk(text.substr(0, 40)) + chunk(text.substr(40)) + chunk("\n"));
     fixture.settle();
     fixture.upstreams[0]->reappear();
     fixture.pass(*busy, *client, "to the end");
@@ -282,7 +286,7 @@
          {Row{"push mode, watch ends", "push", false}, Row{"push mode, watch is silent", "push", true},
           Row{"ask mode, watch is silent", "ask", true}}) {
         SCOPED_TRACE(row.what);
-        Stage fixture(1);
+        BalancerFixture fixture(1);
         fixture.config["settings"]["registry_mode"] = row.registry;
         fixture.operators = "[membership]\nsilence_timeout = \"100ms\"\nanswer_timeout = \"10s\"\n";
         const auto client = fixture.start_with_client();
@@ -291,14 +295,14 @@
         const auto silent = fixture.send(*client, fixture.once(300));
         EXPECT_TRUE(failed(fixture.answer(*client)));
         EXPECT_EQ(fixture.discovery.wires.size(), 1U);
-        watch->say(watch_head + chunk("\n"));
+        watch->send(watch_head + chunk("\n"));
         if (!row.silent) watch->close();
         fixture.send(*client, fixture.once(300));
         EXPECT_TRUE(failed(fixture.answer(*client)));
-        fixture.drink();
+        fixture.drain_events();
         ASSERT_EQ(fixture.discovery.wires.size(), 2U);
         fixture.watch(fixture.discovery, 2)
-            ->say(watch_head + Stage::news(9, true, json::array()) + chunk("\n"));
+            ->send(watch_head + BalancerFixture::watch_update(9, true, json::array()) + chunk("\n"));
         fixture.settle();
         EXPECT_TRUE(refused(fixture.ask(*client, fixture.once(300)))) << "no upstream is listed any more";
         EXPECT_TRUE(fixture.no_request_received());
--- a/tests/suite/discovery_test.cpp
+++ b/tests/suite/discovery_test.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 TEST(Discovery, WatchesFromTheLastKnownVersion) {
-    Stage fixture;
+    BalancerFixture fixture;
     fixture.start();
     const auto watch = fixture.watch();
     EXPECT_TRUE(has(watch->in, "GET /v1/endpoints?stream=1&index=7 HTTP/1.1\r\n"));
@@ -17,22 +17,23 @@
 // However a watch ends, the next one resumes after the last version received.
 TEST(Discovery, ResumesAWatchThatFailed) {
     for (const std::string ending : {"cut", "503", "nonsense", "bad line"}) {
-        Stage fixture;
+        BalancerFixture fixture;
         fixture.start();
         const auto first = fixture.watch();
         const std::string news = fixture.list(9, false).dump();
-        first->say(watch_head + chunk(news.substr(0, 20)) + chunk(news.substr(20) + "\n") + chunk("\n"));
+        first->send(watch_head + chunk(news.substr(0, 20)) + chunk(news.substr(20) + "\n") + chunk("\n"));
         std::size_t failed = 1;
         if (ending == "503" || ending == "nonsense") {
             first->close();
             fixture.watch(fixture.discovery, 2)
-                ->say(ending == "503" ? "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
-                                      : "nonsense\r\n\r\n");
+                ->send(ending == "503" ? "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
+                                       : "nonsense\r\n\r\n");
             failed = 2;
         } else if (ending == "cut") {
             first->close();
         } else {
-            first->say(chunk("{\"seq\":11,\n\n"));  // an indented list could continue; the empty line ends it
+            first->send(
+                chunk("{\"seq\":11,\n\n"));  // an indented list could continue; the empty line ends it
         }
         EXPECT_TRUE(has(fixture.watch(fixture.discovery, failed + 1)->in, "index=9 ")) << ending;
     }
@@ -42,7 +43,7 @@
 // unusable entry does not affect the other entries of its list.
 TEST(Discovery, AppliesChanges) {
     for (const bool with_unusable_entry : {false, true}) {
-        Stage fixture;
+        BalancerFixture fixture;
         fixture.start();
         const auto watch = fixture.watch();
         json hosts = json::array({fixture.upstream(0, "leaving")});
@@ -51,7 +52,7 @@
             hosts[1]["host"] = "s-new";
             hosts[1]["site"] = "nowhere";
         }
-        watch->say(watch_head + Stage::news(9, false, hosts) + chunk("\n"));
+        watch->send(watch_head + BalancerFixture::watch_update(9, false, hosts) + chunk("\n"));
         if (with_unusable_entry) fixture.line("discovery: left out: s-new: unknown zone");
         fixture.settle();
         const auto client = fixture.client();
@@ -65,23 +66,23 @@
 // version, and applies the old service's changes until the new one responds. This works repeatedly and while
 // draining.
 TEST(Discovery, MovesToAnotherServiceWithoutAGap) {
-    Stage fixture;
+    BalancerFixture fixture;
     std::vector<std::unique_ptr<Listener>> services;
     for (int i = 0; i < 3; ++i) services.push_back(std::make_unique<Listener>(fixture.loop));
     fixture.config["discovery"] = text_of(services[0]->address());
     fixture.start();
     const auto move_to = [&](std::size_t i) {
         fixture.config["discovery"] = text_of(services[i]->address());
-        fixture.take();
+        fixture.reconfigure();
     };
     const auto first = fixture.watch(*services[0]);
-    first->say(watch_head + chunk(fixture.list(9, false).dump() + "\n"));
+    first->send(watch_head + chunk(fixture.list(9, false).dump() + "\n"));
     const auto client = fixture.client();
     fixture.serve(*client);
     move_to(1);
     const auto second = fixture.watch(*services[1]);
     EXPECT_TRUE(has(second->in, "index=9 ")) << second->in;
-    first->say(Stage::news(10, false, json::array({fixture.upstream(0, "leaving")})));
+    first->send(BalancerFixture::watch_update(10, false, json::array({fixture.upstream(0, "leaving")})));
     fixture.settle();
     const auto before = fixture.upstreams[0]->wires.size();
     for (int i = 0; i < 6; ++i) {
@@ -93,9 +94,9 @@
     EXPECT_EQ(fixture.upstreams[0]->wires.size(), before);
     EXPECT_FALSE(first->ended);
     const auto held = fixture.send(*client, fixture.look());
-    fixture.end();
+    fixture.shut_down();
     // The new service has its own version numbers.
-    second->say(watch_head + chunk(fixture.list(8, true).dump() + "\n"));
+    second->send(watch_head + chunk(fixture.list(8, true).dump() + "\n"));
     fixture.until([&] { return first->ended; });
     move_to(1);  // unchanged, so no new watch is opened
     move_to(2);
@@ -104,7 +105,7 @@
     second->close();
     fixture.pass(*held, *client);
     client->close();
-    fixture.until_ended();
+    fixture.until_exited();
     for (const auto& service : services) EXPECT_EQ(service->wires.size(), 1U);
 }
 
@@ -122,7 +123,7 @@
                             Case{"reported as left in a change", false, "s-new", 0, true},
                             Case{"moved", false, "s-0", 1, false}}) {
         SCOPED_TRACE(now.description);
-        Stage fixture;
+        BalancerFixture fixture;
         fixture.config["known"]["hosts"] = json::array({fixture.upstream(0)});
         fixture.start();
         const auto watch = fixture.watch();
@@ -131,9 +132,10 @@
         const auto idle = fixture.send(*client, fixture.look(5000, "kept"));
         const auto busy = fixture.send(*other, fixture.look(5000, "under-way"));
         fixture.pass(*idle, *client);
-        json hosts = json::array({Stage::entry(now.name, fixture.upstreams[now.address]->address())});
+        json hosts =
+            json::array({BalancerFixture::entry(now.name, fixture.upstreams[now.address]->address())});
         if (now.left) hosts.push_back(fixture.upstream(0, "left"));
-        watch->say(watch_head + Stage::news(9, now.whole, hosts));
+        watch->send(watch_head + BalancerFixture::watch_update(9, now.whole, hosts));
         fixture.until([&] { return idle->ended; });
         EXPECT_FALSE(busy->ended);
         fixture.pass(*busy, *other, "to the end");
--- a/tests/suite/drain_test.cpp
+++ b/tests/suite/drain_test.cpp
@@ -7,7 +7,7 @@
 // Requests are still accepted for a while, on existing and new connections. Then pending requests are answered with
 // Connection: close, and the balancer exits.
 TEST(Drain, ServesLateRequestsAndThenExits) {
-    Stage fixture;
+    BalancerFixture fixture;
     fixture.start();
     const auto held = fixture.client();
     const auto wire = fixture.send(*held, fixture.once());
@@ -15,19 +15,19 @@
     const auto late = fixture.client();
     fixture.serve(*late, fixture.once(), "late");
     fixture.until_connections_refused();
-    wire->say(ok("held"));
+    wire->send(ok("held"));
     const auto answer = fixture.answer(*held);
     EXPECT_EQ(body(answer), "held");
     EXPECT_EQ(header(answer, "Connection"), "close");
     fixture.until([&] { return held->ended; });
     held->close();
     late->close();
-    fixture.until_ended();
+    fixture.until_exited();
 }
 
 // The shutdown does not wait for idle connections.
 TEST(Drain, ClosesIdleConnections) {
-    Stage fixture;
+    BalancerFixture fixture;
     fixture.start();
     const auto idle = fixture.client();
     const auto held = fixture.client();
@@ -38,28 +38,28 @@
     EXPECT_FALSE(held->ended);
     fixture.pass(*wire, *held, "held");
     held->close();
-    fixture.until_ended();
+    fixture.until_exited();
 }
 
 // A request that is partially received when the balancer stops accepting connections is still received and answered.
 TEST(Drain, WaitsForAPartiallyReceivedRequest) {
-    Stage fixture;
+    BalancerFixture fixture;
     const auto client = fixture.start_with_client();
     const auto request = fixture.once();
-    client->say(request.substr(0, 30));
+    client->send(request.substr(0, 30));
     fixture.form->end();
     fixture.until_connections_refused();
     EXPECT_FALSE(fixture.form->ended());
     fixture.serve(*client, request.substr(30), "in time");
     fixture.until([&] { return client->ended; });
     client->close();
-    fixture.until_ended();
+    fixture.until_exited();
 }
 
 // A request that is completely received only shortly before the end of the shutdown is answered at that end. It may
 // have executed, so the response is a failure and not a refusal.
 TEST(Drain, AnswersWhatIsStillOpenAtItsEnd) {
-    Stage fixture(1);
+    BalancerFixture fixture(1);
     fixture.set_deadline(500);
     fixture.operators = "[drain]\nkeep_accepting = \"0s\"\nend_slack = \"0s\"\n";
     fixture.start();
@@ -67,21 +67,21 @@
     const auto client = fixture.client();
     EXPECT_EQ(status(fixture.ask(*idle, ready)), 200);
     const auto request = fixture.once(500);
-    client->say(request.substr(0, 30));
-    fixture.end();
+    client->send(request.substr(0, 30));
+    fixture.shut_down();
     fixture.until([&] { return idle->ended; });
-    fixture.stall(std::chrono::milliseconds(100), [&] { client->say(request.substr(30)); });
+    fixture.stall(std::chrono::milliseconds(100), [&] { client->send(request.substr(30)); });
     const auto wire = fixture.request().first;  // the upstream does not respond
     const auto answer = fixture.answer(*client);
     EXPECT_TRUE(failed(answer)) << answer;
     fixture.until([&] { return client->ended; });
     client->close();
-    fixture.until_ended();
+    fixture.until_exited();
 }
 
 // A request received completely before the shutdown is answered at its own deadline when its upstream does not respond.
 TEST(Drain, AnswersReceivedRequestsOfASilentUpstream) {
-    Stage fixture(1);
+    BalancerFixture fixture(1);
     const auto client = fixture.start_with_client();
     const auto wire = fixture.send(*client, fixture.once(500));
     fixture.form->end();
@@ -89,40 +89,40 @@
     EXPECT_TRUE(failed(answer)) << answer;
     fixture.until([&] { return client->ended; });
     client->close();
-    fixture.until_ended();
+    fixture.until_exited();
     EXPECT_TRUE(client->in.empty()) << "bytes followed the final response";
 }
 
 // A repeated shutdown request has no further effect: the balancer drains once, and pending requests are answered.
 TEST(Drain, ARepeatedShutdownRequestHasNoEffect) {
-    Stage fixture;
+    BalancerFixture fixture;
     fixture.start();
     const auto held = fixture.client();
     const auto wire = fixture.send(*held, fixture.once());
-    fixture.end();
+    fixture.shut_down();
     fixture.form->end();
     fixture.until_connections_refused();
     fixture.form->end();  // again, after it has stopped accepting connections
     EXPECT_FALSE(held->ended);
     fixture.pass(*wire, *held, "held");
     held->close();
-    fixture.until_ended();
+    fixture.until_exited();
     EXPECT_EQ(fixture.logged("draining"), 1U);
 }
 
 // A configuration received during the shutdown is applied as usual, and does not delay the shutdown.
 TEST(Drain, AppliesAConfiguration) {
-    Stage fixture;
+    BalancerFixture fixture;
     Listener other(fixture.loop);
     const auto client = fixture.start_with_client();
     const auto wire = fixture.send(*client, fixture.once());
-    fixture.end();
+    fixture.shut_down();
     fixture.config["discovery"] = text_of(other.address());
-    fixture.take();
+    fixture.reconfigure();
     fixture.watch(other);
     fixture.pass(*wire, *client, "held");
     client->close();
-    fixture.until_ended();
+    fixture.until_exited();
 }
 
 }  // namespace
--- a/tests/suite/faults_test.cpp
+++ b/tests/suite/faults_test.cpp
@@ -14,30 +14,30 @@
 // Fault: at the end of a drain, accepted connections with a request, or with one in transit, were closed. Clients
 // connect until they are refused; each accepted client must get a complete response.
 TEST(Faults, LateClientsAreAnsweredOrRefused) {
-    Stage fixture;
+    BalancerFixture fixture;
     fixture.set_deadline(600);
     fixture.start();
-    fixture.end();
+    fixture.shut_down();
     std::vector<std::shared_ptr<Wire>> late;
     fixture.until_connections_refused([&](const auto& client) {
-        client->say(fixture.once(600));  // the upstreams do not respond, so it is answered at its deadline
+        client->send(fixture.once(600));  // the upstreams do not respond, so it is answered at its deadline
         late.push_back(client);
     });
     std::size_t lost = 0;
     for (const auto& client : late) lost += fixture.answer(*client).empty();
     EXPECT_EQ(lost, 0U) << "of " << late.size();
     for (const auto& client : late) client->close();
-    fixture.until_ended();
+    fixture.until_exited();
 }
 
 // Fault: /ready returned 200 for 450 ms after the shutdown request, so that the load balancer in front kept choosing
 // this balancer.
 TEST(Faults, NotReadyFromTheShutdownRequest) {
-    Stage fixture;
+    BalancerFixture fixture;
     fixture.start();
     const auto before = fixture.client();
     EXPECT_EQ(status(fixture.ask(*before, ready)), 200);
-    fixture.end();
+    fixture.shut_down();
     EXPECT_EQ(status(fixture.ask(*before, ready)), 503);
     const auto after = fixture.client();
     EXPECT_EQ(status(fixture.ask(*after, ready)), 503);
@@ -47,23 +47,24 @@
 // connection was up, after the drain grace. The upstream here accepts nothing until the change was received: its full
 // backlog drops the connection request, which the balancer's kernel retransmits after a second.
 TEST(Faults, NothingIsSentOnAConnectionEstablishedAfterTheDrainNotice) {
-    Stage fixture;
+    BalancerFixture fixture;
     tcp::acceptor full_listener(fixture.loop);
     full_listener.open(tcp::v4());
     full_listener.bind(loopback());
     full_listener.listen(0);
     tcp::socket filler(fixture.loop);
     filler.connect(full_listener.local_endpoint());
-    fixture.config["known"]["hosts"] = json::array({Stage::entry("s-stuck", full_listener.local_endpoint())});
+    fixture.config["known"]["hosts"] =
+        json::array({BalancerFixture::entry("s-stuck", full_listener.local_endpoint())});
     fixture.config["settings"]["invariants"]["drain_grace"] = 50.0;
     fixture.start();
     const auto watch = fixture.watch();
     const auto client = fixture.client();
-    client->say(fixture.once());  // unsafe: it is retried elsewhere only after this attempt has ended
+    client->send(fixture.once());  // unsafe: it is retried elsewhere only after this attempt has ended
     fixture.settle();
-    const json hosts = {Stage::entry("s-stuck", full_listener.local_endpoint(), "leaving"),
+    const json hosts = {BalancerFixture::entry("s-stuck", full_listener.local_endpoint(), "leaving"),
                         fixture.upstream(1)};
-    watch->say(watch_head + Stage::news(9, false, hosts) + chunk("\n"));
+    watch->send(watch_head + BalancerFixture::watch_update(9, false, hosts) + chunk("\n"));
     fixture.settle();
     full_listener.accept();  // makes room for one connection
     std::vector<std::shared_ptr<Wire>> accepted;
@@ -86,16 +87,16 @@
     if (!written()) {
         fixture.pass(*fixture.request().first, *client);
     } else {
-        accepted[0]->say(ok());
+        accepted[0]->send(ok());
         fixture.answer(*client);
     }
     client->close();
-    fixture.end();
-    fixture.until_ended();
-    fixture.drink();
+    fixture.shut_down();
+    fixture.until_exited();
+    fixture.drain_events();
     EXPECT_FALSE(written());
     full_listener.close();
-    fixture.drink();
+    fixture.drain_events();
 }
 
 // Returns the lowest descriptor number that a process does not use.
@@ -109,23 +110,23 @@
 // Fault: when the balancer had no descriptor for a connection, that counted as a refused connection, and the upstream
 // was ejected for a while.
 TEST(Faults, ALocalShortageEjectsNoUpstream) {
-    Stage fixture(1);
+    BalancerFixture fixture(1);
     fixture.start();
     std::vector<std::shared_ptr<Wire>> clients;
     for (int i = 0; i < 2; ++i) clients.push_back(fixture.client());
     // Two concurrent calls reach the upstream, each on its own connection.
     const auto served_together = [&] {
-        for (const auto& client : clients) client->say(fixture.once(1000));
+        for (const auto& client : clients) client->send(fixture.once(1000));
         std::vector<std::shared_ptr<Wire>> received;
         bool answered = false;
         fixture.until([&] {
-            if (const auto wire = fixture.request_here().first) received.push_back(wire);
+            if (const auto wire = fixture.received_request().first) received.push_back(wire);
             for (const auto& client : clients) answered = answered || !client->in.empty() || client->ended;
             return received.size() == clients.size() || answered;
         });
         EXPECT_EQ(received.size(), clients.size());
         for (const auto& wire : received) {
-            wire->say(ok("served", "Connection: close\r\n"));
+            wire->send(ok("served", "Connection: close\r\n"));
             fixture.until([&] { return wire->ended; });
         }
         for (const auto& client : clients) EXPECT_EQ(status(fixture.answer(*client)), 200);
@@ -137,7 +138,7 @@
     ASSERT_EQ(::prlimit(fixture.form->process(), RLIMIT_NOFILE, nullptr, &usual_limit), 0);
     const rlimit no_free_descriptor{first_free_descriptor(fixture.form->process()), usual_limit.rlim_max};
     ASSERT_EQ(::prlimit(fixture.form->process(), RLIMIT_NOFILE, &no_free_descriptor, nullptr), 0);
-    for (const auto& client : clients) client->say(fixture.once(100));
+    for (const auto& client : clients) client->send(fixture.once(100));
     for (const auto& client : clients) EXPECT_TRUE(refused(fixture.answer(*client)));
     EXPECT_TRUE(fixture.no_request_received());
     ASSERT_EQ(::prlimit(fixture.form->process(), RLIMIT_NOFILE, &usual_limit, nullptr), 0);
@@ -148,13 +149,13 @@
 // Fault: the id of a call could be used again once the call was answered, although one of its attempts might still be
 // executing at a silent upstream: the same id would reach an upstream twice.
 TEST(Faults, AnIdStaysInUseWhileItsAttemptMayBeExecuting) {
-    Stage fixture;
+    BalancerFixture fixture;
     const auto client = fixture.start_with_client();
-    client->say(fixture.once(100, "body", "x7"));
+    client->send(fixture.once(100, "body", "x7"));
     fixture.request();
     EXPECT_TRUE(failed(fixture.answer(*client)));
     const auto other = fixture.client();
-    other->say(fixture.once(5000, "body", "x7"));
+    other->send(fixture.once(5000, "body", "x7"));
     fixture.until([&] { return !other->in.empty() || !fixture.no_request_received(); });
     EXPECT_TRUE(fixture.no_request_received());
     if (fixture.no_request_received()) {
@@ -165,7 +166,7 @@
 // Fault: a client that has sent more than 80 KiB ahead is not read, so its disconnect went unnoticed and its attempt
 // continued. The deadline is longer than the test may take.
 TEST(Faults, AnEndBehindMuchThatWasSentAheadIsSeen) {
-    Stage fixture;
+    BalancerFixture fixture;
     fixture.set_deadline(600000);
     // Makes the periodic sweep too rare to notice the disconnect.
     fixture.operators = "[http]\nrequest_timeout = \"10m\"\n";
@@ -184,12 +185,12 @@
 // Fault: a client that ends only its sending, as HTTP/1.1 allows, was treated as disconnected. (A client that
 // disconnects cancels its attempt: Serving.AClientsDisconnectCancelsItsAttempt.)
 TEST(Faults, AHalfClosedClientIsAnswered) {
-    Stage fixture;
+    BalancerFixture fixture;
     const auto client = fixture.start_with_client();
-    client->say(fixture.once());
+    client->send(fixture.once());
     client->end_sending();
     std::shared_ptr<Wire> wire;
-    fixture.until([&] { return (wire = fixture.request_here().first) || client->ended; });
+    fixture.until([&] { return (wire = fixture.received_request().first) || client->ended; });
     ASSERT_TRUE(wire) << "the client was treated as disconnected";
     fixture.settle();
     EXPECT_FALSE(wire->ended);
@@ -198,7 +199,7 @@
 
 // Fault: a list of more than 256 KiB in one line was rejected, and with it every later one.
 TEST(Faults, AListOfFiveThousandEntriesIsApplied) {
-    Stage fixture;
+    BalancerFixture fixture;
     fixture.config["known"]["hosts"] = json::array({fixture.upstream(0)});
     fixture.start();
     const auto watch = fixture.watch();
@@ -206,8 +207,8 @@
     const auto kept = fixture.serve(*client);
     json hosts = json::array({fixture.upstream(1)});
     for (int i = 0; i < 4999; ++i)
-        hosts.push_back(Stage::entry("s-far-" + std::to_string(i), loopback(9), "leaving"));
-    watch->say(watch_head + Stage::news(9, true, hosts) + chunk("\n"));
+        hosts.push_back(BalancerFixture::entry("s-far-" + std::to_string(i), loopback(9), "leaving"));
+    watch->send(watch_head + BalancerFixture::watch_update(9, true, hosts) + chunk("\n"));
     fixture.until([&] { return kept->ended || watch->ended; });
     EXPECT_TRUE(kept->ended) << "the watch was closed";
     const auto wire = fixture.send(*client, fixture.look());
--- a/tests/suite/form_daemon.cpp
+++ b/tests/suite/form_daemon.cpp
@@ -9,7 +9,7 @@
 #include <string_view>
 
 #include "../store/folder_here.h"
-#include "form.h"
+#include "balancer_under_test.h"
 #include "standins/program.h"
 #include "standins/run_until.h"
 
@@ -32,7 +32,7 @@
     return all;
 }
 
-class Daemon final : public Form {
+class Daemon final : public BalancerUnderTest {
 public:
     explicit Daemon(asio::io_context& loop) : loop_(loop), program_(loop) {}
 
@@ -93,7 +93,9 @@
 
 }  // namespace
 
-std::unique_ptr<Form> make_form(asio::io_context& loop) { return std::make_unique<Daemon>(loop); }
+std::unique_ptr<BalancerUnderTest> make_form(asio::io_context& loop) {
+    return std::make_unique<Daemon>(loop);
+}
 std::vector<UnsupportedTest> unsupported_tests() { return {}; }
 
 }  // namespace flaxdoor::test
--- a/tests/suite/form_library.cpp
+++ b/tests/suite/form_library.cpp
@@ -2,7 +2,7 @@
 // that the host's instance serves the listener.
 #include <gtest/gtest.h>
 
-#include "form_hosted.h"
+#include "in_process_balancer.h"
 #include "peers.h"
 
 namespace flaxdoor::test {
@@ -34,10 +34,11 @@
 
 }  // namespace
 
-std::unique_ptr<Form> make_form(asio::io_context& loop) {
-    return std::make_unique<Hosted>(loop, [](asio::io_context& host_loop, const BalancerOptions& options) {
-        return std::make_unique<LibraryHost>(host_loop, options);
-    });
+std::unique_ptr<BalancerUnderTest> make_form(asio::io_context& loop) {
+    return std::make_unique<InProcessBalancer>(
+        loop, [](asio::io_context& host_loop, const BalancerOptions& options) {
+            return std::make_unique<LibraryHost>(host_loop, options);
+        });
 }
 std::vector<UnsupportedTest> unsupported_tests() { return {}; }
 
@@ -46,9 +47,9 @@
 // Requests received by the listener and calls made by the host go through one instance: they share its upstream
 // connections, and each is counted once in its figures.
 TEST(LibraryForm, ListenerAndHostCallsShareAnInstance) {
-    Stage fixture(1);
+    BalancerFixture fixture(1);
     fixture.start();
-    Balancer& balancer = dynamic_cast<Hosted&>(*fixture.form).balancer();
+    Balancer& balancer = dynamic_cast<InProcessBalancer&>(*fixture.form).balancer();
     EXPECT_EQ(balancer.address(), text_of(fixture.address));
     const auto client = fixture.client();
     fixture.serve(*client, fixture.look(), "the client's");
@@ -63,7 +64,7 @@
     EXPECT_EQ(header(request, "X-Call-Id"), "own-1");
     // The id is open: the listener knows of a call that was not received by it.
     EXPECT_EQ(status(fixture.ask(*client, fixture.once(5000, "body", "own-1"))), 409);
-    wire->say(ok("the host's"));
+    wire->send(ok("the host's"));
     fixture.until([&] { return result.has_value(); });
     EXPECT_EQ(result->verdict, CallVerdict::served);
     EXPECT_EQ(result->body, "the host's");
--- a/tests/suite/form_middleware.cpp
+++ b/tests/suite/form_middleware.cpp
@@ -8,10 +8,11 @@
 
 namespace flaxdoor::test {
 
-std::unique_ptr<Form> make_form(asio::io_context& loop) {
-    return std::make_unique<Hosted>(loop, [](asio::io_context& host_loop, const BalancerOptions& options) {
-        return std::make_unique<MiddlewareHost>(host_loop, options);
-    });
+std::unique_ptr<BalancerUnderTest> make_form(asio::io_context& loop) {
+    return std::make_unique<InProcessBalancer>(
+        loop, [](asio::io_context& host_loop, const BalancerOptions& options) {
+            return std::make_unique<MiddlewareHost>(host_loop, options);
+        });
 }
 
 // docs/operators/library.md describes the differences for operators.
--- a/tests/suite/form_hosted.h
+++ b/tests/suite/in_process_balancer.h
@@ -22,8 +22,8 @@
 #include <string>
 #include <thread>
 
+#include "balancer_under_test.h"
 #include "flaxdoor/balancer.h"
-#include "form.h"
 #include "standins/socket_faults/linked.h"
 
 namespace flaxdoor::test {
@@ -41,11 +41,11 @@
 using HostMaker =
     std::function<std::unique_ptr<Host>(boost::asio::io_context& loop, const BalancerOptions& options)>;
 
-class Hosted final : public Form {
+class InProcessBalancer final : public BalancerUnderTest {
 public:
-    Hosted(boost::asio::io_context& loop, HostMaker make) : loop_(loop), make_(std::move(make)) {}
+    InProcessBalancer(boost::asio::io_context& loop, HostMaker make) : loop_(loop), make_(std::move(make)) {}
 
-    ~Hosted() override {
+    ~InProcessBalancer() override {
         if (!thread_.joinable()) return;
         go_on();
         // Has no effect if the loop has already ended.
--- a/tests/suite/input_test.cpp
+++ b/tests/suite/input_test.cpp
@@ -17,7 +17,7 @@
 
 // Sends each input on a new connection, and expects that the connection is closed and that nothing reaches an
 // upstream. With `check_status`, also expects the status of the response; otherwise only that it is not 200.
-void expect_each_is_closed(Stage& fixture, const Cases& cases, bool check_status) {
+void expect_each_is_closed(BalancerFixture& fixture, const Cases& cases, bool check_status) {
     fixture.start();
     for (const auto& [text, expected_status] : cases) {
         SCOPED_TRACE(text.substr(0, 300));
@@ -39,7 +39,7 @@
 
 // Requests that are valid HTTP, but not valid for the platform.
 TEST(BadInput, AnInvalidRequestIsAnsweredAndClosed) {
-    Stage fixture(1);
+    BalancerFixture fixture(1);
     const std::string post = head;
     const std::string none = "Content-Length: 0\r\n\r\n";
     const std::string hidden = fixture.look();
@@ -85,33 +85,33 @@
 }
 
 TEST(BadInput, WhatIsNoRequestIsAnsweredAndClosed) {
-    Stage fixture(1);
+    BalancerFixture fixture(1);
     expect_each_is_closed(fixture, malformed_requests(fixture.look()), true);
 }
 
 TEST(BadInput, NoHiddenRequestIsForwarded) {
-    Stage fixture(1);
+    BalancerFixture fixture(1);
     expect_each_is_closed(fixture, malformed_requests(fixture.look()), false);
 }
 
 // A second request with an id that is in use would be confused with the first one at the upstreams.
 TEST(BadInput, AnIdInUseIsRejected) {
-    Stage fixture;
+    BalancerFixture fixture;
     const auto client = fixture.start_with_client();
     const auto wire = fixture.send(*client, fixture.once(5000, "mine", "x7"));
     const auto other = fixture.client();
     EXPECT_EQ(status(fixture.ask(*other, fixture.once(5000, "theirs", "x7"))), 409);
     fixture.until([&] { return other->ended; });
-    EXPECT_TRUE(fixture.nothing_sent());
+    EXPECT_TRUE(fixture.no_request_forwarded());
     fixture.pass(*wire, *client, "for mine");
     fixture.serve(*client, fixture.once(5000, "again", "x7"));
 }
 
 // The deadline of the class bounds the client's budget.
 TEST(BadInput, ABudgetAboveTheClassDeadlineIsCapped) {
-    Stage fixture;
+    BalancerFixture fixture;
     const auto client = fixture.start_with_client();
-    client->say(fixture.once(4000000));
+    client->send(fixture.once(4000000));
     const auto [wire, request] = fixture.request();
     EXPECT_LE(std::stoi(header(request, "X-Budget-Ms")), 5000);
     fixture.pass(*wire, *client);
@@ -120,16 +120,16 @@
 // Connections that send nothing, or stop in the middle of a request, are closed. An idle connection that was served
 // is kept.
 TEST(BadInput, SilenceAndHalvesAreClosed) {
-    Stage fixture;
+    BalancerFixture fixture;
     fixture.operators = "[http]\nrequest_timeout = \"80ms\"\n";
     fixture.start();
     const auto served = fixture.client();
     fixture.serve(*served);
     const auto silent = fixture.client();
     const auto half = fixture.client();
-    half->say(fixture.once().substr(0, 60));
+    half->send(fixture.once().substr(0, 60));
     const auto body = fixture.client();
-    body->say("POST /api HTTP/1.1\r\nContent-Length: 9\r\n\r\nbod");
+    body->send("POST /api HTTP/1.1\r\nContent-Length: 9\r\n\r\nbod");
     fixture.until([&] { return silent->ended && half->ended && body->ended; });
     EXPECT_FALSE(served->ended);
     fixture.serve(*served);
@@ -138,7 +138,7 @@
 // A client that keeps sending after the last response is read only up to the limits on bytes and time.
 TEST(BadInput, LingeringIsBounded) {
     for (const bool sends : {true, false}) {
-        Stage fixture;
+        BalancerFixture fixture;
         fixture.operators =
             sends ? "[http]\nrequest_timeout = \"80ms\"\nlinger_timeout = \"60s\"\nlinger_bytes = \"4KiB\"\n"
                   : "[http]\nrequest_timeout = \"80ms\"\nsend_timeout = \"60s\"\nlinger_timeout = \"40ms\"\n";
--- a/tests/suite/limits_test.cpp
+++ b/tests/suite/limits_test.cpp
@@ -7,7 +7,7 @@
 // At the connection limit, a connection that has sent nothing is evicted first, then an idle one; one that waits for
 // its response is never evicted.
 TEST(Limits, IdleClientsMakeRoom) {
-    Stage fixture(1);
+    BalancerFixture fixture(1);
     fixture.config["limits"]["sockets"] = 38;  // leaves three for clients
     // Time-outs must not close the idle connections, so that only the limit can.
     fixture.operators = "[http]\nrequest_timeout = \"60s\"\nidle_timeout_crowded = \"60s\"\n";
@@ -30,7 +30,7 @@
 // response is sent.
 TEST(Limits, AResponseAdmitsTheNextClient) {
     // Two upstreams have capacity for three requests, as a form without a connection limit forwards the third at once.
-    Stage fixture(2);
+    BalancerFixture fixture(2);
     fixture.config["limits"]["sockets"] = 36;  // leaves two for clients
     // Time-outs must not close a connection, so that only the response can admit the client.
     fixture.operators = "[http]\nrequest_timeout = \"60s\"\n";
@@ -40,7 +40,7 @@
     const auto second = fixture.client();
     const auto other = fixture.send(*second, fixture.look(5000, "two"));
     const auto third = fixture.client();
-    third->say(fixture.look(5000, "three"));
+    third->send(fixture.look(5000, "three"));
     fixture.pass(*wire, *first);
     const auto [last, request] = fixture.request();
     EXPECT_EQ(header(request, "X-Call-Id"), "three");
@@ -51,7 +51,7 @@
 // Clients that send one request and keep their connection must not occupy all connections that a load balancer in front
 // allows. They may hold a quarter of the descriptors; beyond that, each request evicts the connection idle longest.
 TEST(Limits, ClientsThatAskedOnceGiveWay) {
-    Stage fixture(1);
+    BalancerFixture fixture(1);
     fixture.config["limits"]["sockets"] =
         32 + 16;  // eight for clients, four of them for clients that have sent a request
     fixture.start();
--- a/tests/suite/main.cpp
+++ b/tests/suite/main.cpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "form.h"
+#include "balancer_under_test.h"
 
 namespace flaxdoor::test {
 namespace {
--- a/tests/suite/outcomes_test.cpp
+++ b/tests/suite/outcomes_test.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 TEST(Outcomes, ARefusedConnectionIsRetriedElsewhere) {
-    Stage fixture;
+    BalancerFixture fixture;
     fixture.upstreams[0]->close();
     const auto client = fixture.start_with_client();
     for (int i = 0; i < 8; ++i) fixture.serve(*client, fixture.once());
@@ -15,7 +15,7 @@
 // retry, in seconds and at most max_retry_after.
 TEST(Outcomes, ARefusalHasRetryAfter) {
     for (const bool enabled : {true, false}) {
-        Stage fixture;
+        BalancerFixture fixture;
         for (const auto& upstream : fixture.upstreams) upstream->close();
         fixture.config["settings"]["limits"]["retry_after"] = enabled;
         fixture.config["settings"]["limits"]["max_retry_after"] = 400.0;
@@ -70,20 +70,20 @@
              {"another protocol", "HTTP/1.1 101 Switching Protocols\r\n\r\n", closed_by_balancer},
              {"too many interim responses", interims, closed_by_balancer}}) {
         SCOPED_TRACE(name);
-        Stage fixture;
+        BalancerFixture fixture;
         fixture.set_deadline(60000);  // longer than the test may take
         fixture.config["settings"]["limits"]["retry_after"] = true;
         fixture.config["settings"]["limits"]["max_retry_after"] = 400.0;
         const auto client = fixture.start_with_client();
         const auto wire = fixture.send(*client, fixture.once(60000));
-        wire->say(response);
+        wire->send(response);
         if (ending == upstream_closes) wire->close();
         if (ending == upstream_resets) wire->reset();
         const auto answer = fixture.answer(*client);
         EXPECT_TRUE(failed(answer)) << answer;
         EXPECT_EQ(header(answer, "Retry-After"), "");
         if (ending == closed_by_balancer) fixture.until([&connection = wire] { return connection->ended; });
-        EXPECT_TRUE(fixture.nothing_sent());
+        EXPECT_TRUE(fixture.no_request_forwarded());
         EXPECT_EQ(fixture.connections(), 1U);
         const auto invalid = fixture.ask(*client, "GET /api HTTP/1.1\r\nHost: x\r\n\r\n");
         EXPECT_EQ(status(invalid), 400);
@@ -94,28 +94,28 @@
 // An upstream that sends malformed responses is up, so it is neither ejected nor put into slow start. Two consecutive
 // malformed responses would cause that if they counted as resets.
 TEST(Outcomes, MalformedResponsesEjectNoUpstream) {
-    Stage fixture(1);
+    BalancerFixture fixture(1);
     const auto client = fixture.start_with_client();
     for (int i = 0; i < 3; ++i) {
-        fixture.send(*client, fixture.once())->say("nonsense\r\n\r\n");
+        fixture.send(*client, fixture.once())->send("nonsense\r\n\r\n");
         EXPECT_TRUE(failed(fixture.answer(*client)));
     }
     fixture.serve(*client, fixture.once());
 }
 
 TEST(Outcomes, AMarkedRejectionIsRetriedElsewhere) {
-    Stage fixture;
+    BalancerFixture fixture;
     const auto client = fixture.start_with_client();
     fixture.send(*client, fixture.once())
-        ->say("HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n");
+        ->send("HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n");
     fixture.pass(*fixture.request().first, *client);
 }
 
 TEST(Outcomes, InterimResponsesAreSkipped) {
-    Stage fixture(1);
+    BalancerFixture fixture(1);
     const auto client = fixture.start_with_client();
-    client->say(fixture.look());
-    fixture.request().first->say("HTTP/1.1 100 Continue\r\n\r\n" + ok("final"));
+    client->send(fixture.look());
+    fixture.request().first->send("HTTP/1.1 100 Continue\r\n\r\n" + ok("final"));
     EXPECT_EQ(body(fixture.answer(*client)), "final");
 }
 
--- a/tests/suite/peers.h
+++ b/tests/suite/peers.h
@@ -18,8 +18,8 @@
 #include <utility>
 #include <vector>
 
-#include "../plain_config.h"
-#include "form.h"
+#include "../minimal_config.h"
+#include "balancer_under_test.h"
 #include "standins/peers.h"
 #include "standins/run_until.h"
 
@@ -42,11 +42,11 @@
 inline const char* const watch_head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 // A balancer with its clients, upstreams and discovery service.
-class Stage {
+class BalancerFixture {
 public:
-    explicit Stage(int upstreams = 2) : discovery(loop), form(make_form(loop)) {
+    explicit BalancerFixture(int upstreams = 2) : discovery(loop), form(make_form(loop)) {
         for (int i = 0; i < upstreams; ++i) this->upstreams.push_back(std::make_unique<Listener>(loop));
-        config = plain();
+        config = minimal_config();
         config["discovery"] = text_of(discovery.address());
         config["limits"] = {{"sockets", 1024}};
         config["known"] = list(7, true);
@@ -57,7 +57,7 @@
         set_deadline(5000);
     }
     // Checks what holds in every test: the balancer was not terminated by a signal, and no sanitizer reported an error.
-    ~Stage() {
+    ~BalancerFixture() {
         if (form->ended() && form->status() < 0) ADD_FAILURE() << "terminated by signal " << -form->status();
         for (const auto& line : form->log()) {
             if (has(line, "Sanitizer") || has(line, "runtime error:")) ADD_FAILURE() << line;
@@ -67,8 +67,8 @@
         }
         form.reset();
     }
-    Stage(const Stage&) = delete;
-    Stage& operator=(const Stage&) = delete;
+    BalancerFixture(const BalancerFixture&) = delete;
+    BalancerFixture& operator=(const BalancerFixture&) = delete;
 
     // Sets the longest deadline of every class, in milliseconds.
     void set_deadline(double ms) {
@@ -154,7 +154,7 @@
         return message;
     }
     // Returns the next request that an upstream has already received, and its connection; null when there is none.
-    std::pair<std::shared_ptr<Wire>, std::string> request_here() {
+    std::pair<std::shared_ptr<Wire>, std::string> received_request() {
         for (const auto& upstream : upstreams) {
             for (const auto& wire : upstream->wires) {
                 if (auto message = wire->take(); !message.empty()) return {wire, std::move(message)};
@@ -164,7 +164,7 @@
     }
     std::pair<std::shared_ptr<Wire>, std::string> request(int where = __builtin_LINE()) {
         std::pair<std::shared_ptr<Wire>, std::string> received;
-        until([&] { return (received = request_here()).first != nullptr; }, where);
+        until([&] { return (received = received_request()).first != nullptr; }, where);
         return received;
     }
 
@@ -175,18 +175,18 @@
     }
     // Sends a request, waits until an upstream receives it, and returns the upstream's connection.
     std::shared_ptr<Wire> send(Wire& client, std::string_view request, int where = __builtin_LINE()) {
-        client.say(request);
+        client.send(request);
         return this->request(where).first;
     }
     // Sends a request and returns its response, whether from an upstream or from the balancer.
     std::string ask(Wire& client, std::string_view request, int where = __builtin_LINE()) {
-        client.say(request);
+        client.send(request);
         return answer(client, where);
     }
     // Sends an upstream's response, and expects the client to receive it unchanged.
     void pass(Wire& upstream, Wire& client, std::string_view content = "served",
               std::string_view headers = "", int where = __builtin_LINE()) {
-        upstream.say(ok(content, headers));
+        upstream.send(ok(content, headers));
         const auto result = answer(client, where);
         EXPECT_EQ(status(result), 200) << "in line " << where;
         EXPECT_TRUE(body(result) == content) << "in line " << where << ": " << result.substr(0, 300);
@@ -208,7 +208,7 @@
     }
     std::shared_ptr<Wire> watch(int where = __builtin_LINE()) { return watch(discovery, 1, where); }
     // Encodes a list (`whole`) or its changes as a line of a watch.
-    static std::string news(int version, bool whole, const json& hosts) {
+    static std::string watch_update(int version, bool whole, const json& hosts) {
         return chunk(json{{"seq", version}, {"whole", whole}, {"hosts", hosts}}.dump() + "\n");
     }
 
@@ -225,16 +225,17 @@
         if (ask(*probe, ready, where).empty())
             throw std::runtime_error("the balancer did not respond to /ready");
         probe->close();
-        drink();
+        drain_events();
     }
     // Handles all events that are ready, so that all received bytes are read.
-    void drink() {
+    void drain_events() {
         loop.restart();
         while (loop.poll() > 0) {
         }
     }
-    // Whether, once the balancer has settled, no upstream has received a request that request() has not returned.
-    bool nothing_sent(int where = __builtin_LINE()) {
+    // Whether, once the balancer has settled, no upstream has received a request that received_request() has not
+    // returned.
+    bool no_request_forwarded(int where = __builtin_LINE()) {
         settle(where);
         return no_request_received();
     }
@@ -261,12 +262,12 @@
         return {};
     }
     // Hands over the current `config`, and waits until it is applied.
-    void take(int where = __builtin_LINE()) {
+    void reconfigure(int where = __builtin_LINE()) {
         const auto before = logged("configuration taken");
         form->take(config.dump());
         line("configuration taken", before + 1, where);
     }
-    void end() {
+    void shut_down() {
         form->end();
         line("draining");
     }
@@ -282,7 +283,7 @@
         form->go_on();
     }
     // Waits for the balancer's exit, and expects a graceful shutdown.
-    void until_ended(int where = __builtin_LINE()) {
+    void until_exited(int where = __builtin_LINE()) {
         until([&] { return form->ended(); }, where);
         EXPECT_EQ(form->status(), 0);
         EXPECT_EQ(logged("drained"), 1U);
@@ -309,7 +310,7 @@
     std::optional<std::string> operators;
     std::vector<std::pair<std::string, std::string>> environment;
     tcp::endpoint address;  // on which the balancer listens
-    std::unique_ptr<Form> form;
+    std::unique_ptr<BalancerUnderTest> form;
 
 private:
     std::string call(std::string id, const char* name, int budget_ms) {
--- a/tests/suite/restinio_host.h
+++ b/tests/suite/restinio_host.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "flaxdoor/middleware/restinio.h"
-#include "form_hosted.h"
+#include "in_process_balancer.h"
 
 namespace flaxdoor::test {
 
--- a/tests/suite/serving_test.cpp
+++ b/tests/suite/serving_test.cpp
@@ -7,9 +7,9 @@
 namespace {
 
 TEST(Serving, ForwardsRequestAndResponseUnchanged) {
-    Stage fixture;
+    BalancerFixture fixture;
     const auto client = fixture.start_with_client();
-    client->say(
+    client->send(
         "POST /api?a=1&b=%20 HTTP/1.1\r\nHost: api.internal\r\nX-Call-Id: 9b1f\r\nX-Call-Class: book it\r\n"
         "X-Budget-Ms: 5000\r\nIdempotency-Key: k7\r\nConnection: X-Hop\r\nX-Hop: 1\r\nContent-Length: "
         "5\r\n\r\na\0b\r\n"sv);
@@ -20,7 +20,7 @@
     EXPECT_FALSE(header(request, "X-Budget-Ms").empty());
     EXPECT_FALSE(has(request, "X-Hop"));
     EXPECT_EQ(body(request), std::string("a\0b\r\n", 5));
-    wire->say(ok("x\r\ny", "X-Load-Report: active=1,avg_ms=2\r\n"));
+    wire->send(ok("x\r\ny", "X-Load-Report: active=1,avg_ms=2\r\n"));
     const auto answer = fixture.answer(*client);
     EXPECT_EQ(status(answer), 200);
     EXPECT_EQ(body(answer), "x\r\ny");
@@ -30,7 +30,7 @@
 }
 
 TEST(Serving, ReadyAnswersAtOnce) {
-    Stage fixture;
+    BalancerFixture fixture;
     const auto client = fixture.start_with_client();
     EXPECT_EQ(status(fixture.ask(*client, ready)), 200);
 }
@@ -38,9 +38,9 @@
 // The client gets a response before its deadline, and the unanswered attempt is cancelled with it. The budget sent to
 // the upstream is less than the client's.
 TEST(Serving, AnswersBeforeTheClientGivesUp) {
-    Stage fixture;
+    BalancerFixture fixture;
     const auto client = fixture.start_with_client();
-    client->say(fixture.once(150));
+    client->send(fixture.once(150));
     const auto [wire, request] = fixture.request();
     const int budget_ms = std::stoi(header(request, "X-Budget-Ms"));
     EXPECT_GT(budget_ms, 0);
@@ -51,7 +51,7 @@
 
 // The deadline is longer than the test may take, so only the client's disconnect can end the attempt.
 TEST(Serving, AClientsDisconnectCancelsItsAttempt) {
-    Stage fixture;
+    BalancerFixture fixture;
     fixture.set_deadline(60000);
     const auto client = fixture.start_with_client();
     const auto wire = fixture.send(*client, fixture.look(60000));
@@ -63,40 +63,40 @@
 
 // Pipelined requests are forwarded and answered one after the other.
 TEST(Serving, PipelinedRequestsAreServedInOrder) {
-    Stage fixture;
+    BalancerFixture fixture;
     const auto client = fixture.start_with_client();
     const auto ids = {"one", "two", "three", "four", "five"};
     std::string all;
     for (const char* id : ids) all += fixture.once(5000, "body", id);
-    client->say(all);
+    client->send(all);
     for (const char* id : ids) {
         const auto [wire, request] = fixture.request();
         EXPECT_EQ(header(request, "X-Call-Id"), id);
-        EXPECT_TRUE(fixture.nothing_sent());
+        EXPECT_TRUE(fixture.no_request_forwarded());
         fixture.pass(*wire, *client, id);
     }
 }
 
 // A body of the maximum size is forwarded completely in both directions.
 TEST(Serving, TheLargestBodyIsForwarded) {
-    Stage fixture;
+    BalancerFixture fixture;
     const auto client = fixture.start_with_client();
     const std::string large(64 * 1024, 'x');
-    client->say(fixture.once(5000, large));
+    client->send(fixture.once(5000, large));
     const auto [wire, request] = fixture.request();
     EXPECT_TRUE(body(request) == large);
     fixture.pass(*wire, *client, large);
 }
 
 TEST(Kept, ReusesAConnection) {
-    Stage fixture(1);
+    BalancerFixture fixture(1);
     const auto client = fixture.start_with_client();
     for (int i = 0; i < 3; ++i) fixture.serve(*client);
     EXPECT_EQ(fixture.connections(), 1U);
 }
 
 TEST(Kept, HonoursConnectionClose) {
-    Stage fixture(1);
+    BalancerFixture fixture(1);
     const auto client = fixture.start_with_client();
     for (std::size_t i = 0; i < 2; ++i) {
         const auto wire = fixture.send(*client, fixture.look());
@@ -109,11 +109,11 @@
 // The unread end of an idle connection is noticed before the connection is reused; an unsafe request written to it
 // would be lost.
 TEST(Kept, NoticesAnEndBeforeReuse) {
-    Stage fixture(1);
+    BalancerFixture fixture(1);
     const auto client = fixture.start_with_client();
     const auto wire = fixture.serve(*client, fixture.once());
     fixture.form->hold();
-    client->say(fixture.once());
+    client->send(fixture.once());
     wire->close();
     fixture.form->go_on();  // the request and the end have both arrived before the balancer reads either
     fixture.pass(*fixture.request().first, *client);
@@ -122,17 +122,17 @@
 
 // Unsolicited bytes do not become the response to a later request.
 TEST(Kept, DropsAConnectionWithUnsolicitedBytes) {
-    Stage fixture(1);
+    BalancerFixture fixture(1);
     const auto client = fixture.start_with_client();
     const auto wire = fixture.send(*client, fixture.look());
-    wire->say(ok("mine") + ok("nobody's"));
+    wire->send(ok("mine") + ok("nobody's"));
     EXPECT_EQ(body(fixture.answer(*client)), "mine");
     fixture.serve(*client, fixture.look(), "also mine");
     EXPECT_EQ(fixture.connections(), 2U);
 }
 
 TEST(Kept, ClosesBeforeTheUpstreamsIdleLimit) {
-    Stage fixture(1);
+    BalancerFixture fixture(1);
     fixture.config["settings"]["limits"]["idle_close"] = 50.0;
     const auto client = fixture.start_with_client();
     const auto wire = fixture.serve(*client);
--- a/tests/suite/socket_failures_test.cpp
+++ b/tests/suite/socket_failures_test.cpp
@@ -70,8 +70,8 @@
     // Shuts the balancer down gracefully while connections are open.
     void end() {
         for (const auto& [client, wire] : clients_) wire->close();
-        fixture_.end();
-        fixture_.until_ended();
+        fixture_.shut_down();
+        fixture_.until_exited();
     }
 
     const CountsFile& counts() const { return counts_; }
@@ -91,9 +91,9 @@
             auto& wire = clients_[client];
             if (!wire || wire->ended) wire = fixture_.client();
             const std::string id = std::to_string(requests_.size()) + "-n";
-            wire->say(kind == Kind::look   ? fixture_.look(budget_ms, id)
-                      : kind == Kind::once ? fixture_.once(budget_ms, "body", id)
-                                           : fixture_.keyed(budget_ms, id));
+            wire->send(kind == Kind::look   ? fixture_.look(budget_ms, id)
+                       : kind == Kind::once ? fixture_.once(budget_ms, "body", id)
+                                            : fixture_.keyed(budget_ms, id));
             requests_.push_back({client, kind, id, {}});
         }
         fixture_.until([&] {
@@ -111,16 +111,16 @@
 
     void serve() {
         while (true) {
-            const auto [wire, request] = fixture_.request_here();
+            const auto [wire, request] = fixture_.received_request();
             if (!wire) break;
             const auto id = header(request, "X-Call-Id");
             ++sent_[id];
             // Closes every other connection with its response, so that the sequence includes new connections.
-            wire->say(ok(id, ++served_ % 2 == 0 ? "Connection: close\r\n" : ""));
+            wire->send(ok(id, ++served_ % 2 == 0 ? "Connection: close\r\n" : ""));
         }
         for (const auto& watch : fixture_.discovery.wires) {
             if (has(watch->in, "\r\n\r\n") && watches_.insert(watch).second)
-                watch->say(watch_head + chunk("\n"));
+                watch->send(watch_head + chunk("\n"));
         }
     }
 
@@ -171,7 +171,7 @@
     const Bound bound_;
     const bool may_eject_upstream_;  // the injected failure may be attributed to an upstream
     CountsFile counts_;
-    Stage fixture_;
+    BalancerFixture fixture_;
     std::map<int, std::shared_ptr<Wire>> clients_;
     std::vector<RecordedRequest> requests_;
     std::map<std::string, int> sent_;  // by id: how often upstreams received the complete request
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -154,7 +154,7 @@
     EXPECT_EQ(end.request, 5u);
     EXPECT_EQ(end.attempt, 2);
     EXPECT_EQ(end.outcome, Outcome::full);
-    EXPECT_TRUE(end.closed);
+    EXPECT_TRUE(end.request_answered);
     EXPECT_EQ(end.latency, Micros(1250));
     EXPECT_EQ(end.report, (Report{7.0F, 0.5F}));
 }
@@ -314,9 +314,9 @@
     EXPECT_EQ(settings.tick, Micros(2000));
     ASSERT_EQ(settings.classes.size(), 2u);
     EXPECT_EQ(settings.classes[1].effect, Effect::keyed);
-    EXPECT_EQ(settings.classes[1].group, Group::cell);
+    EXPECT_EQ(settings.classes[1].group, DeduplicationScope::cell);
     EXPECT_EQ(settings.classes[1].window, Micros(5000000));
-    EXPECT_TRUE(settings.must_ask_list);
+    EXPECT_TRUE(settings.must_request_list);
     EXPECT_TRUE(settings.may_probe);
     EXPECT_FALSE(settings.may_cancel);
     EXPECT_EQ(settings.report_fields,
@@ -345,14 +345,14 @@
         "specifics.passes_deadline=true\nspecifics.warm_keys=true\ntenants.0.fraction=0.75\ntier=1\n"
         "weights=live\nworth_by=work\nzone=1\n");
     EXPECT_TRUE(settings.marks_retry && settings.may_cancel && settings.parallel_attempts &&
-                settings.may_tell_peers && settings.retry_after);
+                settings.may_message_peers && settings.retry_after);
     EXPECT_TRUE(settings.passes_deadline && settings.warm_keys && settings.worth_by_work &&
                 settings.classes[0].streams);
-    const Prices& p = settings.prices;
+    const Deductions& p = settings.deductions;
     EXPECT_EQ((std::vector{p.connection, p.cross_zone, p.discovery, p.fleet, p.handshake, p.late_fail,
                            p.moves, p.origin, p.peer, p.probe, p.waste}),
               (std::vector<double>{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11}));
-    const Goal& g = settings.goal;
+    const ObjectiveWeights& g = settings.objective_weights;
     EXPECT_EQ((std::vector{g.whole, g.worst_window, g.worst_class, g.worst_tenant, g.nines, g.full_at_nines}),
               (std::vector<double>{0.1, 0.2, 0.3, 0.4, 0.5, 3}));
     EXPECT_EQ((std::vector{settings.answer_slack, settings.drain_close, settings.drain_grace,
@@ -369,16 +369,16 @@
                            settings.zone, settings.tier}),
               (std::vector{1234, 7, 8, 1, 1}));
     EXPECT_EQ(settings.reports, ReportSource::answers);
-    EXPECT_EQ(settings.weights, Weights::live);
+    EXPECT_EQ(settings.weights, WeightMeaning::live);
 }
 
 TEST(WireSettings, MissingSettingsHaveSafeDefaults) {
     const Settings settings = parse_settings(settings_text());
-    EXPECT_FALSE(settings.may_cancel || settings.parallel_attempts || settings.may_tell_peers ||
+    EXPECT_FALSE(settings.may_cancel || settings.parallel_attempts || settings.may_message_peers ||
                  settings.retry_after || settings.warm_keys);
     EXPECT_EQ(settings.drain_close, Micros{0});
     EXPECT_EQ(settings.cold_share, 1);
-    EXPECT_EQ(settings.weights, Weights::none);
+    EXPECT_EQ(settings.weights, WeightMeaning::none);
     EXPECT_FALSE(settings.worth_by_work);
 }
 
