--- a/tests/all.sh
+++ b/tests/all.sh
@@ -19,7 +19,7 @@
 # With the large headers read once and the fuzzers' targets in the same build: under half of g++'s CPU time.
 sanitized=build-sanitize-clang
 cmake -S . -B "$sanitized" -DCMAKE_BUILD_TYPE=Release -DCMAKE_CXX_COMPILER=clang++ -DFLAXDOOR_TESTS=ON -DFLAXDOOR_WERROR=ON \
-    -DFLAXDOOR_SANITIZE=ON -DFLAXDOOR_FUZZ=ON -DFLAXDOOR_HEADERS_ONCE=ON
+    -DFLAXDOOR_SANITIZE=ON -DFLAXDOOR_FUZZ=ON -DFLAXDOOR_HEADERS_ONCE=ON -DCMAKE_EXPORT_COMPILE_COMMANDS=ON
 cmake --build "$sanitized" -j"$JOBS"
 part "the sanitized build"
 # Those that fail for a fault which is known and not mended yet (KNOWN-RED.txt) run, are shown, and do not end the suite.
@@ -32,6 +32,8 @@
 part "its tests"
 sh tests/fuzz/run.sh sample "$sanitized"
 part "fuzzing"
+sh tests/tidy.sh "$sanitized"
+part "the linter"
 
 cmake -S . -B build-tests -DCMAKE_BUILD_TYPE=Release -DFLAXDOOR_TESTS=ON -DFLAXDOOR_WERROR=ON
 cmake --build build-tests -j"$JOBS" --target shipped
--- a/tests/own_parts_test.sh
+++ b/tests/own_parts_test.sh
@@ -26,7 +26,7 @@
 fi
 
 # Libraries' packages, compilers, what drives them, and Python; nothing that serves or is run beside ours.
-allowed='^(g\+\+|clang|clang-format|cmake|make|pkg-config|procps|python3|lib[a-z0-9.+-]+|nlohmann-json3-dev)$'
+allowed='^(g\+\+|clang|clang-format|clang-tidy|cmake|make|pkg-config|procps|python3|lib[a-z0-9.+-]+|nlohmann-json3-dev)$'
 packages=$(sed -n 's/.* packages="\(.*\)"$/\1/p' tools/need.sh | sed 's/\$(.*//; s/\$packages//')
 shipped=$(sed -n 's/^packages = \[\(.*\)\].*/\1/p' deploy/balancer.toml | tr -d '",')
 [ -n "$packages" ] && [ -n "$shipped" ] || { echo "tools/need.sh: no packages found"; exit 1; }
--- a/tests/tidy.sh
+++ b/tests/tidy.sh
@@ -1,11 +1,15 @@
 #!/bin/sh
-# The linter: names in the case that .clang-tidy states. Usage: tests/tidy.sh BUILD, a build by clang++ with its compile
-# commands and precompiled headers. JOBS: how many files at once (the cores).
+# The linter: names have the case that .clang-tidy states. Usage: tests/tidy.sh BUILD [FOLDER...], a build by clang++ with its
+# compile commands and precompiled headers; without folders, those that the suite checks. JOBS: files at once (default: the cores).
 set -eu
 cd "$(dirname "$0")/.."
 build=$1
-folders="src include/flaxdoor tests/core tests/recovery tests/budget tests/coordinator tests/door tests/engine tests/log
-    tests/membership tests/http tests/suite"
-# shellcheck disable=SC2086 # a list of folders
-find $folders tests/*.cpp -name '*.cpp' -print0 |
-    xargs -0 -n 2 -P "${JOBS:-$(nproc)}" clang-tidy --quiet -p "$build" 2>/dev/null
+shift
+[ $# -gt 0 ] || set -- src tests/decide_test.cpp tests/property_test.cpp tests/wire_test.cpp tests/core tests/recovery tests/budget \
+    tests/coordinator tests/door tests/engine tests/log tests/membership tests/http tests/suite
+log=$(mktemp)
+trap 'rm -f "$log"' EXIT
+status=0
+find "$@" -name '*.cpp' -print0 | xargs -0 -n 2 -P "${JOBS:-$(nproc)}" clang-tidy --quiet -p "$build" >"$log" 2>/dev/null || status=$?
+grep -E 'error|warning' "$log" | sort -u || true
+exit $status
--- a/tools/need.sh
+++ b/tools/need.sh
@@ -5,7 +5,7 @@
     if [ "$1" = --install ]; then install=yes; shift; fi
     # What the build needs stands in the deploy file.
     packages="g++ cmake make $(sed -n 's/^packages = \[\(.*\)\].*/\1/p' deploy/balancer.toml | tr -d '",')"
-    [ "$1" = build ] || packages="$packages clang clang-format libclang-rt-14-dev libgtest-dev libbenchmark-dev librestinio-dev libhttp-parser-dev pkg-config libpqxx-dev libpq-dev procps python3"
+    [ "$1" = build ] || packages="$packages clang clang-format clang-tidy libclang-rt-14-dev libgtest-dev libbenchmark-dev librestinio-dev libhttp-parser-dev pkg-config libpqxx-dev libpq-dev procps python3"
     missing=
     for package in $packages; do
         case $(dpkg-query -W -f '${Status}' "$package" 2>/dev/null) in
@@ -13,7 +13,7 @@
         esac
         # A tool may be there without its package.
         case $package in
-            g++ | cmake | make | clang-format) command -v "$package" >/dev/null && continue ;;
+            g++ | cmake | make | clang-format | clang-tidy) command -v "$package" >/dev/null && continue ;;
             python3) command -v python3 >/dev/null && continue ;;
         esac
         missing="$missing $package"
