--- a/tests/fuzz/answers.cpp
+++ b/tests/fuzz/answers.cpp
@@ -27,14 +27,15 @@
     std::string_view rest = bytes;
     for (int turn = 0;; ++turn) {
         beast_http::response_parser<beast_http::string_body> parser;
-        parser.header_limit(2 * header_most);
-        parser.body_limit(body_most);
+        parser.header_limit(2 * max_header_bytes);
+        parser.body_limit(default_max_body_bytes);
         parser.eager(true);
         boost::system::error_code error;
         const auto used = parser.put(boost::asio::buffer(rest.data(), rest.size()), error);
         if (error) {
             // Extensions and trailers are dropped here, and so not looked at as closely.
-            require(same_word(result->answer.fields["Transfer-Encoding"], "chunked"), "answer that is none");
+            require(equals_ignoring_case(result->answer.fields["Transfer-Encoding"], "chunked"),
+                    "answer that is none");
             return;
         }
         require(parser.is_done(), "answer that is not whole");
@@ -59,7 +60,7 @@
     machine.wrote(1);
     auto result = machine.receive(bytes);
     if (!result || result->kind != ClientResult::Kind::answered) return;
-    make_homeward(result->answer);
+    prepare_client_response(result->answer);
     std::string on;
     append(on, result->answer, Persistence::unspecified);
     const Exchange seen = ask({on});
--- a/tests/fuzz/requests.cpp
+++ b/tests/fuzz/requests.cpp
@@ -48,8 +48,8 @@
 void compare_with_beast(const std::string& bytes) {
     namespace beast_http = boost::beast::http;
     beast_http::request_parser<beast_http::string_body> parser;
-    parser.header_limit(2 * header_most);
-    parser.body_limit(body_most);
+    parser.header_limit(2 * max_header_bytes);
+    parser.body_limit(default_max_body_bytes);
     parser.eager(true);
     boost::system::error_code error;
     std::string_view request = bytes;
@@ -64,7 +64,7 @@
         return;
     }
     const Request& taken = event->request;
-    const bool chunked = same_word(taken.fields["Transfer-Encoding"], "chunked");
+    const bool chunked = equals_ignoring_case(taken.fields["Transfer-Encoding"], "chunked");
     if (error) {
         // Extensions and trailers are dropped here, and so not looked at as closely.
         require(chunked, "taken what is no request");
@@ -79,7 +79,7 @@
     for (std::size_t i = 0; i < taken.fields.size(); ++i) {
         const auto [name, value] = taken.fields.at(i);
         std::ptrdiff_t before = 0;
-        for (std::size_t j = 0; j < i; ++j) before += same_word(taken.fields.at(j).name, name);
+        for (std::size_t j = 0; j < i; ++j) before += equals_ignoring_case(taken.fields.at(j).name, name);
         auto [at, end] = message.equal_range(name);
         while (at != end && before-- > 0) ++at;
         require(at != end, "a field that is not there");
@@ -97,10 +97,10 @@
     auto event = machine.next();
     if (!event || event->kind != ServerEvent::Kind::request) return;
     Request request = std::move(event->request);
-    make_onward(request);
+    prepare_upstream_request(request);
     set_budget(request, flaxdoor::Micros(1000));
     const std::string on = to_bytes(request);
-    if (on.size() - request.body.size() > header_most) return;  // by what was set here
+    if (on.size() - request.body.size() > max_header_bytes) return;  // by what was set here
     const Trace trace = serve({on});
     require(trace.taken == 1 && trace.events.size() == 2, "what goes on is not one request");
     require_same(trace.events[0], brief(request), "what goes on is another request");
