--- a/src/coordinator/journal.cpp
+++ b/src/coordinator/journal.cpp
@@ -22,7 +22,7 @@
 constexpr const char* head_key = "head";
 constexpr std::string_view records_begin = "record\n", records_end = "record\v";
 constexpr std::uint64_t format_version = 1;
-constexpr std::size_t max_stored_size = store::value_most;
+constexpr std::size_t max_stored_size = store::max_value;
 constexpr std::size_t max_scan_items = 256;
 constexpr int max_background_steps = 64;  // of background work before a write if the store is behind with it
 constexpr std::size_t max_witness_size = 1024;
--- a/src/coordinator/journal.h
+++ b/src/coordinator/journal.h
@@ -18,7 +18,7 @@
 // Errors:     store/status.h. retry: nothing is known to have changed, and the commit may be tried again
 //             later (the next commit reopens the store if necessary). Only std::bad_alloc is thrown.
 // Bounds:     a commit erases at most `max_commit_records` records; a later commit erases the rest. A record
-//             has at most one MiB (store::value_most).
+//             has at most one MiB (store::max_value).
 #pragma once
 
 #include <cstdint>
--- a/src/door/door.cpp
+++ b/src/door/door.cpp
@@ -353,7 +353,7 @@
                       claim->client == static_cast<std::uint32_t>(client) &&
                       retry_schedule_.in_time(now, claim->slot);
         if (token_valid) earliest_start = claim->virtual_time;
-        ++(token_valid ? tenant_state.figures.returned : tenant_state.figures.unheeded);
+        ++(token_valid ? tenant_state.figures.returned : tenant_state.figures.ignored);
     }
     if (!token_valid) retry_schedule_.unscheduled_arrival(now);
 
--- a/src/door/door.h
+++ b/src/door/door.h
@@ -118,7 +118,7 @@
     std::array<std::uint64_t, reasons> refused{};
     std::uint64_t promised = 0;  // retry times assigned
     std::uint64_t returned = 0;  // retries with a valid token, in time
-    std::uint64_t unheeded = 0;  // requests whose token was invalid or out of time
+    std::uint64_t ignored = 0;   // requests whose token was invalid or out of time
     double served_seconds = 0;   // total service time
     double waited_seconds = 0;
     std::size_t waiting = 0, open = 0;
--- a/src/engine/admission_queue_handler.cpp
+++ b/src/engine/admission_queue_handler.cpp
@@ -68,7 +68,7 @@
         log_.write(log::events::door_tenant, each.name,
                    line + ", promised " + std::to_string(each.promised) + ", returned " +
                        std::to_string(each.returned) + ", with an invalid token " +
-                       std::to_string(each.unheeded));
+                       std::to_string(each.ignored));
     }
 }
 
--- a/src/engine/engine.cpp
+++ b/src/engine/engine.cpp
@@ -125,12 +125,12 @@
           drain_timer_(executor) {
         alarm_.on_due([this] { core_.on_alarm(); });
         if (operators_.given("store")) {
-            auto keeper_options = WarmRestart::options_of(operators_);
-            keeper_options.open_folder = std::move(options.open_folder);
-            keeper_ = std::make_unique<WarmRestart>(
-                executor, log_, clock_, std::move(keeper_options),
+            auto warm_restart_options = WarmRestart::options_of(operators_);
+            warm_restart_options.open_folder = std::move(options.open_folder);
+            warm_restart_ = std::make_unique<WarmRestart>(
+                executor, log_, clock_, std::move(warm_restart_options),
                 recovery::ListOrigin{loop::text_of(config_.discovery), pool_name, config_.name});
-            config_.known = keeper_->restore(std::move(config_.known), config_.settings);
+            config_.known = warm_restart_->restore(std::move(config_.known), config_.settings);
         }
         if (options.uses_discovery) {
             discovery_ = std::make_unique<membership::DiscoveryClient>(
@@ -141,8 +141,8 @@
         pool_ = core_.add_pool({pool_name, config_.settings, config_.seed}, upstream_connections_,
                                discovery_.get());
         core_.on_list(pool_, std::move(config_.known));
-        if (keeper_)
-            keeper_->start_recording(
+        if (warm_restart_)
+            warm_restart_->start_recording(
                 [this](UpstreamId upstream) { return core_.learned_state(pool_, upstream); });
         if (options.listens) {
             handler_ = std::make_unique<http::PlatformHandler>(core_, pool_);
@@ -198,7 +198,7 @@
         if (!discovery_) return log_.write(log::events::configuration_taken);
         log_.write(log::events::discovery_taken, loop::text_of(config.discovery));
         discovery_->move_to(config.discovery);
-        if (keeper_) keeper_->set_discovery(loop::text_of(config.discovery));
+        if (warm_restart_) warm_restart_->set_discovery(loop::text_of(config.discovery));
     }
 
     bool apply_operator_settings(const settings::Values& wanted) {
@@ -223,7 +223,7 @@
     }
 
     void apply_list(core::MemberList list) {
-        if (keeper_) keeper_->on_list(list);
+        if (warm_restart_) warm_restart_->on_list(list);
         core_.on_list(pool_, std::move(list));
     }
 
@@ -312,12 +312,12 @@
         const auto on_finished = [this] {
             if (on_drained_) on_drained_();
         };
-        if (keeper_) keeper_->finish(on_finished);
+        if (warm_restart_) warm_restart_->finish(on_finished);
         core_.remove_pool(pool_);  // answers the calls that are still open, while the listener still exists
         if (listener_) listener_->stop();
         for (const auto& side : sides_) side->stop();
         if (budgets_) budgets_->leave();
-        if (!keeper_) on_finished();
+        if (!warm_restart_) on_finished();
     }
 
     const loop::Executor executor_;
@@ -337,7 +337,7 @@
     core::Core core_;
     http::ConnectionLimit connection_budget_;
     http::UpstreamConnectionPool upstream_connections_;
-    std::unique_ptr<WarmRestart> keeper_;
+    std::unique_ptr<WarmRestart> warm_restart_;
     std::unique_ptr<membership::DiscoveryClient> discovery_;
     core::PoolId pool_ = 0;
     std::unique_ptr<http::PlatformHandler> handler_;
--- a/src/engine/warm_restart.cpp
+++ b/src/engine/warm_restart.cpp
@@ -172,41 +172,41 @@
 core::MemberList WarmRestart::restore(core::MemberList known, const Settings& settings) {
     const std::shared_ptr<Load> load = std::exchange(load_, nullptr);
     const Time now = clock_.now();
-    recovery::RestoredState belief;
+    recovery::RestoredState restored_state;
     if (load->ready.wait_for(options_.open_within) != std::future_status::ready) {
         log_trouble("not read within " + std::to_string(options_.open_within.count() / 1000) +
                     " ms: the configuration's list");
-        belief.list = std::move(known);
+        restored_state.list = std::move(known);
     } else if (!was_loaded(load->ready) || !load->result) {
-        belief.list = std::move(known);
+        restored_state.list = std::move(known);
     } else {
         space_ = load->space;
         auto stored = recovery::decode(history_.pool, load->values);
         for (const auto& fault : stored.faults) log_.write(log::events::store_not_heeded, fault);
         const bool stored_list = stored.list.has_value();
-        belief = recovery::restore(std::move(known), std::move(stored), history_, settings, now,
-                                   options_.half_life);
-        log_restored(belief, stored_list);
+        restored_state = recovery::restore(std::move(known), std::move(stored), history_, settings, now,
+                                           options_.half_life);
+        log_restored(restored_state, stored_list);
     }
     // A complete list is recorded as it is: service discovery may never send another one.
-    const bool complete = belief.list.kind == ListKind::full;
-    recorder_.emplace(history_, belief.list, now);
-    if (belief.different_origin) recorder_->discard_stored_state();
-    if (complete) on_list(belief.list);
-    return std::move(belief.list);
+    const bool complete = restored_state.list.kind == ListKind::full;
+    recorder_.emplace(history_, restored_state.list, now);
+    if (restored_state.different_origin) recorder_->discard_stored_state();
+    if (complete) on_list(restored_state.list);
+    return std::move(restored_state.list);
 }
 
-void WarmRestart::log_restored(const recovery::RestoredState& belief, bool stored_list) {
-    if (belief.clock_went_back) log_.write(log::events::store_clock_back);
-    const std::uint64_t version = belief.list.version;
-    if (belief.stored) {
-        log_.write(log::events::store_list, version, belief.list.members.size(),
-                   std::chrono::duration_cast<std::chrono::seconds>(belief.list.age).count(),
-                   belief.remembered);
-    } else if (belief.different_origin) {
+void WarmRestart::log_restored(const recovery::RestoredState& restored_state, bool stored_list) {
+    if (restored_state.clock_went_back) log_.write(log::events::store_clock_back);
+    const std::uint64_t version = restored_state.list.version;
+    if (restored_state.stored) {
+        log_.write(log::events::store_list, version, restored_state.list.members.size(),
+                   std::chrono::duration_cast<std::chrono::seconds>(restored_state.list.age).count(),
+                   restored_state.remembered);
+    } else if (restored_state.different_origin) {
         log_.write(log::events::store_other_history, version);
     } else if (stored_list) {
-        log_.write(log::events::store_as_new, version, belief.remembered);
+        log_.write(log::events::store_as_new, version, restored_state.remembered);
     } else {
         log_.write(log::events::store_empty);
     }
@@ -286,7 +286,7 @@
             batch.erase(*space_, change.key);
         }
     }
-    if (batch.bytes() > store::batch_most) {
+    if (batch.bytes() > store::max_batch) {
         on_write_failed("not kept: more than 4 MiB at once");
         return false;
     }
--- a/src/engine/warm_restart.h
+++ b/src/engine/warm_restart.h
@@ -59,7 +59,7 @@
     void open();
     void on_opened(const store::Result& result, const store::Opening& opening);
     void on_loaded(const std::shared_ptr<Load>& load);
-    void log_restored(const recovery::RestoredState& belief, bool stored_list);
+    void log_restored(const recovery::RestoredState& restored_state, bool stored_list);
     void reopen_later(const store::Result& why);
     void write_periodically();
     bool may_write() const;
--- a/src/extensions/gateway.cpp
+++ b/src/extensions/gateway.cpp
@@ -96,7 +96,7 @@
             count_of(gateway_row_, keys::max_clients);
         options.clients.request_timeout = gateway_row_.get(keys::request_timeout);
         options.clients.idle_timeout = gateway_row_.get(keys::idle_timeout);
-        options.servers_most = count_of(gateway_row_, keys::max_server_connections);
+        options.max_servers = count_of(gateway_row_, keys::max_server_connections);
         options.body = static_cast<std::size_t>(gateway_row_.get(keys::max_body).count);
         Settings& pool = options.settings;
         pool.max_attempts = static_cast<int>(gateway_row_.get(keys::attempts));
--- a/src/extensions/postgres.cpp
+++ b/src/extensions/postgres.cpp
@@ -42,7 +42,7 @@
         const auto address = postgres_row.get(keys::listen);
         set_endpoint(faults_, options_.listen, address, postgres_row, "listen");
         options_.logins_at_once = count_of(postgres_row, keys::logins_at_once);
-        options_.servers_most = count_of(postgres_row, keys::max_server_connections);
+        options_.max_servers = count_of(postgres_row, keys::max_server_connections);
         build_front(postgres_row);
         for (const Row& row : values_.rows("postgres_user")) add_user(row);
         for (const Row& row : values_.rows("postgres_database")) add_database(postgres_row, row);
@@ -62,7 +62,7 @@
         front.limits.login = postgres_row.get(keys::login_timeout);
         front.limits.message = postgres_row.get(keys::message_timeout);
         front.limits.idle_transaction = postgres_row.get(keys::idle_transaction_timeout);
-        front.limits.message_most = postgres_row.get(keys::max_message).count;
+        front.limits.max_message = postgres_row.get(keys::max_message).count;
         for (const auto& name : postgres_row.get(keys::ignore_settings)) front.ignored_settings.insert(name);
         for (const auto& name : postgres_row.get(keys::safe_applications))
             front.safe_applications.insert(name);
@@ -86,7 +86,7 @@
 
     void add_user(const Row& row) {
         pg::ListenerUser user;
-        user.clients_most = count_of(row, keys::user_clients);
+        user.max_clients = count_of(row, keys::user_clients);
         user.safe = row.get(keys::user_effect) == keys::Effect::safe;
         user.kind = row.get(keys::auth) == keys::Auth::trust ? pg::Authentication::Kind::trust
                                                              : pg::Authentication::Kind::scram;
@@ -123,7 +123,7 @@
                                        ? pg::Unreported::refuse
                                        : pg::Unreported::pin;
         front.session.deadline = front.deadline = row.get(keys::deadline);
-        front.clients_most = count_of(row, keys::database_clients);
+        front.max_clients = count_of(row, keys::database_clients);
         front.line = count_of(row, keys::line);
         front.line_wait = row.get(keys::line_timeout);
         front.safe = row.get(keys::database_effect) == keys::Effect::safe;
@@ -196,8 +196,8 @@
         back.login_limit = std::min(postgres_row.get(keys::login_timeout), row.get(keys::connect_timeout));
         back.cancel_limit = row.get(keys::cancel_timeout);
         back.drain_limit = row.get(keys::drain_timeout);
-        back.prepared_most = count_of(row, keys::prepared_statements);
-        back.message_most = postgres_row.get(keys::max_message).count;
+        back.max_prepared = count_of(row, keys::prepared_statements);
+        back.max_message = postgres_row.get(keys::max_message).count;
         if (row.get(keys::server_tls) == keys::ServerTls::off) return back;
         const bool verify = row.get(keys::server_tls) == keys::ServerTls::verify_full;
         back.tls = verify ? pg::ServerOptions::Tls::verify_full : pg::ServerOptions::Tls::prefer;
--- a/src/ingress/runtime.cpp
+++ b/src/ingress/runtime.cpp
@@ -89,7 +89,7 @@
           log_(log),
           options_(std::move(options)),
           on_ports_(std::move(on_ports)),
-          connection_budget_{options_.servers_most, 0},
+          connection_budget_{options_.max_servers, 0},
           reopen_timer_(executor),
           sweep_timer_(executor),
           random_(options_.seed | 1) {}
@@ -107,9 +107,9 @@
 
     void set_options(const RuntimeOptions& options) {
         options_.clients = options.clients;
-        options_.servers_most = options.servers_most;
+        options_.max_servers = options.max_servers;
         options_.settings = options.settings;
-        connection_budget_.max_open = options_.servers_most;
+        connection_budget_.max_open = options_.max_servers;
         for (const auto& [port, listener] : listeners_) {
             if (listener->http_listener) listener->http_listener->set_limits(limits());
         }
--- a/src/ingress/runtime.h
+++ b/src/ingress/runtime.h
@@ -27,7 +27,7 @@
     std::string address = "0.0.0.0";                  // on which ports are opened
     std::map<std::uint16_t, std::uint16_t> moved;     // port number to open instead; 0: any free port
     http::ListenerLimits clients;                     // limits of each listener
-    std::size_t servers_most = 1000;                  // maximum number of connections to upstreams
+    std::size_t max_servers = 1000;                   // maximum number of connections to upstreams
     std::size_t body = http::default_max_body_bytes;  // maximum body size of a request or response, bytes
     // Settings of every pool:
     Settings settings;  // the Runtime sets classes and zones
--- a/src/pg/listener.cpp
+++ b/src/pg/listener.cpp
@@ -263,7 +263,7 @@
             ClientOptions client_options;
             client_options.tls_offered = options.context != nullptr;
             client_options.tls_required = options.tls_required;
-            client_options.limits.whole = options.limits.message_most;
+            client_options.limits.whole = options.limits.max_message;
             return client_options;
         }
 
@@ -403,8 +403,8 @@
             if (user == owner_.options_.users.end())
                 return fail("28000", "role \"" + user_ + "\" does not exist");
             database_options_ = database->second;
-            if (!owner_.has_capacity(user_, user->second.clients_most, database_,
-                                     database_options_->clients_most))
+            if (!owner_.has_capacity(user_, user->second.max_clients, database_,
+                                     database_options_->max_clients))
                 return fail("53300", "too many connections");
             class_index_ = database_options_->safe || user->second.safe ? safe_class : unsafe_class;
             if (!collect_settings()) return;
--- a/src/pg/listener.h
+++ b/src/pg/listener.h
@@ -32,14 +32,14 @@
     Micros deadline{};
     std::size_t line = 1000;  // maximum number of units that wait for the policy module to admit them
     Micros line_wait = std::chrono::seconds(10);
-    std::size_t clients_most = 0;  // 0: no limit for this database
-    bool safe = false;             // configured by the operator: units of this database may be retried
+    std::size_t max_clients = 0;  // 0: no limit for this database
+    bool safe = false;            // configured by the operator: units of this database may be retried
 };
 
 struct ListenerUser {
     Authentication::Kind kind = Authentication::Kind::scram;
     ScramVerifier verifier;
-    std::size_t clients_most = 0;
+    std::size_t max_clients = 0;
     bool safe = false;
 };
 
@@ -50,7 +50,7 @@
     Micros login = std::chrono::seconds(10);
     Micros message = std::chrono::seconds(30);           // from the first byte of a message to its last byte
     Micros idle_transaction = std::chrono::minutes(10);  // zero: no limit
-    std::size_t message_most = 16 << 20;
+    std::size_t max_message = 16 << 20;
 };
 
 struct ListenerOptions {
--- a/src/pg/server_connection_pool.cpp
+++ b/src/pg/server_connection_pool.cpp
@@ -611,8 +611,8 @@
         if (secret != secrets_.end() && !secret->second.password.empty()) options.secret = &secret->second;
         options.tls = options_.tls;
         options.nonce = random_nonce();
-        options.limits.whole = options_.message_most;
-        options.prepared_most = options_.prepared_most;
+        options.limits.whole = options_.max_message;
+        options.max_prepared = options_.max_prepared;
         return options;
     }
 
--- a/src/pg/server_connection_pool.h
+++ b/src/pg/server_connection_pool.h
@@ -47,8 +47,8 @@
     // factor of up to a thousand, so that a very short latency says nothing about a server's load. See
     // core::latency_floor().
     Micros latency_floor{};
-    std::size_t prepared_most = 200;
-    std::size_t message_most = 16 << 20;
+    std::size_t max_prepared = 200;
+    std::size_t max_message = 16 << 20;
 };
 
 // Passwords by user name, shared by all databases.
--- a/src/pg/server_machine.cpp
+++ b/src/pg/server_machine.cpp
@@ -499,7 +499,7 @@
 }
 
 void ServerMachine::close_least_recently_used() {
-    while (prepared_.size() > options_.prepared_most) {
+    while (prepared_.size() > options_.max_prepared) {
         const std::string name = lru_order_.front();
         Writer(output_).begin('C').i8('S').text(name).end();
         expect_answer(AnswerKind::close, true);
--- a/src/pg/server_machine.h
+++ b/src/pg/server_machine.h
@@ -44,7 +44,7 @@
     enum class Tls : std::uint8_t { off, prefer, verify_full } tls = Tls::off;
     std::string nonce;
     Limits limits{};
-    std::size_t prepared_most = 200;  // statements that stay prepared at the server
+    std::size_t max_prepared = 200;  // statements that stay prepared at the server
 };
 
 struct ServerEvent {
--- a/src/pg/service.cpp
+++ b/src/pg/service.cpp
@@ -11,7 +11,7 @@
       gate_(options.logins_at_once),
       role_again_(options.role_again),
       secrets_(std::move(options.secrets)) {
-    budget_.most = options.servers_most;
+    budget_.most = options.max_servers;
     try {
         for (DatabaseOptions& database_options : options.databases) {
             Database& database = databases_[database_options.name];
@@ -47,7 +47,7 @@
 
 void Service::change(ServiceOptions options) {
     gate_.set_max(options.logins_at_once);
-    budget_.most = options.servers_most;
+    budget_.most = options.max_servers;
     for (auto& [user, secret] : options.secrets) {
         ScramSecret& known = secrets_[user];
         if (known.password != secret.password) known = secret;
--- a/src/pg/service.h
+++ b/src/pg/service.h
@@ -36,8 +36,8 @@
     ListenerOptions front;  // databases are set by Service
     std::vector<DatabaseOptions> databases;
     Secrets secrets;
-    std::size_t logins_at_once = 4;   // maximum number of concurrent logins at one server, over all pools
-    std::size_t servers_most = 1000;  // maximum number of connections to servers
+    std::size_t logins_at_once = 4;  // maximum number of concurrent logins at one server, over all pools
+    std::size_t max_servers = 1000;  // maximum number of connections to servers
     std::uint64_t seed = 0;
     Micros role_again = std::chrono::seconds(1);  // until a server of the wrong role is listed again
 };
--- a/src/pg/session.cpp
+++ b/src/pg/session.cpp
@@ -81,7 +81,7 @@
     switch (phase_) {
         case Phase::idle: return begun_;
         case Phase::skipping: return true;
-        case Phase::waiting: return begun_ && buffered_bytes_ < options_.held_most && !unit_is_complete();
+        case Phase::waiting: return begun_ && buffered_bytes_ < options_.max_held && !unit_is_complete();
         case Phase::running: return segment_.copying || (!segment_.sync_sent && !segment_.query_sent);
         case Phase::over: return false;
     }
@@ -179,7 +179,7 @@
 void Session::buffer_message(const Message& message) {
     if (answer_started_ && phase_ == Phase::running) return;
     if (phase_ == Phase::running && (unit_open_ && status_ != 'I')) return;
-    if (phase_ == Phase::running && buffered_bytes_ + message.body.size() > options_.held_most) {
+    if (phase_ == Phase::running && buffered_bytes_ + message.body.size() > options_.max_held) {
         replayable_ = false;
         return;
     }
@@ -385,7 +385,7 @@
     if (reject_session_state(statement->facts)) return;
     if (!name.empty() && prepared_.contains(name))
         return fail_at_server("42P05", "prepared statement \"" + name + "\" already exists");
-    if (prepared_.size() >= options_.statements_most)
+    if (prepared_.size() >= options_.max_statements)
         return fail_at_server("53400", "too many prepared statements in one session");
     const std::string name_at_server = server_name(name, statement);
     prepared_[name] = statement;
@@ -723,7 +723,7 @@
         case 'P': {
             const ParseBody parse = *read_parse(message.body);
             const PreparedPtr statement = statements_.intern(parse.text, parse.types);
-            if (!statement->facts.leaves_failed || prepared_.size() >= options_.statements_most)
+            if (!statement->facts.leaves_failed || prepared_.size() >= options_.max_statements)
                 return reject();
             prepared_[std::string(parse.name)] = statement;
             return Writer(output()).empty('1');
--- a/src/pg/session.h
+++ b/src/pg/session.h
@@ -42,8 +42,8 @@
     Mode mode = Mode::transaction;
     Unreported unreported = Unreported::pin;
     // Bytes of a unit that are buffered until it is linked, and for sending it again to another server.
-    std::size_t held_most = 1 << 20;
-    std::size_t statements_most = 10'000;
+    std::size_t max_held = 1 << 20;
+    std::size_t max_statements = 10'000;
     Micros deadline{};  // of a unit that has been answered in part or is in a transaction; zero: none
 };
 
--- a/src/store/batch.h
+++ b/src/store/batch.h
@@ -12,11 +12,11 @@
 using SpaceId = std::uint32_t;  // identifies a named space; Engine::space() returns it
 
 // Limits of one batch, in bytes.
-inline constexpr std::size_t key_most = 1024;
-inline constexpr std::size_t value_most = 1024 * 1024;
-inline constexpr std::size_t batch_most = 4 * 1024 * 1024;  // sum of all keys and values
+inline constexpr std::size_t max_key = 1024;
+inline constexpr std::size_t max_value = 1024 * 1024;
+inline constexpr std::size_t max_batch = 4 * 1024 * 1024;  // sum of all keys and values
 // Largest number of operations in one batch.
-inline constexpr std::size_t operations_most = 10'000;
+inline constexpr std::size_t max_operations = 10'000;
 
 class Batch {
 public:
--- a/src/store/engine.cpp
+++ b/src/store/engine.cpp
@@ -725,7 +725,7 @@
     Result prepare(const Batch& batch, bool internal, const StreamStates& streams,
                    StreamStates& batch_streams, std::vector<Change>& changes,
                    std::vector<std::uint64_t>& positions) {
-        if (batch.bytes() > batch_most || batch.operations().size() > operations_most) {
+        if (batch.bytes() > max_batch || batch.operations().size() > max_operations) {
             return Result::refused("a batch is limited to 4 MiB and 10,000 operations");
         }
         std::size_t bytes = 0;
@@ -739,9 +739,9 @@
                 auto result = check_space(operation.space, stream ? SpaceKind::streams : SpaceKind::keys);
                 if (!result) return result;
             }
-            if (operation.key.empty() || operation.key.size() > key_most)
+            if (operation.key.empty() || operation.key.size() > max_key)
                 return Result::refused("a key must have 1 to 1,024 bytes");
-            if (operation.value.size() > value_most) return Result::refused("a value is limited to 1 MiB");
+            if (operation.value.size() > max_value) return Result::refused("a value is limited to 1 MiB");
             if (!stream) {
                 const bool put = operation.kind == Batch::Kind::put;
                 add(put, internal_key(operation.space, operation.key), put ? operation.value : std::string());
@@ -767,7 +767,7 @@
             }
             const std::uint64_t before = std::min(operation.before, state.next);
             if (before <= state.first) continue;
-            if (before - state.first >= operations_most - std::min(changes.size(), operations_most))
+            if (before - state.first >= max_operations - std::min(changes.size(), max_operations))
                 return Result::refused(
                     "more than 10,000 operations including trimmed elements: trim in smaller steps");
             for (; state.first < before; ++state.first)
@@ -778,7 +778,7 @@
             put_varint(value, state.first);
             add(true, stream_state_key(operation.space, operation.key), std::move(value));
         }
-        if (changes.size() > operations_most || bytes > 2 * batch_most)
+        if (changes.size() > max_operations || bytes > 2 * max_batch)
             return Result::refused("a batch trims too much: trim in smaller steps");
         return Result::ok();
     }
--- a/tests/door/door_test.cpp
+++ b/tests/door/door_test.cpp
@@ -458,11 +458,11 @@
     test.fill();
     const auto refusal = test.queue.end(test.handed.front(), test.now, ConcurrencyWindow::End::no_room);
     ASSERT_TRUE(refusal);
-    const auto unheeded = [&](std::size_t tenant, int class_index, const std::string& client,
-                              const std::string& token) {
+    const auto ignored = [&](std::size_t tenant, int class_index, const std::string& client,
+                             const std::string& token) {
         const auto sum = [&] {
             std::uint64_t all = 0;
-            for (const auto& each : test.queue.figures(test.now).tenants) all += each.unheeded;
+            for (const auto& each : test.queue.figures(test.now).tenants) all += each.ignored;
             return all;
         };
         const auto before = sum();
@@ -470,24 +470,24 @@
         if (arrival.ticket) test.queue.leave(arrival.ticket, test.now);
         return sum() - before;
     };
-    EXPECT_EQ(unheeded(0, 1, "c", refusal->token), 1u) << "too early";
+    EXPECT_EQ(ignored(0, 1, "c", refusal->token), 1u) << "too early";
     test.now += refusal->retry_after;
-    EXPECT_EQ(unheeded(0, 1, "c", refusal->token), 0u) << "in time";
+    EXPECT_EQ(ignored(0, 1, "c", refusal->token), 0u) << "in time";
     for (std::size_t i = 0; i < refusal->token.size(); ++i) {
         std::string forged = refusal->token;
         forged[i] = forged[i] == '0' ? '1' : '0';
-        EXPECT_EQ(unheeded(0, 1, "c", forged), 1u) << i;
+        EXPECT_EQ(ignored(0, 1, "c", forged), 1u) << i;
     }
-    EXPECT_EQ(unheeded(0, 1, "c", refusal->token + "0"), 1u);
-    EXPECT_EQ(unheeded(0, 1, "c", "zz" + refusal->token.substr(2)), 1u);
-    EXPECT_EQ(unheeded(1, 1, "c", refusal->token), 1u) << "another tenant";
-    EXPECT_EQ(unheeded(0, 0, "c", refusal->token), 1u) << "another class";
-    EXPECT_EQ(unheeded(0, 1, "d", refusal->token), 1u) << "another client";
+    EXPECT_EQ(ignored(0, 1, "c", refusal->token + "0"), 1u);
+    EXPECT_EQ(ignored(0, 1, "c", "zz" + refusal->token.substr(2)), 1u);
+    EXPECT_EQ(ignored(1, 1, "c", refusal->token), 1u) << "another tenant";
+    EXPECT_EQ(ignored(0, 0, "c", refusal->token), 1u) << "another class";
+    EXPECT_EQ(ignored(0, 1, "d", refusal->token), 1u) << "another client";
     RetryTokens::Secret other{};
     other[0] = 1;
-    EXPECT_EQ(unheeded(0, 1, "c", RetryTokens(other).sign({})), 1u) << "another key";
+    EXPECT_EQ(ignored(0, 1, "c", RetryTokens(other).sign({})), 1u) << "another key";
     test.now += 2 * default_terms().book.slot;
-    EXPECT_EQ(unheeded(0, 1, "c", refusal->token), 1u) << "expired";
+    EXPECT_EQ(ignored(0, 1, "c", refusal->token), 1u) << "expired";
 }
 
 }  // namespace
--- a/tests/pg/hard_cases_test.cpp
+++ b/tests/pg/hard_cases_test.cpp
@@ -389,8 +389,8 @@
         rig.add_server("a");
         rig.begin([of](ServiceOptions& options) {
             (of == 0   ? options.front.limits.clients
-             : of == 1 ? options.front.users["u"].clients_most
-                       : options.databases[0].front.clients_most) = 1;
+             : of == 1 ? options.front.users["u"].max_clients
+                       : options.databases[0].front.max_clients) = 1;
         });
         const auto first = Client::logged_in(rig), second = Client::logged_in(rig);
         EXPECT_TRUE(second->ended());
--- a/tests/pg/server_machine_test.cpp
+++ b/tests/pg/server_machine_test.cpp
@@ -173,7 +173,7 @@
 
 TEST(ServerMachine, PreparedStatementsAreLimited) {
     ServerOptions options = plain_options();
-    options.prepared_most = 3;
+    options.max_prepared = 3;
     ServerMachine machine(options);
     machine.receive(welcome);
     (void)machine.next();
--- a/tests/store/engine_test.cpp
+++ b/tests/store/engine_test.cpp
@@ -32,7 +32,7 @@
 TEST(StoreBounds, KeysValuesAndBatches) {
     OpenStore store;
     const std::size_t before = store.files.operations().size();
-    const std::string longest_key(key_most, 'k'), longest_value(value_most, 'v');
+    const std::string longest_key(max_key, 'k'), longest_value(max_value, 'v');
     Batch batch;
     const auto expect_refused = [&](const char* what) {
         EXPECT_EQ(store.status(batch), Status::refused) << what;
@@ -46,7 +46,7 @@
     expect_refused("value too long");
     for (int i = 0; i < 5; ++i) batch.put(store.keys, "k" + std::to_string(i), longest_value);
     expect_refused("too many bytes");
-    for (std::size_t i = 0; i <= operations_most; ++i) batch.put(store.keys, "k", "v");
+    for (std::size_t i = 0; i <= max_operations; ++i) batch.put(store.keys, "k", "v");
     expect_refused("too many operations");
     batch.append(store.streams, longest_key + "k", "v");
     expect_refused("stream name too long");
@@ -56,11 +56,11 @@
         batch.put(store.keys, longest_key.substr(1) + std::to_string(i), longest_value);
     EXPECT_EQ(store.status(batch), Status::ok);
     batch = {};
-    for (std::size_t i = 0; i < operations_most; ++i) batch.put(store.keys, "k", std::to_string(i));
+    for (std::size_t i = 0; i < max_operations; ++i) batch.put(store.keys, "k", std::to_string(i));
     EXPECT_EQ(store.status(batch), Status::ok);
     std::optional<std::string> value;
     ASSERT_TRUE(store.engine->get(store.keys, "k", value));
-    EXPECT_EQ(value, std::to_string(operations_most - 1));
+    EXPECT_EQ(value, std::to_string(max_operations - 1));
     // A scan stops after 4 MiB and can be continued after its last key.
     std::vector<Engine::Item> items;
     ASSERT_TRUE(store.engine->scan(store.keys, "", "", 10'000, items));
@@ -71,7 +71,7 @@
     OpenStore store;
     for (int i = 0; i < 6; ++i) {
         Batch batch;
-        batch.put(store.keys, std::to_string(i), std::string(value_most, 'v'));
+        batch.put(store.keys, std::to_string(i), std::string(max_value, 'v'));
         ASSERT_EQ(store.status(batch), Status::ok);
         ASSERT_TRUE(finish_work(*store.engine));
     }
