--- a/tests/embed/main.cpp
+++ b/tests/embed/main.cpp
@@ -13,7 +13,7 @@
         last = upstream;
         ++sent;
     }
-    void refuse(flaxdoor::RequestId, flaxdoor::Micros) override { std::puts("refused"); }
+    void reject(flaxdoor::RequestId, flaxdoor::Micros) override { std::puts("refused"); }
     void fail(flaxdoor::RequestId) override { std::puts("failed"); }
     void cancel(flaxdoor::RequestId, int) override {}
     void probe(flaxdoor::UpstreamId) override {}
@@ -21,7 +21,7 @@
     void watch() override {}
     void unwatch() override {}
     void fetch() override {}
-    void tell(std::optional<int>, std::string_view) override {}
+    void send_to_peer(std::optional<int>, std::string_view) override {}
     void close_idle(flaxdoor::UpstreamId) override {}
     void log(std::string_view) override {}
 
