--- a/include/flaxdoor/decide.h
+++ b/include/flaxdoor/decide.h
@@ -5,7 +5,7 @@
 // Threading:   A Policy is used by one thread at a time. It takes no locks and starts no threads. Policies
 //              that share a SlowStartBucket must run on the same thread.
 // Ownership:   The Policy borrows the Actions object, which must outlive it. Nothing else is shared except
-//              the ColdAccounts in the entries of the upstream list.
+//              the SlowStartBuckets in the entries of the upstream list.
 // Re-entrancy: A Policy calls Actions from inside its on_* methods. An Actions method must not call the
 //              Policy.
 // Determinism: The same settings, seed and events give the same actions in the same order.
--- a/src/core/core.h
+++ b/src/core/core.h
@@ -72,7 +72,7 @@
 class Core {
 public:
     Core(const Clock& clock, Alarm& alarm, Log& log, Options options = {});
-    // Open calls are not answered. For a graceful shutdown, see close() and Figures::open.
+    // Open calls are not answered. For a graceful shutdown, see close() and Stats::open.
     ~Core();
     Core(const Core&) = delete;
     Core& operator=(const Core&) = delete;
